--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -160,7 +160,7 @@
     def send(self, run: _Run) -> None:
         known = self.quarantines[run.router]
         if quarantine_module.is_quarantined(known, run.request):
-            quarantine_module.note_arrival(known, self.now, run.request)
+            quarantine_module.extend_quarantine(known, self.now, run.request)
             self.outcome.refused += not run.harmful
             return
         live = [
--- a/benchmarks/direct.py
+++ b/benchmarks/direct.py
@@ -27,11 +27,11 @@
     exchange,
     fetching,
     freshness,
-    needs,
     outcomes,
-    placing,
+    placement_constraints,
     prompts,
-    silence,
+    stalls,
+    upstream_selection,
     upstreams,
 )
 from sycamorefall.direct import state as state_module
@@ -118,13 +118,13 @@
     busy = Busy(size, state, told, random.Random(seed))
     core.apply_catalog(state, 0.0, _create_catalog(size))
     core.apply_listing(state, 0.0, _list_engines(size))
-    freshness.note_proof(state.freshness, NOW)
+    freshness.record_proof(state.freshness, NOW)
     _fill_caches(busy)
     _send_own(busy)
     left = SLOTS - size.own if others is None else others
     busy.whole = [_tell(busy, n, left) for n in range(1, size.routers)]
     for envelope in busy.whole:
-        exchange.take_load(told, state, NOW, envelope)
+        exchange.handle_load(told, state, NOW, envelope)
     for _ in range(size.each):
         for team, target in itertools.product(range(size.waiting), TARGETS):
             wait(busy, team, target)
@@ -154,9 +154,9 @@
     return catalog.create_catalog(1, routes, services, teams, True, rate)
 
 
-def _list_engines(size: Size) -> list[upstreams.Listed]:
+def _list_engines(size: Size) -> list[upstreams.UpstreamEntry]:
     return [
-        upstreams.Listed(
+        upstreams.UpstreamEntry(
             f"e{n}",
             f"engine-{n % size.services}",
             settings.Address("127.0.0.1", n + 1),
@@ -179,7 +179,7 @@
 def _fill_caches(busy: Busy) -> None:
     for one in busy.state.table.by_name.values():
         for _ in range(40):
-            caches.note_parts(one.cache, draw_prompt(busy).digests, MEMORY)
+            caches.record_parts(one.cache, draw_prompt(busy).digests, MEMORY)
 
 
 def ask(busy: Busy, team: int, target: float) -> state_module.NewRequest:
@@ -196,8 +196,8 @@
         team = number % busy.size.waiting
         target = busy.random.choice(TARGETS)
         new = ask(busy, team, target)
-        taken, _ = core.take_request(busy.state, NOW, new)
-        outcomes.note_answer(busy.state, NOW, taken, first=True)
+        taken, _ = core.handle_request(busy.state, NOW, new)
+        outcomes.record_response(busy.state, NOW, taken, first=True)
 
 
 def _tell(busy: Busy, number: int, others: int) -> messages.Envelope:
@@ -228,11 +228,11 @@
 
 def wait(busy: Busy, team: int, target: float) -> state_module.Request:
     """Has a request wait at the router."""
-    number, sent = core.take_request(busy.state, NOW, ask(busy, team, target))
+    number, sent = core.handle_request(busy.state, NOW, ask(busy, team, target))
     request = busy.state.requests[number]
     if not sent and request.attempt is None:
-        dispatching.leave_room(busy.state, request)
-        dispatching.enter_room(busy.state, request)
+        dispatching.dequeue_request(busy.state, request)
+        dispatching.enqueue_request(busy.state, request)
     return request
 
 
@@ -258,7 +258,7 @@
     )
     one = waiting_ones[len(waiting_ones) // 2]
     queued = _create_queued(size)
-    need = needs.describe_need(state, NOW, one)
+    constraints = placement_constraints.compute_constraints(state, NOW, one)
     group = dispatching._list_group(state, NOW, "engine-0")
     target = state.table.by_service["engine-0"][0]
     sequences = itertools.count(2)
@@ -267,11 +267,11 @@
 
     def write_whole():
         told.own.due = 0.0
-        exchange.write_load(told, state, NOW)
+        exchange.build_load_message(told, state, NOW)
 
     def write_change():
         told.own.due = NOW + 1.0
-        exchange.write_load(told, state, NOW)
+        exchange.build_load_message(told, state, NOW)
 
     def take_whole():
         envelope = next(senders)
@@ -279,17 +279,17 @@
             envelope.message, sequence=next(sequences)
         )
         later = messages.Envelope(envelope.sender, 1, 1, load)
-        exchange.take_load(told, state, NOW, later)
+        exchange.handle_load(told, state, NOW, later)
 
     def take_change():
         load = messages.RouterLoad(
             next(sequences), "", upstreams=change, whole=False
         )
         later = messages.Envelope(busy.whole[0].sender, 1, 1, load)
-        exchange.take_load(told, state, NOW, later)
+        exchange.handle_load(told, state, NOW, later)
 
     def take_and_cancel():
-        number, _ = core.take_request(state, NOW, ask(busy, 1, TARGETS[1]))
+        number, _ = core.handle_request(state, NOW, ask(busy, 1, TARGETS[1]))
         core.cancel_request(state, number, NOW)
 
     def apply_catalog():
@@ -303,16 +303,18 @@
         "write change": write_change,
         "take whole message": take_whole,
         "take change": take_change,
-        "look at waiting requests": lambda: dispatching.serve_waiting(
+        "look at waiting requests": lambda: dispatching.send_waiting_requests(
             state, NOW
         ),
-        "the same, slots but long queues": lambda: dispatching.serve_waiting(
-            queued, NOW
+        "the same, slots but long queues": lambda: (
+            dispatching.send_waiting_requests(queued, NOW)
         ),
         "try a request": lambda: dispatching.try_send(state, NOW, one),
-        "describe a need": lambda: needs.describe_need(state, NOW, one),
-        "choose an engine": lambda: placing.choose_upstream(
-            state.table, NOW, service, need, "a", group
+        "describe a need": lambda: placement_constraints.compute_constraints(
+            state, NOW, one
+        ),
+        "choose an engine": lambda: upstream_selection.choose_upstream(
+            state.table, NOW, service, constraints, "a", group
         ),
         "choose a source": lambda: fetching.choose_source(
             state.table, NOW, service, one.new.prompt, target
@@ -323,7 +325,7 @@
         ),
         "find what is due next": lambda: core.find_next_due(state),
         "the same, nothing runs": lambda: core.find_next_due(idle),
-        "check silence": lambda: silence.check_silence(state, NOW),
+        "check silence": lambda: stalls.handle_stalls(state, NOW),
         f"apply a catalog, {size.waiting} teams wait": apply_catalog,
     }
 
--- a/benchmarks/placing.py
+++ b/benchmarks/placing.py
@@ -25,7 +25,7 @@
 import unittest.mock
 
 from benchmarks import results, site
-from sycamorefall.direct import exchange, fetching, fitting, patience
+from sycamorefall.direct import eligibility, exchange, fetching, patience
 
 KINDS = (
     site.Kind("report", 20, 0.6, 8.0, 120, 12_000, 3500, 100),
@@ -51,10 +51,10 @@
         fetching, "choose_source", lambda *_: None
     ),
     "no prompts told": lambda: unittest.mock.patch.object(
-        exchange, "PROMPTS_TOLD", 1e-9
+        exchange, "MAX_PROMPTS_PER_SECOND", 1e-9
     ),
     "queues not bounded": lambda: unittest.mock.patch.object(
-        fitting, "QUEUE_SHARE", float("inf")
+        eligibility, "QUEUE_SHARE", float("inf")
     ),
     "little patience is age": lambda: unittest.mock.patch.object(
         patience, "read_elapsed", _read_all_as_elapsed
--- a/benchmarks/site.py
+++ b/benchmarks/site.py
@@ -39,7 +39,7 @@
 TICK = 0.005
 """Seconds between two looks of a router at its timers."""
 
-FIRST_STEP = 0.03
+FIRST_TOKEN_OVERHEAD = 0.03
 """Seconds from the end of reading to the first event."""
 
 REQUESTS = 1_000_000
@@ -183,7 +183,9 @@
     """An engine; `free_at` is when it has read all that it was sent."""
 
     name: str
-    cache: caches.Cache = dataclasses.field(default_factory=caches.Cache)
+    cache: caches.CacheEstimate = dataclasses.field(
+        default_factory=caches.CacheEstimate
+    )
     free_at: float = 0.0
 
 
@@ -313,7 +315,7 @@
     )
     core.apply_catalog(state, 0.0, known)
     listing = [
-        upstreams.Listed(
+        upstreams.UpstreamEntry(
             f"e{n}",
             SERVICE,
             settings.Address("127.0.0.1", n + 1),
@@ -403,7 +405,7 @@
     new = state_module.NewRequest(
         HOST, f"/{caller.kind.name}/x", caller.team, left, caller.prompt
     )
-    number, done = core.take_request(router.state, world.now, new)
+    number, done = core.handle_request(router.state, world.now, new)
     router.callers[number] = caller
     _perform(world, router, done)
 
@@ -413,14 +415,16 @@
     world.plan(now + TICK, _tick, world, router)
     if not router.alive:
         return
-    freshness.note_proof(state.freshness, now)
+    freshness.record_proof(state.freshness, now)
     _perform(world, router, core.run_timers(state, now))
     if now >= exchange.find_next_due(router.told, state):
-        _tell(world, router, exchange.write_due(router.told, state, now))
+        _tell(
+            world, router, exchange.build_due_messages(router.told, state, now)
+        )
 
 
 def _tell(
-    world: _World, router: _Router, reports: Iterable[exchange.Report]
+    world: _World, router: _Router, reports: Iterable[exchange.OutboundMessage]
 ) -> None:
     for report in reports:
         envelope = messages.Envelope(
@@ -437,9 +441,9 @@
         return
     told, state, now = router.told, router.state, world.now
     if isinstance(envelope.message, messages.KnownRouters):
-        exchange.note_hearsay(told, now, envelope.message.routers)
+        exchange.record_known_routers(told, now, envelope.message.routers)
         return
-    referral = exchange.take_load(told, state, now, envelope)
+    referral = exchange.handle_load(told, state, now, envelope)
     if referral is not None:
         _tell(world, router, [referral])
 
@@ -449,32 +453,32 @@
 ) -> None:
     for effect in done:
         match effect:
-            case effects.SendTo():
+            case effects.SendRequest():
                 _read(world, router, effect)
-            case effects.Fail():
+            case effects.AnswerError():
                 caller = router.callers.pop(effect.request)
                 _refuse(world, router, caller, effect.retry_after)
 
 
-def _read(world: _World, router: _Router, send: effects.SendTo) -> None:
+def _read(world: _World, router: _Router, send: effects.SendRequest) -> None:
     """Has an engine read a prompt behind all that it was sent before."""
     site, prompt = world.site, router.callers[send.request].prompt
     engine = world.engines[send.upstream]
-    held = caches.count_held(engine.cache, prompt)
+    held = caches.count_cached_tokens(engine.cache, prompt)
     fetched = 0
     if send.source is not None:
         source = world.engines[f"e{send.source.port - 1}"]
-        found = caches.count_held(source.cache, prompt)
+        found = caches.count_cached_tokens(source.cache, prompt)
         fetched = max(0, min(found, prompt.shared) - held)
     read = prompt.tokens - held - fetched
     world.figures.read += read
     if prompt.digests[0][0] in world.seen:
         world.figures.again += max(0, prompt.shared - held - fetched)
     world.seen.add(prompt.digests[0][0])
-    caches.note_parts(engine.cache, prompt.digests, site.memory)
+    caches.record_parts(engine.cache, prompt.digests, site.memory)
     took = read / site.reading + fetched / site.fetching
     engine.free_at = max(world.now, engine.free_at) + took
-    first_at = engine.free_at + FIRST_STEP
+    first_at = engine.free_at + FIRST_TOKEN_OVERHEAD
     world.plan(first_at, _begin, world, router, send.request)
     ends_at = first_at + prompt.output * site.making
     world.plan(ends_at, _end, world, router, send.request)
@@ -484,7 +488,7 @@
     caller, shares = router.callers.get(number), world.figures.shares
     if caller is None:
         return  # It was given up at its deadline.
-    outcomes.note_answer(router.state, world.now, number, first=True)
+    outcomes.record_response(router.state, world.now, number, first=True)
     cost = _reckon_cost(caller.prompt)
     shares_module.note_begun(shares, world.now, caller.team, cost)
     if world.now - caller.asked_at <= caller.kind.target:
--- a/benchmarks/tests/test_direct.py
+++ b/benchmarks/tests/test_direct.py
@@ -10,13 +10,13 @@
 
 from benchmarks import direct
 from sycamorefall.direct import (
-    claims,
     dispatching,
-    fitting,
+    eligibility,
+    fair_queue,
     homes,
-    needs,
+    placement_constraints,
+    service_floors,
     upstreams,
-    waiting,
 )
 
 SMALL = direct.Size(5, 2, 8, 12, 12, each=2, own=4)
@@ -32,7 +32,7 @@
     for one in busy.state.table.by_name.values():
         one.own.unread += draws.choice([0, 500, 6000, 30_000])
         if draws.random() < odd:
-            upstreams.bar_upstream(one, direct.NOW)
+            upstreams.suspend_upstream(one, direct.NOW)
         if draws.random() < odd:
             one.own, one.others = upstreams.Load(), upstreams.Load()
     for request in busy.state.requests.values():
@@ -44,11 +44,11 @@
     return busy
 
 
-def list_usable(state, need):
+def list_usable(state, constraints):
     return [
         one
         for one in upstreams.list_upstreams(state.table, "engine-0")
-        if one.listed.name not in need.tried
+        if one.listed.name not in constraints.tried
         and upstreams.is_usable(one, direct.NOW)
     ]
 
@@ -57,19 +57,28 @@
     """Finds the floors by looking at every engine for every candidate."""
     floors = {}
     service = state.catalog.services["engine-0"]
-    room, accounts = state.rooms["engine-0"], state.accounts["engine-0"]
-    for team in waiting.order_teams(room, accounts, direct.NOW):
-        received = int(waiting.read_service(accounts, direct.NOW, team))
-        for number in waiting.list_candidates(room, team):
+    room, accounts = (
+        state.service_queues["engine-0"],
+        state.accounts["engine-0"],
+    )
+    for team in fair_queue.order_teams(room, accounts, direct.NOW):
+        received = int(fair_queue.compute_received(accounts, direct.NOW, team))
+        for number in fair_queue.list_candidates(room, team):
             request = state.requests[number]
-            need = needs.describe_need(state, direct.NOW, request)
-            held_at = homes.list_homes(state.table, direct.NOW, service, need)
-            for one in list_usable(state, need):
+            constraints = placement_constraints.compute_constraints(
+                state, direct.NOW, request
+            )
+            held_at = homes.list_homes(
+                state.table, direct.NOW, service, constraints
+            )
+            for one in list_usable(state, constraints):
                 home = one in held_at
-                standing = fitting.describe_standing(
+                engine_load = eligibility.measure_engine_load(
                     one, service.engine, direct.NOW
                 )
-                if fitting.is_waited_for(standing, service.engine, need, home):
+                if eligibility.is_awaited(
+                    engine_load, service.engine, constraints, home
+                ):
                     floors.setdefault(one.listed.name, received)
     return floors
 
@@ -80,13 +89,15 @@
     # one empty that nobody waits for. Cause: the stop once every engine has
     # its floor leaves out one, or gives one another team's floor.
     state = create_mixed(seed).state
-    assert claims.find_floors(state, direct.NOW) == find_all_floors(state)
+    assert service_floors.compute_floors(state, direct.NOW) == find_all_floors(
+        state
+    )
 
 
 def test_floors_differ_between_the_states():
     # Guards the test above against states in which nothing is decided.
     found = [
-        claims.find_floors(create_mixed(seed).state, direct.NOW)
+        service_floors.compute_floors(create_mixed(seed).state, direct.NOW)
         for seed in SEEDS
     ]
     assert any(len(floors) == SMALL.engines for floors in found)
@@ -97,21 +108,26 @@
 def look_at_everything(state):
     """Looks at waiting requests, listing the engines anew for each."""
     sent = []
-    room, accounts = state.rooms["engine-0"], state.accounts["engine-0"]
+    room, accounts = (
+        state.service_queues["engine-0"],
+        state.accounts["engine-0"],
+    )
     teams = [
-        (waiting.read_service(accounts, direct.NOW, team), team)
+        (fair_queue.compute_received(accounts, direct.NOW, team), team)
         for team in room.by_team
     ]
     heapq.heapify(teams)
     while teams:
         _, team = heapq.heappop(teams)
-        for number in waiting.list_candidates(room, team):
+        for number in fair_queue.list_candidates(room, team):
             request = state.requests[number]
             done = dispatching.try_send(state, direct.NOW, request)
             if done:
-                waiting.remove_request(room, team, number)
+                fair_queue.remove_request(room, team, number)
                 sent += done
-                received = waiting.read_service(accounts, direct.NOW, team)
+                received = fair_queue.compute_received(
+                    accounts, direct.NOW, team
+                )
                 heapq.heappush(teams, (received, team))
                 break
     return sent
@@ -122,7 +138,7 @@
     # A waiting request goes to an engine that the one before it just filled.
     # Cause: the look goes by what engines had before that send.
     first, second = (create_mixed(seed).state for _ in range(2))
-    looked = dispatching.serve_waiting(first, direct.NOW)
+    looked = dispatching.send_waiting_requests(first, direct.NOW)
     tried = look_at_everything(second)
     pairs = [
         [(one.request, one.upstream) for one in s] for s in (looked, tried)
@@ -133,7 +149,11 @@
 def test_looks_send_in_some_states():
     # Guards the test above against states in which nothing is sent.
     counts = [
-        len(dispatching.serve_waiting(create_mixed(seed).state, direct.NOW))
+        len(
+            dispatching.send_waiting_requests(
+                create_mixed(seed).state, direct.NOW
+            )
+        )
         for seed in SEEDS
     ]
     assert sum(count > 1 for count in counts) >= 5
@@ -148,19 +168,25 @@
     waiting_ones = [one for one in state.requests.values() if not one.attempt]
     assert waiting_ones
     for request in waiting_ones:
-        need = needs.describe_need(state, direct.NOW, request)
-        held_at = homes.list_homes(state.table, direct.NOW, service, need)
-        usable = list_usable(state, need)
+        constraints = placement_constraints.compute_constraints(
+            state, direct.NOW, request
+        )
+        held_at = homes.list_homes(
+            state.table, direct.NOW, service, constraints
+        )
+        usable = list_usable(state, constraints)
         expected = collections.Counter(
-            fitting.find_obstacle(
-                fitting.describe_standing(one, service.engine, direct.NOW),
+            eligibility.find_obstacle(
+                eligibility.measure_engine_load(
+                    one, service.engine, direct.NOW
+                ),
                 service.engine,
-                need,
+                constraints,
                 one in held_at,
             )
             for one in usable
         )
-        expected[fitting.Obstacle.UNUSABLE] = SMALL.engines - len(usable)
+        expected[eligibility.Obstacle.UNUSABLE] = SMALL.engines - len(usable)
         told = dispatching.explain_refusal(state, direct.NOW, request)
         assert told.obstacles == {
             obstacle.value: count
@@ -174,10 +200,14 @@
     group = dispatching._list_group(state, direct.NOW, "engine-0")
     for request in state.requests.values():
         if request.attempt is None:
-            need = needs.describe_need(state, direct.NOW, request)
-            possible = fitting.list_possible(group, need)
-            left_out = [one for one in group.standings if one not in possible]
-            yield need, possible, left_out
+            constraints = placement_constraints.compute_constraints(
+                state, direct.NOW, request
+            )
+            possible = eligibility.prefilter_engines(group, constraints)
+            left_out = [
+                one for one in group.engine_loads if one not in possible
+            ]
+            yield constraints, possible, left_out
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -186,9 +216,12 @@
     # what is true of most engines is taken for true of all.
     state = create_mixed(seed).state
     engine = state.catalog.services["engine-0"].engine
-    for need, _, left_out in list_left_out(state):
+    for constraints, _, left_out in list_left_out(state):
         for one in left_out:
-            assert fitting.find_crowding(one, engine, need) is not None
+            assert (
+                eligibility.find_load_obstacle(one, engine, constraints)
+                is not None
+            )
 
 
 def test_states_leave_out_all_or_some_or_no_engines():
--- a/sycamorefall/direct/backlog.py
+++ b/sycamorefall/direct/backlog.py
@@ -1,16 +1,21 @@
 """What waits at a router, team by team, for its log; no I/O."""
 
-__all__ = ["INTERVAL", "MOST_TEAMS", "TeamBacklog", "list_backlogs"]
+__all__ = [
+    "LOG_INTERVAL",
+    "MAX_TEAMS",
+    "TeamBacklog",
+    "list_backlogs",
+]
 
 import dataclasses
 
+from sycamorefall.direct import fair_queue
 from sycamorefall.direct import state as state_module
-from sycamorefall.direct import waiting
 
-INTERVAL = 1.0
+LOG_INTERVAL = 1.0
 """Seconds between two lines: operators judge shares second by second."""
 
-MOST_TEAMS = 4
+MAX_TEAMS = 4
 """Teams in a line. A flood of one team and those that it is held against fit;
 all of them wouldn't fit into the log's buffer."""
 
@@ -46,11 +51,11 @@
         now: This process's time.
 
     Returns:
-        At most `MOST_TEAMS`; the least served one is always among them.
+        At most `MAX_TEAMS`; the least served one is always among them.
     """
     backlogs = [
         _describe_backlog(state, now, service, team)
-        for service, room in state.rooms.items()
+        for service, room in state.service_queues.items()
         for team in room.by_team
     ]
     if not backlogs:
@@ -58,23 +63,23 @@
     least = min(backlogs, key=lambda one: one.received)
     others = [one for one in backlogs if one is not least]
     others.sort(key=lambda one: one.waiting, reverse=True)
-    return [*others[: MOST_TEAMS - 1], least]
+    return [*others[: MAX_TEAMS - 1], least]
 
 
 def _describe_backlog(
     state: state_module.DirectState, now: float, service: str, team: str
 ) -> TeamBacklog:
-    accounts = state_module.find_accounts(state, service)
-    queues = state.rooms[service].by_team[team]
+    accounts = state_module.get_or_create_accounts(state, service)
+    queues = state.service_queues[service].by_team[team]
     oldest = min(
         state.requests[next(iter(queue))].arrived_at
         for queue in queues.values()
     )
-    received = waiting.read_service(accounts, now, team)
+    received = fair_queue.compute_received(accounts, now, team)
     return TeamBacklog(
         service,
         team,
-        waiting.count_waiting(state.rooms[service], team),
+        fair_queue.count_waiting(state.service_queues[service], team),
         round(now - oldest, 3),
         int(received),
         int(received - accounts.others.get(team, 0.0)),
--- a/sycamorefall/direct/budget.py
+++ b/sycamorefall/direct/budget.py
@@ -4,15 +4,20 @@
 and within an even part of the fixed one, so no message has to be exchanged.
 """
 
-__all__ = ["RetryBudget", "count_request", "note_routers", "take_retry"]
+__all__ = [
+    "RetryBudget",
+    "count_request",
+    "record_routers",
+    "take_retry",
+]
 
 import collections
 import dataclasses
 
-STEP = 0.5
+BUCKET_SECONDS = 0.5
 """Seconds of one count; the window slides by this."""
 
-FEWEST_ROUTERS = 4
+MIN_ROUTERS = 4
 """Routers that share the fixed part until more are heard: after a start, or
 cut off from all others, a router would otherwise take the whole of it."""
 
@@ -38,7 +43,7 @@
     ratio: float
     extra: float
     window: float
-    routers: int = FEWEST_ROUTERS
+    routers: int = MIN_ROUTERS
     _requests: collections.deque = dataclasses.field(
         default_factory=collections.deque
     )
@@ -47,13 +52,13 @@
     )
 
 
-def note_routers(budget: RetryBudget, routers: int) -> None:
+def record_routers(budget: RetryBudget, routers: int) -> None:
     """Takes note of how many routers are heard."""
     budget.routers = max(budget.routers, routers)
 
 
 def _count(counts: collections.deque, now: float) -> None:
-    step = int(now / STEP)
+    step = int(now / BUCKET_SECONDS)
     if counts and counts[-1][0] == step:
         counts[-1][1] += 1
     else:
@@ -61,7 +66,7 @@
 
 
 def _sum(counts: collections.deque, now: float, window: float) -> int:
-    first = int((now - window) / STEP)
+    first = int((now - window) / BUCKET_SECONDS)
     while counts and counts[0][0] < first:
         counts.popleft()
     return sum(count for _, count in counts)
--- a/sycamorefall/direct/caches.py
+++ b/sycamorefall/direct/caches.py
@@ -1,9 +1,9 @@
 """What an engine's cache is taken to hold of prompts."""
 
 __all__ = [
-    "Cache",
-    "count_held",
-    "note_parts",
+    "CacheEstimate",
+    "count_cached_tokens",
+    "record_parts",
 ]
 
 import collections
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Cache:
+class CacheEstimate:
     """Parts that an engine was sent, the least recently used first.
 
     Attributes:
@@ -28,8 +28,8 @@
     _nameless: int = 0
 
 
-def note_parts(
-    cache: Cache, parts: prompts.Digests, limit: int, nameless: int = 0
+def record_parts(
+    cache: CacheEstimate, parts: prompts.Digests, limit: int, nameless: int = 0
 ) -> None:
     """Takes note that an engine reads a prompt.
 
@@ -40,10 +40,10 @@
         nameless: Tokens of parts that are not known, but push others out.
 
     Example:
-        >>> cache = Cache()
-        >>> note_parts(cache, ((7, 600),), 1000, nameless=100)
-        >>> note_parts(cache, ((8, 200),), 1000, nameless=150)
-        >>> note_parts(cache, ((7, 600),), 1000, nameless=150)
+        >>> cache = CacheEstimate()
+        >>> record_parts(cache, ((7, 600),), 1000, nameless=100)
+        >>> record_parts(cache, ((8, 200),), 1000, nameless=150)
+        >>> record_parts(cache, ((7, 600),), 1000, nameless=150)
         >>> 7 in cache.parts, 8 in cache.parts, cache.tokens
         (True, False, 900)
     """
@@ -55,7 +55,7 @@
         cache.tokens -= cache.parts.popitem(last=False)[1]
 
 
-def count_held(cache: Cache, prompt: prompts.Prompt) -> int:
+def count_cached_tokens(cache: CacheEstimate, prompt: prompts.Prompt) -> int:
     """Counts the tokens of a prompt that an engine is known to hold.
 
     A part counts only if all parts before it are held too. One that has grown
--- a/sycamorefall/direct/catalog.py
+++ b/sycamorefall/direct/catalog.py
@@ -33,7 +33,7 @@
     RESUMABLE_STREAM = "resumable_stream"
 
     @property
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         """Whether a request that may have run may run again."""
         return self in (RouteKind.IDEMPOTENT, RouteKind.RESUMABLE_STREAM)
 
@@ -64,7 +64,7 @@
         timeout: Seconds after which a caller is told that it failed.
         target_latency: Seconds within which an answer, or a stream's first
             event, is on time.
-        most_upstreams: Upstreams that may run one request.
+        max_upstreams: Upstreams that may run one request.
         public: Whether its requests carry no key.
     """
 
@@ -75,7 +75,7 @@
     shares: tuple[Share, ...]
     timeout: float
     target_latency: float
-    most_upstreams: int = 1
+    max_upstreams: int = 1
     public: bool = False
 
 
@@ -85,13 +85,13 @@
 
     Attributes:
         slots: Requests that one runs at once.
-        memory_tokens: Tokens that its cache holds.
+        kv_capacity_tokens: Tokens that its cache holds.
         fetch_rate: Tokens that one copies from another's cache in a second;
             0 if it can't.
     """
 
     slots: int
-    memory_tokens: int
+    kv_capacity_tokens: int
     fetch_rate: float = 0.0
 
 
@@ -126,7 +126,7 @@
         routes: Routes by host, then by prefix.
         services: Services by name.
         teams: Teams by key.
-        keyed: Whether requests of routes that are not public need a key.
+        requires_key: Whether requests of routes that are not public need a key.
         tokens_per_second: What all engines together serve, a token read
             counted once and one made twice; 0 if not known.
     """
@@ -135,7 +135,7 @@
     routes: dict[str, dict[str, Route]]
     services: dict[str, Service]
     teams: dict[str, Team]
-    keyed: bool = False
+    requires_key: bool = False
     tokens_per_second: float = 0.0
 
 
@@ -144,7 +144,7 @@
     routes: Iterable[Route],
     services: Iterable[Service],
     teams: dict[str, Team],
-    keyed: bool = False,
+    requires_key: bool = False,
     tokens_per_second: float = 0.0,
 ) -> Catalog:
     """Creates a catalog, its routes ready to be looked up.
@@ -154,7 +154,7 @@
         routes: All routes.
         services: All services.
         teams: Teams by key.
-        keyed: Whether routes that are not public need a key.
+        requires_key: Whether routes that are not public need a key.
         tokens_per_second: What the engines serve together.
 
     Returns:
@@ -164,7 +164,9 @@
     for route in routes:
         by_host.setdefault(route.host, {})[route.prefix] = route
     by_name = {service.name: service for service in services}
-    return Catalog(version, by_host, by_name, teams, keyed, tokens_per_second)
+    return Catalog(
+        version, by_host, by_name, teams, requires_key, tokens_per_second
+    )
 
 
 def find_route(catalog: Catalog, host: str, path: str) -> Route | None:
--- a/sycamorefall/direct/core.py
+++ b/sycamorefall/direct/core.py
@@ -6,10 +6,10 @@
     "begin_stop",
     "cancel_request",
     "find_next_due",
-    "find_unready",
-    "note_proof",
+    "handle_request",
+    "list_unready_reasons",
+    "record_proof",
     "run_timers",
-    "take_request",
 ]
 
 import heapq
@@ -24,28 +24,28 @@
     effects,
     fingerprints,
     freshness,
+    latency_targets,
     outcomes,
     overload,
     patience,
     prompts,
     quarantine,
-    silence,
+    stalls,
     stopping,
     upstreams,
-    urgency,
 )
 from sycamorefall.direct import (
     state as state_module,
 )
 
-SILENCE_CHECK = 0.1
+STALL_CHECK_INTERVAL = 0.1
 """Seconds between two looks for upstreams that say nothing."""
 
-ELSEWHERE = 0.1
+OTHER_ROUTER_RETRY_AFTER = 0.1
 """Seconds after which a caller that only this router can't serve is to come
 back; enough for its next connection to reach another one."""
 
-SERVE_INTERVAL = 0.01
+DISPATCH_INTERVAL = 0.01
 """Seconds between two looks whether a waiting request can go: load that other
 routers report, and upstreams whose pause ended, call for no look."""
 
@@ -68,41 +68,41 @@
     if state.catalog is not None and new.version <= state.catalog.version:
         return []
     state.catalog = new
-    state.serve = True
+    state.dispatch_needed = True
     waiting_ones = [one for one in state.requests.values() if not one.attempt]
     done: list[effects.Effect] = []
     for request in waiting_ones:
         judged = _admit(state, now, request.new)
         if isinstance(judged, result.Failure):
-            done.append(effects.Fail(request.number, judged.failure()))
-            outcomes.forget_request(state, request)
+            done.append(effects.AnswerError(request.number, judged.failure()))
+            outcomes.discard_request(state, request)
             continue
         route, team = judged.unwrap()
-        dispatching.leave_room(state, request)
+        dispatching.dequeue_request(state, request)
         request.route, request.team = route, team
         # Recomputed on next use, since it depends on the team.
         request.fingerprint = b""
         request.service = catalog.choose_service(route, state.random.random())
-        dispatching.enter_room(state, request)
+        dispatching.enqueue_request(state, request)
     return done
 
 
 def apply_listing(
     state: state_module.DirectState,
     now: float,
-    listing: list[upstreams.Listed],
+    listing: list[upstreams.UpstreamEntry],
 ) -> list[str]:
     """Takes over a listing of upstreams; returns names no longer used."""
-    state.serve = True
+    state.dispatch_needed = True
     return upstreams.replace_listing(state.table, now, listing)
 
 
-def note_proof(
+def record_proof(
     state: state_module.DirectState, now: float, proven_at: float
 ) -> None:
     """Takes note of when all that is in force was the newest for certain."""
-    freshness.note_proof(state.freshness, proven_at)
-    upstreams.note_contact(state.table, now, proven_at)
+    freshness.record_proof(state.freshness, proven_at)
+    upstreams.confirm_listing(state.table, now, proven_at)
 
 
 def begin_stop(state: state_module.DirectState, now: float) -> None:
@@ -110,7 +110,9 @@
     state.stop.since = now
 
 
-def find_unready(state: state_module.DirectState, now: float) -> list[str]:
+def list_unready_reasons(
+    state: state_module.DirectState, now: float
+) -> list[str]:
     """Lists why callers had better be sent to another router."""
     reasons = {
         "stopping": state.stop.since is not None,
@@ -136,7 +138,7 @@
     route = catalog.find_route(known, new.host, new.path)
     if route is None:
         return result.Failure(errors.ErrorKind.UNKNOWN_SERVICE)
-    if route.public or not known.keyed:
+    if route.public or not known.requires_key:
         return result.Success((route, ""))
     if not freshness.is_fresh(state.freshness, now):
         return result.Failure(errors.ErrorKind.NOT_READY)
@@ -146,7 +148,7 @@
     return result.Success((route, team.name))
 
 
-def take_request(
+def handle_request(
     state: state_module.DirectState,
     now: float,
     new: state_module.NewRequest,
@@ -167,21 +169,25 @@
     if isinstance(judged, result.Failure):
         kind = judged.failure()
         pause = _choose_pause(state, kind)
-        return number, [effects.Fail(number, kind, pause)]
+        return number, [effects.AnswerError(number, kind, pause)]
     route, team = judged.unwrap()
     if state.quarantine.quarantined:
         fingerprint = fingerprints.compute_fingerprint(new, team)
         if quarantine.is_quarantined(state.quarantine, fingerprint):
-            quarantine.note_arrival(state.quarantine, now, fingerprint)
+            quarantine.extend_quarantine(state.quarantine, now, fingerprint)
             kind = errors.ErrorKind.QUARANTINED
-            return number, [effects.Fail(number, kind, fingerprint=fingerprint)]
+            return number, [
+                effects.AnswerError(number, kind, fingerprint=fingerprint)
+            ]
     left = route.timeout
     if new.time_left is not None:
         left = min(left, new.time_left)
-    if not stopping.may_take(state.stop, now, now + left):
+    if not stopping.may_accept(state.stop, now, now + left):
         kind = errors.ErrorKind.STOPPING
-        return number, [effects.Fail(number, kind, _choose_pause(state, kind))]
-    wait = min(left, dispatching.PATIENCE * route.target_latency)
+        return number, [
+            effects.AnswerError(number, kind, _choose_pause(state, kind))
+        ]
+    wait = min(left, dispatching.MAX_WAIT_SHARE * route.target_latency)
     request = state_module.Request(
         number,
         new,
@@ -196,20 +202,24 @@
     state.requests[number] = request
     if new.prompt is not None:
         key = new.prompt.home_key
-        request.part_uses = prompts.note_use(state.uses, now, key)
-        known = state_module.find_urgency(state, request.service)
-        urgency.note_target(known, now, route.target_latency)
-    budget.count_request(dispatching.find_budget(state, request.service), now)
+        request.part_uses = prompts.record_use(state.uses, now, key)
+        known = state_module.get_or_create_recent_targets(
+            state, request.service
+        )
+        latency_targets.record_target(known, now, route.target_latency)
+    budget.count_request(
+        dispatching.get_or_create_budget(state, request.service), now
+    )
     heapq.heappush(state.deadlines, (request.answer_by, number))
     heapq.heappush(state.deadlines, (request.give_up_at, number))
-    room = state.rooms.get(request.service)
+    room = state.service_queues.get(request.service)
     if room is None or not room.by_team:
         sent = dispatching.try_send(state, now, request)
         if sent:
             return number, sent
     if dispatching.is_retry_delay_too_long(state, now, request):
-        return number, outcomes.refuse_request(state, request, now)
-    dispatching.enter_room(state, request)
+        return number, outcomes.fail_request(state, request, now)
+    dispatching.enqueue_request(state, request)
     return number, []
 
 
@@ -222,8 +232,10 @@
     a new connection, and the balancer gives that to another router.
     """
     if kind in (errors.ErrorKind.NOT_READY, errors.ErrorKind.STOPPING):
-        return ELSEWHERE
-    return outcomes.draw_pause(state) if errors.ANSWERS[kind].retry else None
+        return OTHER_ROUTER_RETRY_AFTER
+    return (
+        outcomes.draw_retry_after(state) if errors.ANSWERS[kind].retry else None
+    )
 
 
 def _read_elapsed(
@@ -245,8 +257,8 @@
     request = state.requests.get(number)
     if request is None:
         return []
-    aborted = outcomes.drop_attempt(state, request, now)
-    outcomes.forget_request(state, request)
+    aborted = outcomes.abort_attempt(state, request, now)
+    outcomes.discard_request(state, request)
     return aborted
 
 
@@ -263,15 +275,15 @@
         What is to be done.
     """
     due = _expire_requests(state, now)
-    if now >= quarantine.find_next_expiry(state.quarantine):
+    if now >= quarantine.find_next_scan(state.quarantine):
         quarantine.drop_expired(state.quarantine, now)
-    if now - state.checked_at >= SILENCE_CHECK:
-        state.checked_at = now
-        due += silence.check_silence(state, now)
+    if now - state.stalls_checked_at >= STALL_CHECK_INTERVAL:
+        state.stalls_checked_at = now
+        due += stalls.handle_stalls(state, now)
     if _is_serving_due(state, now):
-        state.served_at = now
-        due += dispatching.serve_waiting(state, now)
-        state.serve = False
+        state.last_dispatch_at = now
+        due += dispatching.send_waiting_requests(state, now)
+        state.dispatch_needed = False
     return due
 
 
@@ -285,8 +297,8 @@
     At once if a place may have come free; but looks take a bounded part of
     the process's time, however many requests wait for however many engines.
     """
-    pause = 0.0 if state.serve else SERVE_INTERVAL
-    return state.served_at + max(pause, state.look_pause)
+    pause = 0.0 if state.dispatch_needed else DISPATCH_INTERVAL
+    return state.last_dispatch_at + max(pause, state.min_dispatch_interval)
 
 
 def find_next_due(state: state_module.DirectState) -> float:
@@ -295,12 +307,12 @@
     if _is_anyone_waiting(state):
         due = min(due, _find_next_look(state))
     if state.running:
-        due = min(due, state.checked_at + SILENCE_CHECK)
-    return min(due, quarantine.find_next_expiry(state.quarantine))
+        due = min(due, state.stalls_checked_at + STALL_CHECK_INTERVAL)
+    return min(due, quarantine.find_next_scan(state.quarantine))
 
 
 def _is_anyone_waiting(state: state_module.DirectState) -> bool:
-    return any(room.by_team for room in state.rooms.values())
+    return any(room.by_team for room in state.service_queues.values())
 
 
 def _expire_requests(
@@ -313,7 +325,7 @@
         if request is None:
             continue
         if now >= request.answer_by:
-            done += outcomes.end_late(state, request, now)
+            done += outcomes.expire_request(state, request, now)
         elif now >= request.give_up_at and request.attempt is None:
-            done += outcomes.refuse_request(state, request, now)
+            done += outcomes.fail_request(state, request, now)
     return done
--- a/sycamorefall/direct/crash_exchange.py
+++ b/sycamorefall/direct/crash_exchange.py
@@ -10,9 +10,9 @@
 
 __all__ = [
     "CrashExchange",
+    "build_due_messages",
     "find_next_due",
-    "take_reports",
-    "write_due",
+    "handle_reports",
 ]
 
 from collections.abc import Iterable
@@ -45,7 +45,7 @@
 SUMMARY_INTERVAL = 1.0
 """Seconds between two summaries of a delegate."""
 
-MOST_RECORDS = 64
+MAX_RECORDS = 64
 """Records in one message: 1.3 KB at about 20 bytes each. The remaining ones are
 sent with the next message."""
 
@@ -97,12 +97,12 @@
     return due
 
 
-def write_due(
+def build_due_messages(
     crashes: CrashExchange,
     exchange: exchange_module.Exchange,
     state: state_module.DirectState,
     now: float,
-) -> list[exchange_module.Report]:
+) -> list[exchange_module.OutboundMessage]:
     """Writes the messages that are due.
 
     Args:
@@ -116,13 +116,13 @@
     """
     unsent, state.quarantine.unsent = state.quarantine.unsent, []
     _queue(crashes.near, now, unsent, SEND_COUNT)
-    near, far = exchange_module.list_neighbours(exchange, state), ()
+    near, far = exchange_module.list_local_receivers(exchange, state), ()
     is_delegate = exchange_module.is_delegate(exchange, state, now)
     if is_delegate:
         _queue(crashes.far, now, unsent, SEND_COUNT)
-        far = exchange_module.list_far_delegates(exchange, state, now)
+        far = exchange_module.list_remote_delegates(exchange, state, now)
     reports = [
-        exchange_module.Report(receivers, message)
+        exchange_module.OutboundMessage(receivers, message)
         for outbox, receivers in ((crashes.near, near), (crashes.far, far))
         if (message := _write_outbox(outbox, state, now)) is not None
     ]
@@ -130,7 +130,9 @@
         crashes.summary_due = now + SUMMARY_INTERVAL
         message = _write_summary(state, now) if is_delegate else None
         if message is not None:
-            reports.append(exchange_module.Report((*near, *far), message))
+            reports.append(
+                exchange_module.OutboundMessage((*near, *far), message)
+            )
     return reports
 
 
@@ -151,7 +153,7 @@
     # Requests with the most crashes go first, so that a backlog doesn't delay
     # quarantines; among equals, records with the most remaining sends.
     batch = heapq.nlargest(
-        MOST_RECORDS,
+        MAX_RECORDS,
         outbox.left.items(),
         key=lambda item: (_count_crashes(state, item[0]), item[1]),
     )
@@ -185,7 +187,7 @@
         for *_, fingerprint in sorted(found, reverse=True)
         for crash in quarantine.suspects[fingerprint].crashes
     )
-    batch = itertools.islice(records, MOST_RECORDS)
+    batch = itertools.islice(records, MAX_RECORDS)
     return _write_reports(
         now, quarantine_module.list_evidence(quarantine, batch)
     )
@@ -211,7 +213,7 @@
     )
 
 
-def take_reports(
+def handle_reports(
     crashes: CrashExchange,
     exchange: exchange_module.Exchange,
     state: state_module.DirectState,
@@ -246,7 +248,10 @@
         state.quarantine, now, found
     )
     records = [(one.crash, one.fingerprint) for one in new]
-    if exchange_module.find_place(exchange, state, envelope.sender) != "own":
+    if (
+        exchange_module.classify_domain(exchange, state, envelope.sender)
+        != "own"
+    ):
         _queue(crashes.near, now, records, FORWARD_COUNT)
     elif exchange_module.is_delegate(exchange, state, now):
         _queue(crashes.far, now, records, FORWARD_COUNT)
--- a/sycamorefall/direct/crashes.py
+++ b/sycamorefall/direct/crashes.py
@@ -7,9 +7,9 @@
 """
 
 __all__ = [
-    "note_disconnect",
+    "handle_check_result",
+    "record_disconnect",
     "report_quarantined",
-    "take_check",
 ]
 
 from collections.abc import Iterable
@@ -26,14 +26,14 @@
 from sycamorefall.direct import state as state_module
 from sycamorefall.direct.quarantine import Crash, Evidence
 
-MOST_CHECKS = 3
+MAX_CHECKS = 3
 """Checks of an upstream that does not answer, since packets may be lost."""
 
-DISCONNECT_TIME = 5.0
+DISCONNECT_RETENTION = 5.0
 """Seconds for which later lost connections are attributed to the same crash."""
 
 
-def note_disconnect(
+def record_disconnect(
     state: state_module.DirectState, now: float, number: int
 ) -> list[effects.Effect]:
     """Records a connection that was lost after its request was sent.
@@ -55,13 +55,13 @@
     if upstream is None or upstreams.is_leaving(upstream):
         return []
     crash = Crash(upstream.listed.name, upstream.listed.born)
-    fingerprint = fingerprints.find_fingerprint(request)
+    fingerprint = fingerprints.get_fingerprint(request)
     known = state.disconnects.get(crash)
     if known is None:
         state.disconnects = {
             other: disconnect
             for other, disconnect in state.disconnects.items()
-            if now - disconnect.since < DISCONNECT_TIME
+            if now - disconnect.since < DISCONNECT_RETENTION
         }
         state.disconnects[crash] = state_module.Disconnect(now, {fingerprint})
         return [effects.CheckUpstream(crash, upstream.listed.address)]
@@ -71,7 +71,7 @@
     return []
 
 
-def take_check(
+def handle_check_result(
     state: state_module.DirectState,
     now: float,
     check: effects.CheckUpstream,
@@ -95,12 +95,12 @@
         known.crashed = True
         upstream = state.table.by_name.get(check.crash.upstream)
         if upstream is not None and upstream.listed.born == check.crash.born:
-            upstreams.bar_upstream(upstream, now)
+            upstreams.suspend_upstream(upstream, now)
         return [
             effects.ReportCrash(check.crash, len(known.fingerprints)),
             *_add_suspects(state, now, check.crash, known.fingerprints),
         ]
-    if found is transport.Reachability.UNKNOWN and known.checks < MOST_CHECKS:
+    if found is transport.Reachability.UNKNOWN and known.checks < MAX_CHECKS:
         known.checks += 1
         return [check]
     del state.disconnects[check.crash]
@@ -159,5 +159,5 @@
     return [
         effect
         for request in refused
-        for effect in outcomes.refuse_request(state, request, now)
+        for effect in outcomes.fail_request(state, request, now)
     ]
--- a/sycamorefall/direct/daemon.py
+++ b/sycamorefall/direct/daemon.py
@@ -55,7 +55,7 @@
         state: The decisions' state.
         loop: The root component.
         client: Sends requests.
-        desk: Requests in progress.
+        proxy: Requests in progress.
         log: Writes the log.
         servers: For callers, and for the balancer.
         control: Links to the other routers.
@@ -72,7 +72,7 @@
     state: state_module.DirectState
     loop: transport.Loop
     client: transport.HttpClient
-    desk: relay.Desk
+    proxy: relay.Proxy
     log: observation.LogWriter
     servers: list[transport.HttpServer]
     control: transport.ControlLinks
@@ -86,7 +86,7 @@
         default_factory=crash_exchange_module.CrashExchange
     )
 
-    def take_catalog(self, new: catalog_module.Catalog) -> None:
+    def handle_catalog(self, new: catalog_module.Catalog) -> None:
         """Takes a configuration that was read."""
         now = transport.read_clock()
         known = self.state.catalog
@@ -98,16 +98,18 @@
                 version=new.version,
                 before=known.version if known else None,
             )
-        relay.perform(self.desk, done)
+        relay.perform_effects(self.proxy, done)
 
-    def take_listing(self, listing: list[upstreams_module.Listed]) -> None:
+    def handle_listing(
+        self, listing: list[upstreams_module.UpstreamEntry]
+    ) -> None:
         """Takes a listing of upstreams that was read."""
         now = transport.read_clock()
         by_name = self.state.table.by_name
         before = {name: one.listed.born for name, one in by_name.items()}
         gone = core.apply_listing(self.state, now, listing)
         new = by_name.keys() - before.keys()
-        exchange_module.note_listing(self.exchange, self.state, new)
+        exchange_module.apply_totals_to_listing(self.exchange, self.state, new)
         restarted = [
             name
             for name, one in by_name.items()
@@ -122,9 +124,9 @@
                 restarted=restarted,
             )
 
-    def take_proof(self, proven_at: float) -> None:
+    def handle_proof(self, proven_at: float) -> None:
         """Takes proof that what is in force was the newest at a time."""
-        core.note_proof(self.state, transport.read_clock(), proven_at)
+        core.record_proof(self.state, transport.read_clock(), proven_at)
 
     def tell(self, receivers: Iterable[str], message: messages.Message) -> None:
         """Sends a control message to other routers."""
@@ -139,7 +141,7 @@
 def run_direct_router(
     config: settings.DirectSettings,
     dialect: dialects.Dialect,
-    create_source: Callable[[Daemon], replicator_module.Source],
+    create_source: Callable[[Daemon], replicator_module.RecordSource],
     reload: Callable[[], None],
 ) -> None:
     """Runs a router until it is told to stop.
@@ -196,21 +198,21 @@
         lambda name: exchange_module.find_address(told, name),
         lambda envelope: _receive(daemon, envelope),
         authentication.create_authenticator(config.vm.name, config.security),
-        lambda envelope: exchange_module.note_unnamed(
+        lambda envelope: exchange_module.record_unreadable_sender(
             told, transport.read_clock(), envelope
         ),
-        lambda name: exchange_module.find_place(told, state, name),
+        lambda name: exchange_module.classify_domain(told, state, name),
     ).register(loop)
     control.attach(poller)
-    desk = relay.Desk(state, client, dialect)
+    proxy = relay.Proxy(state, client, dialect)
     servers = [
         transport.HttpServer(
             config.listen.data,
             config.limits,
-            lambda call: relay.take_call(desk, call),
-            on_dropped=lambda call: relay.note_dropped(desk, call),
+            lambda call: relay.handle_call(proxy, call),
+            on_dropped=lambda call: relay.record_dropped_call(proxy, call),
             shedding=transport.Shedding(
-                overload_module.LONGEST_TURN, core.ELSEWHERE
+                overload_module.LONGEST_TURN, core.OTHER_ROUTER_RETRY_AFTER
             ),
         ).register(loop)
     ]
@@ -228,7 +230,7 @@
         state,
         loop,
         client,
-        desk,
+        proxy,
         log,
         servers,
         control,
@@ -236,7 +238,7 @@
         incarnation,
     )
     daemon.replicator = replicator_module.create_replicator(
-        readers.Readers(config.vm.name, config.vm.failure_domain),
+        readers.ReaderSelection(config.vm.name, config.vm.failure_domain),
         incarnation,
         told.control,
         told.seeds,
@@ -244,7 +246,7 @@
             told, state, transport.read_clock()
         ),
         daemon.tell,
-        daemon.take_proof,
+        daemon.handle_proof,
     )
     daemon.ticker = transport.Ticker(
         lambda: _find_next_due(daemon), lambda now: _run_timers(daemon, now)
@@ -257,21 +259,21 @@
     exchange = daemon.exchange
     match message:
         case messages.RouterLoad():
-            referral = exchange_module.take_load(
+            referral = exchange_module.handle_load(
                 exchange, daemon.state, now, envelope
             )
             if referral is not None:
                 daemon.tell(referral.receivers, referral.message)
         case messages.KnownRouters():
-            exchange_module.note_hearsay(exchange, now, message.routers)
+            exchange_module.record_known_routers(exchange, now, message.routers)
         case messages.CrashReports():
-            added = crash_exchange_module.take_reports(
+            added = crash_exchange_module.handle_reports(
                 daemon.crash_exchange, exchange, daemon.state, now, envelope
             )
             done = crashes.report_quarantined(daemon.state, now, added)
-            relay.perform(daemon.desk, done)
+            relay.perform_effects(daemon.proxy, done)
         case messages.Subscribe():
-            exchange_module.note_address(
+            exchange_module.record_address(
                 exchange, now, envelope.sender, message.control
             )
             daemon.replicator.receive(envelope)
@@ -280,20 +282,22 @@
 
 
 def _tell_peers(daemon: Daemon, now: float) -> None:
-    reports = exchange_module.write_due(daemon.exchange, daemon.state, now)
+    reports = exchange_module.build_due_messages(
+        daemon.exchange, daemon.state, now
+    )
     daemon.control.keep_only(exchange_module.list_addresses(daemon.exchange))
     _tell_reports(daemon, reports)
 
 
 def _tell_crashes(daemon: Daemon, now: float) -> None:
-    reports = crash_exchange_module.write_due(
+    reports = crash_exchange_module.build_due_messages(
         daemon.crash_exchange, daemon.exchange, daemon.state, now
     )
     _tell_reports(daemon, reports)
 
 
 def _tell_reports(
-    daemon: Daemon, reports: list[exchange_module.Report]
+    daemon: Daemon, reports: list[exchange_module.OutboundMessage]
 ) -> None:
     for report in reports:
         daemon.tell(report.receivers, report.message)
@@ -309,7 +313,7 @@
     now = transport.read_clock()
     match call.path:
         case pages.READY_PATH:
-            reasons = core.find_unready(daemon.state, now)
+            reasons = core.list_unready_reasons(daemon.state, now)
             body = ", ".join(reasons).encode() or b"ready"
             status = 503 if reasons else 200
             call.respond(status, body, (("Content-Type", "text/plain"),))
@@ -327,7 +331,7 @@
         core.find_next_due(daemon.state),
         daemon.client.find_next_due(),
         daemon.replicator.find_next_due(),
-        upstreams_module.find_lapse_end(daemon.state.table),
+        upstreams_module.find_grace_end(daemon.state.table),
         exchange_module.find_next_due(daemon.exchange, daemon.state),
         crash_exchange_module.find_next_due(
             daemon.crash_exchange, daemon.state
@@ -351,7 +355,7 @@
     daemon.replicator.run(now)
     _drop_lapsed(daemon, now)
     daemon.log.flush()
-    relay.perform(daemon.desk, core.run_timers(daemon.state, now))
+    relay.perform_effects(daemon.proxy, core.run_timers(daemon.state, now))
     if now >= daemon.backlog_at:
         _log_backlog(daemon, now)
     if now >= daemon.stop_check:
@@ -360,10 +364,10 @@
 
 def _log_backlog(daemon: Daemon, now: float) -> None:
     """Logs what waits; a process that is idle wakes up for no line."""
-    daemon.backlog_at = now + backlog.INTERVAL
+    daemon.backlog_at = now + backlog.LOG_INTERVAL
     backlogs = backlog.list_backlogs(daemon.state, now)
     if backlogs:
-        ages = totals_module.find_ages(daemon.exchange.totals, now)
+        ages = totals_module.compute_ages(daemon.exchange.totals, now)
         observation.write_record(
             observation.Level.INFO,
             "teams.waiting",
@@ -373,7 +377,7 @@
 
 
 def _drop_lapsed(daemon: Daemon, now: float) -> None:
-    gone = upstreams_module.drop_lapsed(daemon.state.table, now)
+    gone = upstreams_module.drop_missing(daemon.state.table, now)
     if gone:
         observation.write_record(
             observation.Level.INFO,
@@ -387,7 +391,7 @@
 def _note_lateness(daemon: Daemon, now: float) -> None:
     overload = daemon.state.overload
     before = overload_module.is_overloaded(overload, now)
-    overload_module.note_pass(overload, now, daemon.ticker.late)
+    overload_module.record_lateness(overload, now, daemon.ticker.late)
     if overload_module.is_overloaded(overload, now) and not before:
         observation.write_record(
             observation.Level.WARNING,
@@ -440,5 +444,5 @@
             server.begin_stop()
             server.end_listening()
     quiet = all(server.is_quiet() for server in daemon.servers)
-    if stopping.is_over(stop, now, quiet):
+    if stopping.may_exit(stop, now, quiet):
         daemon.loop.stop()
--- a/sycamorefall/direct/dialects.py
+++ b/sycamorefall/direct/dialects.py
@@ -56,7 +56,7 @@
 
     Attributes:
         read_request: Reads a call; the text of a failure says what is wrong.
-        read_id: Reads the id of a call, for logs.
+        read_request_id: Reads the id of a call, for logs.
         write_headers: Writes the headers of a send; the last argument is the
             id of the last event that the caller has, or empty.
         is_ours: Tells whether an answer with these headers is to this call.
@@ -66,9 +66,9 @@
     read_request: Callable[
         [transport.IncomingCall], result.Result[state_module.NewRequest, str]
     ]
-    read_id: Callable[[transport.IncomingCall], str]
+    read_request_id: Callable[[transport.IncomingCall], str]
     write_headers: Callable[
-        [transport.IncomingCall, effects.SendTo, str],
+        [transport.IncomingCall, effects.SendRequest, str],
         tuple[tuple[str, str], ...],
     ]
     is_ours: Callable[[transport.IncomingCall, dict[str, str]], bool]
--- a/sycamorefall/direct/dispatching.py
+++ b/sycamorefall/direct/dispatching.py
@@ -1,15 +1,15 @@
 """Sends requests to upstreams, at once or from the waiting rooms."""
 
 __all__ = [
-    "PATIENCE",
-    "SHORTEST_LEFT",
-    "enter_room",
+    "MAX_WAIT_SHARE",
+    "MIN_TIME_LEFT",
+    "dequeue_request",
+    "enqueue_request",
     "explain_refusal",
-    "find_budget",
+    "get_or_create_budget",
     "is_quarantined",
     "is_retry_delay_too_long",
-    "leave_room",
-    "serve_waiting",
+    "send_waiting_requests",
     "try_send",
 ]
 
@@ -21,22 +21,22 @@
     caches,
     catalog,
     effects,
+    eligibility,
+    fair_queue,
     fetching,
     fingerprints,
-    fitting,
     freshness,
-    needs,
-    placing,
+    placement_constraints,
     prompts,
     quarantine,
+    upstream_selection,
     upstreams,
-    waiting,
 )
 from sycamorefall.direct import (
     state as state_module,
 )
 
-PATIENCE = 0.8
+MAX_WAIT_SHARE = 0.8
 """Part of its target latency that a request waits at most for its first send;
 after that it would be late, and is refused with a time to come back."""
 
@@ -55,11 +55,11 @@
 the 230 of a plain service: it reset a third of the new connections, and 40% of
 the requests that may not be sent twice ended with an unknown outcome."""
 
-SHORTEST_LEFT = 0.01
+MIN_TIME_LEFT = 0.01
 """Seconds that must be left of a request's time for a send to make sense."""
 
 
-def find_budget(
+def get_or_create_budget(
     state: state_module.DirectState, service: str
 ) -> budget.RetryBudget:
     """Finds the budget of second sends of a service."""
@@ -69,33 +69,35 @@
         known = state.budgets[service] = budget.RetryBudget(
             bounds.retry_ratio, bounds.retry_extra, bounds.retry_window
         )
-    budget.note_routers(known, state.routers)
+    budget.record_routers(known, state.routers)
     return known
 
 
-def enter_room(
+def enqueue_request(
     state: state_module.DirectState, request: state_module.Request
 ) -> None:
     """Has a request wait."""
-    room = state.rooms.setdefault(request.service, waiting.WaitingRoom())
+    room = state.service_queues.setdefault(
+        request.service, fair_queue.ServiceQueue()
+    )
     target = request.route.target_latency
-    waiting.add_request(room, request.team, request.number, target)
+    fair_queue.add_request(room, request.team, request.number, target)
 
 
-def leave_room(
+def dequeue_request(
     state: state_module.DirectState, request: state_module.Request
 ) -> None:
     """Ends a request's wait, if it waits."""
-    room = state.rooms.get(request.service)
+    room = state.service_queues.get(request.service)
     if room is not None:
-        waiting.remove_request(room, request.team, request.number)
+        fair_queue.remove_request(room, request.team, request.number)
 
 
 def try_send(
     state: state_module.DirectState,
     now: float,
     request: state_module.Request,
-    group: fitting.Group | None = None,
+    group: eligibility.EngineGroup | None = None,
 ) -> list[effects.Effect]:
     """Sends a request if an upstream has room for it.
 
@@ -110,7 +112,7 @@
         The send, or nothing if it has to wait.
     """
     service = state.catalog.services.get(request.service)
-    if service is None or request.answer_by - now < SHORTEST_LEFT:
+    if service is None or request.answer_by - now < MIN_TIME_LEFT:
         return []
     if request.team and not freshness.is_fresh(state.freshness, now):
         return []
@@ -119,16 +121,16 @@
     if group is None:
         group = _list_group(state, now, request.service)
     is_engine = request.new.prompt is not None and service.engine is not None
-    if is_engine and not group.standings:
+    if is_engine and not group.engine_loads:
         return []
-    need = needs.describe_need(state, now, request)
-    chosen = placing.choose_upstream(
-        state.table, now, service, need, state.failure_domain, group
+    constraints = placement_constraints.compute_constraints(state, now, request)
+    chosen = upstream_selection.choose_upstream(
+        state.table, now, service, constraints, state.failure_domain, group
     )
     if chosen is None:
         return []
     if request.sends and not budget.take_retry(
-        find_budget(state, request.service), now
+        get_or_create_budget(state, request.service), now
     ):
         return []
     return [_send(state, now, request, chosen, service)]
@@ -150,7 +152,7 @@
     """Tells whether a request is quarantined, so no upstream may get it."""
     known = state.quarantine
     return bool(known.quarantined) and quarantine.is_quarantined(
-        known, fingerprints.find_fingerprint(request)
+        known, fingerprints.get_fingerprint(request)
     )
 
 
@@ -172,16 +174,20 @@
     service = state.catalog.services.get(request.service)
     obstacles = {}
     if service is not None:
-        need = needs.describe_need(state, now, request)
-        obstacles = placing.count_obstacles(state.table, now, service, need)
-    accounts = state_module.find_accounts(state, request.service)
+        constraints = placement_constraints.compute_constraints(
+            state, now, request
+        )
+        obstacles = upstream_selection.count_obstacles(
+            state.table, now, service, constraints
+        )
+    accounts = state_module.get_or_create_accounts(state, request.service)
     group = upstreams.list_upstreams(state.table, request.service)
     floor = min((one.floor for one in group), default=math.inf)
     proven_at = state.table.proven_at
     return effects.Refusal(
         {obstacle.value: count for obstacle, count in obstacles.items()},
         _reckon_cost(request),
-        int(waiting.read_service(accounts, now, request.team)),
+        int(fair_queue.compute_received(accounts, now, request.team)),
         int(accounts.most),
         _describe_floor(floor),
         state.routers,
@@ -196,9 +202,9 @@
     request: state_module.Request,
     chosen: upstreams.Upstream,
     service: catalog.Service,
-) -> effects.SendTo:
+) -> effects.SendRequest:
     idle = service.engine is not None and (
-        fitting.describe_standing(chosen, service.engine, now).idle
+        eligibility.measure_engine_load(chosen, service.engine, now).idle
     )
     request.sends += 1
     request.tried.add(chosen.listed.name)
@@ -209,30 +215,37 @@
     state.running += 1
     if not chosen.own.running:
         # Its silence so far meant nothing.
-        chosen.heard_at = now
+        chosen.last_byte_at = now
     chosen.own.running += 1
-    upstreams.note_sent(chosen)
+    upstreams.record_sent(chosen)
     prompt, begins_in, fetch = request.new.prompt, None, None
     cost, received = _reckon_cost(request), 0.0
     if prompt is not None and service.engine is not None:
         fetch = fetching.choose_source(
             state.table, now, service, prompt, chosen
         )
-        attempt.unread = fitting.count_missing(chosen, prompt, home=False)
+        attempt.unread = eligibility.count_uncached_tokens(
+            chosen, prompt, home=False
+        )
         if fetch is not None:
-            attempt.unread -= fetching.count_saved(fetch, chosen, service)
+            attempt.unread -= fetching.count_saved_tokens(
+                fetch, chosen, service
+            )
         chosen.own.unread += attempt.unread
-        state.unread_sent += attempt.unread
+        state.total_unread_sent += attempt.unread
         attempt.queued = chosen.unread
-        begins_in = fitting.FIRST_STEP + attempt.queued / chosen.reading_rate
+        begins_in = (
+            eligibility.FIRST_TOKEN_OVERHEAD
+            + attempt.queued / chosen.prefill_rate
+        )
         attempt.memory = prompt.tokens + prompt.output
         chosen.own.memory += attempt.memory
         _note_placement(state, chosen, prompt, service.engine)
         attempt.cost, attempt.charged_at = cost, now
-        accounts = state_module.find_accounts(state, request.service)
-        received = waiting.read_service(accounts, now, request.team)
-        waiting.charge_team(accounts, now, request.team, cost)
-    return effects.SendTo(
+        accounts = state_module.get_or_create_accounts(state, request.service)
+        received = fair_queue.compute_received(accounts, now, request.team)
+        fair_queue.charge_team(accounts, now, request.team, cost)
+    return effects.SendRequest(
         request.number,
         attempt.number,
         chosen.listed.name,
@@ -283,15 +296,17 @@
     engine: catalog.Engine,
 ) -> None:
     """Takes note of what an engine will hold, for the other routers too."""
-    if engine.fetch_rate and prompt.shared >= fetching.LEAST_FETCH:
-        held = caches.count_held(chosen.cache, prompt)
-        news = max(0, prompt.shared - held)
-        placement = state_module.Placement(chosen.listed.name, prompt, news)
+    if engine.fetch_rate and prompt.shared >= fetching.MIN_FETCH_TOKENS:
+        held = caches.count_cached_tokens(chosen.cache, prompt)
+        new_tokens = max(0, prompt.shared - held)
+        placement = state_module.Placement(
+            chosen.listed.name, prompt, new_tokens
+        )
         state.placements.append(placement)
-    caches.note_parts(chosen.cache, prompt.digests, engine.memory_tokens)
+    caches.record_parts(chosen.cache, prompt.digests, engine.kv_capacity_tokens)
 
 
-def serve_waiting(
+def send_waiting_requests(
     state: state_module.DirectState, now: float
 ) -> list[effects.Effect]:
     """Sends waiting requests while there is room, least served team first.
@@ -305,12 +320,12 @@
     """
     sent: list[effects.Effect] = []
     checks = 0
-    for service, room in state.rooms.items():
+    for service, room in state.service_queues.items():
         tries, effects_of_room = _serve_room(state, now, service, room)
         sent += effects_of_room
         group = upstreams.list_upstreams(state.table, service)
         checks += tries * len(group)
-    state.look_pause = checks * CHECK_TIME / LOOK_SHARE
+    state.min_dispatch_interval = checks * CHECK_TIME / LOOK_SHARE
     return sent
 
 
@@ -318,33 +333,33 @@
     state: state_module.DirectState,
     now: float,
     service: str,
-    room: waiting.WaitingRoom,
+    room: fair_queue.ServiceQueue,
 ) -> tuple[int, list[effects.Effect]]:
     """Serves one room; returns the requests tried and what is to be done.
 
     Room at the engines only shrinks while requests are sent, so a team for
     which there is none is not tried again.
     """
-    accounts = state_module.find_accounts(state, service)
+    accounts = state_module.get_or_create_accounts(state, service)
     sent: list[effects.Effect] = []
     tries = 0
     teams = [
-        (waiting.read_service(accounts, now, team), team)
+        (fair_queue.compute_received(accounts, now, team), team)
         for team in room.by_team
     ]
     heapq.heapify(teams)
     group = _list_group(state, now, service)
     while teams:
         _, team = heapq.heappop(teams)
-        for number in waiting.list_candidates(room, team):
+        for number in fair_queue.list_candidates(room, team):
             tries += 1
             request = state.requests[number]
             done = try_send(state, now, request, group)
             if done:
                 group = _list_group(state, now, service)
-                waiting.remove_request(room, team, number)
+                fair_queue.remove_request(room, team, number)
                 sent += done
-                received = waiting.read_service(accounts, now, team)
+                received = fair_queue.compute_received(accounts, now, team)
                 heapq.heappush(teams, (received, team))
                 break
     return tries, sent
@@ -352,8 +367,12 @@
 
 def _list_group(
     state: state_module.DirectState, now: float, service: str
-) -> fitting.Group:
+) -> eligibility.EngineGroup:
     """Lists the engines of a service that have a free slot."""
     known = state.catalog.services.get(service)
-    standings = placing.list_standings(state.table, now, known) if known else []
-    return fitting.describe_group(standings)
+    engine_loads = (
+        upstream_selection.list_engine_loads(state.table, now, known)
+        if known
+        else []
+    )
+    return eligibility.summarize_group(engine_loads)
--- a/sycamorefall/direct/effects.py
+++ b/sycamorefall/direct/effects.py
@@ -1,16 +1,16 @@
 """What the decisions of direct sending have the shell do."""
 
 __all__ = [
-    "Abort",
-    "BreakOff",
+    "AbortAttempt",
+    "AbortResponse",
+    "AnswerError",
     "CheckUpstream",
     "Effect",
-    "Fail",
-    "PassOn",
+    "ForwardResponse",
     "Refusal",
     "ReportCrash",
     "ReportQuarantine",
-    "SendTo",
+    "SendRequest",
 ]
 
 import dataclasses
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class SendTo:
+class SendRequest:
     """Send a request to an upstream.
 
     Attributes:
@@ -69,7 +69,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Abort:
+class AbortAttempt:
     """Close the connection to the upstream that has a request."""
 
     request: int
@@ -81,7 +81,7 @@
 
     Attributes:
         obstacles: How many upstreams could not take it, by what was in the
-            way; see `fitting.Obstacle`.
+            way; see `eligibility.Obstacle`.
         cost: Cost units that its team would have been charged.
         received: Cost units that its team received lately, of all routers.
         most: The most that any team received.
@@ -104,7 +104,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Fail:
+class AnswerError:
     """Answer a request with an error.
 
     Attributes:
@@ -126,14 +126,14 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class BreakOff:
+class AbortResponse:
     """Break off an answer that has begun, so that it can't pass for whole."""
 
     request: int
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class PassOn:
+class ForwardResponse:
     """Give the caller the upstream's answer that was held."""
 
     request: int
@@ -179,11 +179,11 @@
 
 
 Effect = (
-    SendTo
-    | Abort
-    | Fail
-    | BreakOff
-    | PassOn
+    SendRequest
+    | AbortAttempt
+    | AnswerError
+    | AbortResponse
+    | ForwardResponse
     | CheckUpstream
     | ReportCrash
     | ReportQuarantine
--- a/sycamorefall/direct/fitting.py
+++ b/sycamorefall/direct/eligibility.py
@@ -1,19 +1,19 @@
 """Whether an engine can take a request now, and what is in the way if not."""
 
 __all__ = [
-    "Group",
-    "Need",
+    "EngineGroup",
+    "EngineLoad",
     "Obstacle",
-    "Standing",
-    "count_again",
-    "count_missing",
-    "describe_group",
-    "describe_standing",
-    "find_crowding",
+    "PlacementConstraints",
+    "count_reread_tokens",
+    "count_uncached_tokens",
+    "exceeds_reread_limit",
+    "find_load_obstacle",
     "find_obstacle",
-    "is_waited_for",
-    "list_possible",
-    "reads_again",
+    "is_awaited",
+    "measure_engine_load",
+    "prefilter_engines",
+    "summarize_group",
 ]
 
 from collections.abc import Collection
@@ -34,7 +34,7 @@
 """Part of a shared prompt that its home is taken to hold if this router did
 not send it there: others may have, or it may have been pushed out."""
 
-FIRST_STEP = 0.06
+FIRST_TOKEN_OVERHEAD = 0.06
 """Seconds to the first event besides reading: the way there and back, and the
 engine's first steps with a full batch."""
 
@@ -45,7 +45,7 @@
 0.67 of what long prompts due in 0.6 s are worth was earned without the bound
 and 0.74 with it. Of 0.25, 0.42 and 0.58 the middle one earned most."""
 
-IDLE_QUEUE = 0.02
+IDLE_QUEUE_SECONDS = 0.02
 """Seconds of reading up to which an engine has next to nothing to do."""
 
 IDLE_BATCH = 0.7
@@ -86,7 +86,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Need:
+class PlacementConstraints:
     """What a request needs of an upstream now.
 
     Not frozen, as that makes it a quarter slower to describe, and each look at
@@ -121,7 +121,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Standing:
+class EngineLoad:
     """What an engine has to do now, whatever the request.
 
     One look at waiting requests holds hundreds against each engine, between
@@ -152,34 +152,36 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Group:
+class EngineGroup:
     """Engines with a free slot, and what is true of all that have work.
 
     Attributes:
-        standings: The engines.
+        engine_loads: The engines.
         idle: Those that have next to nothing to do.
         most_floor: The highest floor of the others.
         least_queue: Their shortest queue, in seconds of reading.
     """
 
-    standings: list[Standing]
-    idle: list[Standing]
+    engine_loads: list[EngineLoad]
+    idle: list[EngineLoad]
     most_floor: float
     least_queue: float
 
 
-def describe_group(standings: list[Standing]) -> Group:
+def summarize_group(engine_loads: list[EngineLoad]) -> EngineGroup:
     """Describes engines with a free slot as a whole."""
-    working = [one for one in standings if not one.idle]
-    return Group(
-        standings,
-        [one for one in standings if one.idle],
+    working = [one for one in engine_loads if not one.idle]
+    return EngineGroup(
+        engine_loads,
+        [one for one in engine_loads if one.idle],
         max((one.floor for one in working), default=-math.inf),
         min((one.queue for one in working), default=math.inf),
     )
 
 
-def list_possible(group: Group, need: Need) -> list[Standing]:
+def prefilter_engines(
+    group: EngineGroup, constraints: PlacementConstraints
+) -> list[EngineLoad]:
     """Lists the engines of a group that are worth a look for a request.
 
     A full service has long queues everywhere, so hundreds of requests would be
@@ -188,23 +190,24 @@
 
     Args:
         group: The engines.
-        need: What the request needs; it has a prompt.
+        constraints: What the request needs; it has a prompt.
 
     Returns:
-        The idle ones alone if `find_crowding` finds something in the way at
+        The idle ones alone if `find_load_obstacle` finds something in the way
+        at
         all others.
     """
     hopeless = (
-        group.most_floor < need.yields_to
-        or group.least_queue > need.most_queue
-        or FIRST_STEP + group.least_queue > need.time_left
+        group.most_floor < constraints.yields_to
+        or group.least_queue > constraints.most_queue
+        or FIRST_TOKEN_OVERHEAD + group.least_queue > constraints.time_left
     )
-    return group.idle if hopeless else group.standings
+    return group.idle if hopeless else group.engine_loads
 
 
-def describe_standing(
+def measure_engine_load(
     upstream: Upstream, engine: catalog.Engine, now: float
-) -> Standing:
+) -> EngineLoad:
     """Describes what an engine has to do now.
 
     Args:
@@ -216,23 +219,23 @@
     own, others = upstream.own, upstream.others
     running = own.running + others.running
     unread = own.unread + others.unread
-    has_read = unread <= IDLE_QUEUE * upstream.reading_rate
+    has_read = unread <= IDLE_QUEUE_SECONDS * upstream.prefill_rate
     idle = has_read and running <= IDLE_BATCH * engine.slots
     upstream.idle_since = min(upstream.idle_since, now) if idle else math.inf
     left = now - upstream.idle_since < LEFT_FOR
-    return Standing(
+    return EngineLoad(
         upstream,
         running,
         unread,
         own.memory + others.memory,
         upstream.floor,
-        unread / upstream.reading_rate,
+        unread / upstream.prefill_rate,
         idle,
         idle and (not left or running <= SPARE_BATCH * engine.slots),
     )
 
 
-def count_missing(
+def count_uncached_tokens(
     upstream: Upstream, prompt: prompts.Prompt, home: bool
 ) -> int:
     """Counts the tokens that an engine will have to read.
@@ -249,35 +252,42 @@
 
 
 def _count_held(upstream: Upstream, prompt: prompts.Prompt, home: bool) -> int:
-    held = caches.count_held(upstream.cache, prompt)
+    held = caches.count_cached_tokens(upstream.cache, prompt)
     return max(held, int(HOME_TRUST * prompt.shared)) if home else held
 
 
-def count_again(upstream: Upstream, prompt: prompts.Prompt, home: bool) -> int:
+def count_reread_tokens(
+    upstream: Upstream, prompt: prompts.Prompt, home: bool
+) -> int:
     """Counts the tokens of shared parts that an engine would read again."""
     return max(0, prompt.shared - _count_held(upstream, prompt, home))
 
 
-def reads_again(upstream: Upstream, need: Need, home: bool) -> bool:
+def exceeds_reread_limit(
+    upstream: Upstream, constraints: PlacementConstraints, home: bool
+) -> bool:
     """Tells whether an engine would read too much of shared parts again.
 
     Args:
         upstream: The engine.
-        need: What the request needs; it has a prompt.
+        constraints: What the request needs; it has a prompt.
         home: Whether the engine is to hold the prompt's shared part.
 
     Returns:
         Whether the request is better kept from it, whatever it has to do.
     """
-    if home or need.anywhere:
+    if home or constraints.anywhere:
         return False
-    prompt = need.prompt
-    again = prompt.shared - caches.count_held(upstream.cache, prompt)
+    prompt = constraints.prompt
+    again = prompt.shared - caches.count_cached_tokens(upstream.cache, prompt)
     return max(0, again) > AGAIN_SHARE * prompt.own_work
 
 
 def find_obstacle(
-    standing: Standing, engine: catalog.Engine, need: Need, home: bool
+    engine_load: EngineLoad,
+    engine: catalog.Engine,
+    constraints: PlacementConstraints,
+    home: bool,
 ) -> Obstacle | None:
     """Finds what keeps a request from an engine that may be used.
 
@@ -286,28 +296,32 @@
     apart.
 
     Args:
-        standing: The engine.
+        engine_load: The engine.
         engine: What is known of such engines.
-        need: What the request needs; it has a prompt.
+        constraints: What the request needs; it has a prompt.
         home: Whether the engine is to hold the prompt's shared part.
 
     Returns:
         What is in the way; None if the request can go there.
     """
-    spared = standing.idle and need.anywhere_idle
-    if not spared and reads_again(standing.upstream, need, home):
+    spared = engine_load.idle and constraints.anywhere_idle
+    if not spared and exceeds_reread_limit(
+        engine_load.upstream, constraints, home
+    ):
         return Obstacle.READS_AGAIN
-    obstacle = find_crowding(standing, engine, need)
-    if obstacle is not None or standing.idle:
+    obstacle = find_load_obstacle(engine_load, engine, constraints)
+    if obstacle is not None or engine_load.idle:
         return obstacle
     begins_in = _estimate_begin(
-        standing.upstream, need.prompt, home, standing.unread
+        engine_load.upstream, constraints.prompt, home, engine_load.unread
     )
-    return Obstacle.LATE if begins_in > need.time_left else None
+    return Obstacle.LATE if begins_in > constraints.time_left else None
 
 
-def find_crowding(
-    standing: Standing, engine: catalog.Engine, need: Need
+def find_load_obstacle(
+    engine_load: EngineLoad,
+    engine: catalog.Engine,
+    constraints: PlacementConstraints,
 ) -> Obstacle | None:
     """Finds what keeps a request from an engine whatever that holds.
 
@@ -315,33 +329,45 @@
     prompt's parts are compared with what each holds.
 
     Args:
-        standing: An engine that may be used.
+        engine_load: An engine that may be used.
         engine: What is known of such engines.
-        need: What the request needs; it has a prompt.
+        constraints: What the request needs; it has a prompt.
 
     Returns:
         What is in the way; None if there is room for a request that has
         nothing to read.
     """
-    if standing.running >= engine.slots:
+    if engine_load.running >= engine.slots:
         return Obstacle.SLOTS
-    memory = standing.memory + need.prompt.tokens + need.prompt.output
-    if standing.running and memory > MEMORY_SHARE * engine.memory_tokens:
+    memory = (
+        engine_load.memory
+        + constraints.prompt.tokens
+        + constraints.prompt.output
+    )
+    if (
+        engine_load.running
+        and memory > MEMORY_SHARE * engine.kv_capacity_tokens
+    ):
         return Obstacle.MEMORY
-    if standing.idle:
-        left = not standing.free and (
-            standing.upstream.short_floor < need.leaves_idle_to
+    if engine_load.idle:
+        left = not engine_load.free and (
+            engine_load.upstream.short_floor < constraints.leaves_idle_to
         )
         return Obstacle.YIELDS if left else None
-    if standing.floor < need.yields_to:
+    if engine_load.floor < constraints.yields_to:
         return Obstacle.YIELDS
-    if FIRST_STEP + standing.queue > need.time_left:
+    if FIRST_TOKEN_OVERHEAD + engine_load.queue > constraints.time_left:
         return Obstacle.LATE
-    return Obstacle.QUEUE if standing.queue > need.most_queue else None
+    return (
+        Obstacle.QUEUE if engine_load.queue > constraints.most_queue else None
+    )
 
 
-def is_waited_for(
-    standing: Standing, engine: catalog.Engine, need: Need, home: bool
+def is_awaited(
+    engine_load: EngineLoad,
+    engine: catalog.Engine,
+    constraints: PlacementConstraints,
+    home: bool,
 ) -> bool:
     """Tells whether room at an engine would let a request go there.
 
@@ -350,24 +376,26 @@
     the other routers leave an engine half empty.
 
     Args:
-        standing: An engine that may be used.
+        engine_load: An engine that may be used.
         engine: What is known of such engines.
-        need: What the request needs; it has a prompt.
+        constraints: What the request needs; it has a prompt.
         home: Whether the engine is to hold the prompt's shared part.
 
     Returns:
         Whether it waits for this engine.
     """
-    obstacle = find_obstacle(standing, engine, need, home)
+    obstacle = find_obstacle(engine_load, engine, constraints, home)
     if obstacle is None or obstacle is Obstacle.READS_AGAIN:
         return False
-    begins_in = _estimate_begin(standing.upstream, need.prompt, home, 0)
-    return begins_in <= need.time_left
+    begins_in = _estimate_begin(
+        engine_load.upstream, constraints.prompt, home, 0
+    )
+    return begins_in <= constraints.time_left
 
 
 def _estimate_begin(
     upstream: Upstream, prompt: prompts.Prompt, home: bool, ahead: int
 ) -> float:
     """Estimates in how many seconds an answer begins behind other prompts."""
-    unread = ahead + count_missing(upstream, prompt, home)
-    return FIRST_STEP + unread / upstream.reading_rate
+    unread = ahead + count_uncached_tokens(upstream, prompt, home)
+    return FIRST_TOKEN_OVERHEAD + unread / upstream.prefill_rate
--- a/sycamorefall/direct/exchange.py
+++ b/sycamorefall/direct/exchange.py
@@ -14,23 +14,23 @@
 
 __all__ = [
     "Exchange",
-    "Report",
+    "OutboundMessage",
+    "apply_totals_to_listing",
+    "build_due_messages",
+    "build_load_message",
+    "classify_domain",
     "find_address",
     "find_next_due",
-    "find_place",
+    "handle_load",
     "is_available",
     "is_delegate",
     "list_addresses",
-    "list_far_delegates",
-    "list_neighbours",
-    "note_address",
-    "note_hearsay",
-    "note_listing",
-    "note_unnamed",
+    "list_local_receivers",
+    "list_remote_delegates",
     "rank_routers",
-    "take_load",
-    "write_due",
-    "write_load",
+    "record_address",
+    "record_known_routers",
+    "record_unreadable_sender",
 ]
 
 from collections.abc import Iterable, Set
@@ -42,11 +42,11 @@
 from sycamorefall import messages
 from sycamorefall.direct import (
     caches,
-    claims,
-    outlets,
     overload,
+    receiver_groups,
+    service_floors,
 )
-from sycamorefall.direct import loads as loads_module
+from sycamorefall.direct import own_load as own_load_module
 from sycamorefall.direct import peers as peers_module
 from sycamorefall.direct import state as state_module
 from sycamorefall.direct import totals as totals_module
@@ -77,7 +77,7 @@
 told at once: all together then reach a router 250 times a second at most.
 Taking one over takes 0.012 ms with three upstreams, so 0.3% of its time."""
 
-PROMPTS_TOLD = 110.0
+MAX_PROMPTS_PER_SECOND = 110.0
 """Messages in a second that tell of one prompt each, to all the others and
 from all of them: at 16 to 25 bytes each 2 to 3 KB/s in and out, of the 7 KB/s
 that control may take. Of five routers each may tell 27 a second. On a full day
@@ -93,7 +93,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Report:
+class OutboundMessage:
     """A message, and who is to get it."""
 
     receivers: tuple[str, ...]
@@ -156,10 +156,14 @@
     )
     role: Role = dataclasses.field(default_factory=Role)
     sequence: int = 0
-    own: outlets.Outlet = dataclasses.field(default_factory=outlets.Outlet)
-    domain: outlets.Outlet = dataclasses.field(default_factory=outlets.Outlet)
-    elsewhere: outlets.Outlet = dataclasses.field(
-        default_factory=outlets.Outlet
+    own: receiver_groups.ReceiverGroup = dataclasses.field(
+        default_factory=receiver_groups.ReceiverGroup
+    )
+    domain: receiver_groups.ReceiverGroup = dataclasses.field(
+        default_factory=receiver_groups.ReceiverGroup
+    )
+    elsewhere: receiver_groups.ReceiverGroup = dataclasses.field(
+        default_factory=receiver_groups.ReceiverGroup
     )
     unread_near: int = 0
     unread_far: int = 0
@@ -178,7 +182,7 @@
 
 def _find_own_due(exchange: Exchange, state: state_module.DirectState) -> float:
     pace = CHANGE_PACE * (1 + len(exchange.totals.sources))
-    return outlets.find_due(exchange.own, state.unread_sent, pace)
+    return receiver_groups.find_due(exchange.own, state.total_unread_sent, pace)
 
 
 def _find_domain_due(
@@ -186,16 +190,18 @@
 ) -> float:
     if not exchange.role.far:
         return float("inf")
-    unread = state.unread_sent + exchange.unread_near
+    unread = state.total_unread_sent + exchange.unread_near
     pace = CHANGE_PACE * len(exchange.role.far)
-    return outlets.find_due(exchange.domain, unread, pace)
+    return receiver_groups.find_due(exchange.domain, unread, pace)
 
 
 def _find_elsewhere_due(exchange: Exchange) -> float:
     if not exchange.role.near:
         return float("inf")
     pace = CHANGE_PACE * len(exchange.role.near)
-    return outlets.find_due(exchange.elsewhere, exchange.unread_far, pace)
+    return receiver_groups.find_due(
+        exchange.elsewhere, exchange.unread_far, pace
+    )
 
 
 def list_addresses(exchange: Exchange) -> set[str]:
@@ -225,7 +231,7 @@
     return name if name in exchange.seeds else None
 
 
-def find_place(
+def classify_domain(
     exchange: Exchange, state: state_module.DirectState, name: str
 ) -> str:
     """Tells where a router stands, seen from this one.
@@ -240,21 +246,21 @@
     return "own" if is_own else "other"
 
 
-def note_address(
+def record_address(
     exchange: Exchange, now: float, sender: str, control: str
 ) -> None:
     """Takes note of where a router is that asks something."""
     exchange.peers.setdefault(sender, peers_module.Peer(control, now))
 
 
-def note_hearsay(
+def record_known_routers(
     exchange: Exchange, now: float, routers: Iterable[messages.RouterAddress]
 ) -> None:
     """Takes note of routers that another one named."""
-    peers_module.note_hearsay(exchange.peers, now, exchange.vm, routers)
+    peers_module.record_known_routers(exchange.peers, now, exchange.vm, routers)
 
 
-def note_listing(
+def apply_totals_to_listing(
     exchange: Exchange, state: state_module.DirectState, names: Set[str]
 ) -> None:
     """Takes note of what the others have at upstreams that are new here.
@@ -265,7 +271,7 @@
     totals_module.note_totals(exchange.totals, state, names, teams=False)
 
 
-def note_unnamed(
+def record_unreadable_sender(
     exchange: Exchange, now: float, envelope: messages.Envelope
 ) -> None:
     """Takes note of where a router is whose message could not be read.
@@ -283,7 +289,7 @@
     """
     load = envelope.message
     if isinstance(load, messages.RouterLoad) and load.whole:
-        note_address(exchange, now, envelope.sender, load.control)
+        record_address(exchange, now, envelope.sender, load.control)
 
 
 def is_available(state: state_module.DirectState, now: float) -> bool:
@@ -320,12 +326,12 @@
     return peers_module.rank_domain(exchange.peers, now, domain, own)
 
 
-def take_load(
+def handle_load(
     exchange: Exchange,
     state: state_module.DirectState,
     now: float,
     envelope: messages.Envelope,
-) -> Report | None:
+) -> OutboundMessage | None:
     """Takes over what another router tells.
 
     Args:
@@ -345,7 +351,7 @@
     peer = peers_module.note_heard(exchange.peers, now, envelope)
     if peer is None:
         return None
-    note_hearsay(exchange, now, load.routers)
+    record_known_routers(exchange, now, load.routers)
     match load.scope:
         case LoadScope.ROUTER:
             key = (LoadScope.ROUTER, envelope.sender, 0)
@@ -378,7 +384,7 @@
     state: state_module.DirectState,
     now: float,
     sender: str,
-) -> Report | None:
+) -> OutboundMessage | None:
     """Tells a router whom to speak to, once in a while."""
     peer = exchange.peers[sender]
     if now - peer.told_at < REFERRAL_PAUSE:
@@ -395,7 +401,7 @@
         else one
         for one in (own, *known)
     )
-    return Report((sender,), messages.KnownRouters(named))
+    return OutboundMessage((sender,), messages.KnownRouters(named))
 
 
 def _take_report(
@@ -422,10 +428,10 @@
     if load.scope is LoadScope.ROUTER:
         if envelope.sender in exchange.role.covers:
             exchange.unread_near += grown
-            outlets.queue_prompts(exchange.domain, load.prompts)
+            receiver_groups.queue_prompts(exchange.domain, load.prompts)
     elif load.scope is LoadScope.DOMAIN:
         exchange.unread_far += grown
-        outlets.queue_prompts(exchange.elsewhere, load.prompts)
+        receiver_groups.queue_prompts(exchange.elsewhere, load.prompts)
 
 
 def _count_unread(totals: totals_module.Totals, key: totals_module.Key) -> int:
@@ -469,13 +475,13 @@
             continue
         service = state.catalog.services.get(upstream.listed.service)
         if service is not None and service.engine is not None:
-            limit = service.engine.memory_tokens
-            caches.note_parts(upstream.cache, prompt.parts, limit, prompt.own)
+            limit = service.engine.kv_capacity_tokens
+            caches.record_parts(upstream.cache, prompt.parts, limit, prompt.own)
 
 
-def write_due(
+def build_due_messages(
     exchange: Exchange, state: state_module.DirectState, now: float
-) -> list[Report]:
+) -> list[OutboundMessage]:
     """Writes the messages that are due.
 
     Args:
@@ -488,18 +494,20 @@
     """
     reports = []
     if now >= _find_own_due(exchange, state):
-        message = write_load(exchange, state, now)
-        reports.append(Report(list_neighbours(exchange, state), message))
+        message = build_load_message(exchange, state, now)
+        reports.append(
+            OutboundMessage(list_local_receivers(exchange, state), message)
+        )
     if now >= _find_domain_due(exchange, state):
         message = _write_domain(exchange, state, now)
-        reports.append(Report(exchange.role.far, message))
+        reports.append(OutboundMessage(exchange.role.far, message))
     if now >= _find_elsewhere_due(exchange):
         message = _write_elsewhere(exchange, state, now)
-        reports.append(Report(exchange.role.near, message))
+        reports.append(OutboundMessage(exchange.role.near, message))
     return reports
 
 
-def list_neighbours(
+def list_local_receivers(
     exchange: Exchange, state: state_module.DirectState
 ) -> tuple[str, ...]:
     """Lists who is told of this router: its failure domain, and strangers."""
@@ -512,7 +520,7 @@
     return (*known, *_list_strangers(exchange))
 
 
-def write_load(
+def build_load_message(
     exchange: Exchange, state: state_module.DirectState, now: float
 ) -> messages.RouterLoad:
     """Writes the next message about this router.
@@ -527,19 +535,21 @@
     """
     outlet = exchange.own
     whole = now >= outlet.due
-    outlets.queue_prompts(outlet, _choose_prompts(exchange, state, now))
-    prompts = outlets.begin_message(outlet, now, state.unread_sent)
-    outlets.queue_prompts(exchange.domain, prompts)
+    receiver_groups.queue_prompts(outlet, _choose_prompts(exchange, state, now))
+    prompts = receiver_groups.begin_message(
+        outlet, now, state.total_unread_sent
+    )
+    receiver_groups.queue_prompts(exchange.domain, prompts)
     if not whole:
-        loads = loads_module.describe_loads(state, outlet.told)
+        loads = own_load_module.describe_loads(state, outlet.told)
         return _write_change(exchange, outlet, loads, prompts)
     outlet.whole_sent += 1
     outlet.due = now + _choose_pause(exchange, state)
     _refresh(exchange, state, now)
-    floors = claims.find_floors(state, now)
-    short = claims.find_floors(state, now, short=True)
+    floors = service_floors.compute_floors(state, now)
+    short = service_floors.compute_floors(state, now, short=True)
     outlet.told = {
-        name: loads_module.describe_load(
+        name: own_load_module.describe_load(
             state, name, floors.get(name, -1), short.get(name, -1)
         )
         for name, one in state.table.by_name.items()
@@ -551,13 +561,16 @@
         now,
         routers=_name_routers(exchange, outlet, now, state.failure_domain),
         upstreams=tuple(outlet.told.values()),
-        services=loads_module.list_own_services(state, now),
+        services=own_load_module.list_own_services(state, now),
         prompts=prompts,
     )
 
 
 def _name_routers(
-    exchange: Exchange, outlet: outlets.Outlet, now: float, domain: str
+    exchange: Exchange,
+    outlet: receiver_groups.ReceiverGroup,
+    now: float,
+    domain: str,
 ) -> tuple[messages.RouterAddress, ...]:
     """Lists the routers that a whole message names.
 
@@ -588,7 +601,7 @@
 
 def _write_change(
     exchange: Exchange,
-    outlet: outlets.Outlet,
+    outlet: receiver_groups.ReceiverGroup,
     loads: dict[str, messages.UpstreamLoad],
     prompts: tuple[messages.SentPrompt, ...],
     **fields: object,
@@ -598,7 +611,7 @@
     return messages.RouterLoad(
         exchange.sequence,
         "",
-        upstreams=outlets.diff_loads(outlet, loads),
+        upstreams=receiver_groups.diff_loads(outlet, loads),
         whole=False,
         prompts=prompts,
         **fields,
@@ -612,9 +625,9 @@
     role, outlet = exchange.role, exchange.domain
     sources = _list_covered(exchange)
     whole = now >= outlet.due
-    unread = state.unread_sent + exchange.unread_near
-    prompts = outlets.begin_message(outlet, now, unread)
-    own = loads_module.describe_loads(state, exchange.own.told)
+    unread = state.total_unread_sent + exchange.unread_near
+    prompts = receiver_groups.begin_message(outlet, now, unread)
+    own = own_load_module.describe_loads(state, exchange.own.told)
     loads = totals_module.sum_loads(
         [own.values(), *(source.loads.values() for source in sources)]
     )
@@ -632,7 +645,7 @@
     outlet.due = now + min(pause if loads else IDLE_INTERVAL, IDLE_INTERVAL)
     services = totals_module.sum_services(
         [
-            loads_module.list_own_services(state, now),
+            own_load_module.list_own_services(state, now),
             *(totals_module.list_services(source) for source in sources),
         ]
     )
@@ -662,7 +675,7 @@
     keys = totals_module.list_keys(exchange.totals, LoadScope.DOMAIN)
     sources = [exchange.totals.sources[key] for key in keys]
     whole = now >= outlet.due
-    prompts = outlets.begin_message(outlet, now, exchange.unread_far)
+    prompts = receiver_groups.begin_message(outlet, now, exchange.unread_far)
     loads = totals_module.sum_loads(source.loads.values() for source in sources)
     told = {
         "scope": LoadScope.ELSEWHERE,
@@ -707,7 +720,7 @@
     if now - exchange.started_at < SETTLE_TIME:
         return Role()
     delegates = _rank_delegates(exchange, state, now)
-    far = list_far_delegates(exchange, state, now)
+    far = list_remote_delegates(exchange, state, now)
     if exchange.vm not in delegates or not far:
         return Role()
     part, parts = delegates.index(exchange.vm), len(delegates)
@@ -731,7 +744,7 @@
     return not delegates or exchange.vm in delegates
 
 
-def list_far_delegates(
+def list_remote_delegates(
     exchange: Exchange, state: state_module.DirectState, now: float
 ) -> tuple[str, ...]:
     """Lists the delegates of the other failure domains."""
@@ -772,12 +785,12 @@
     What an engine wasn't known to hold goes first: of the rest the others
     only learn that it was used again.
     """
-    rate = PROMPTS_TOLD / max(1, state.routers - 1)
+    rate = MAX_PROMPTS_PER_SECOND / max(1, state.routers - 1)
     earned = rate * (now - exchange.prompts_at)
     allowed = min(exchange.prompts_left + earned, max(1.0, rate))
     exchange.prompts_at = now
     placements, state.placements = state.placements, []
-    placements.sort(key=lambda one: one.news, reverse=True)
+    placements.sort(key=lambda one: one.new_tokens, reverse=True)
     told = placements[: int(allowed)]
     exchange.prompts_left = allowed - len(told)
     return [
--- a/sycamorefall/direct/waiting.py
+++ b/sycamorefall/direct/fair_queue.py
@@ -1,22 +1,22 @@
 """Requests that wait at a router, by team, and which team is next."""
 
 __all__ = [
+    "ServiceQueue",
     "TeamAccounts",
-    "WaitingRoom",
     "add_request",
     "charge_team",
+    "collect_own_received",
+    "compute_received",
+    "compute_relative_share",
     "count_waiting",
-    "find_most",
-    "find_share",
-    "forget_refusals",
-    "is_short",
+    "drop_expired_refusals",
+    "find_max_received",
     "list_candidates",
-    "list_own",
-    "note_refusal",
     "order_teams",
-    "read_service",
+    "record_refusal",
     "refund_team",
     "remove_request",
+    "was_refused_recently",
 ]
 
 from collections.abc import Iterator
@@ -27,16 +27,16 @@
 """Seconds after which a team's past service counts half: about as long as a
 burst lasts, so that a team pays for a burst and not for its whole day."""
 
-BEHIND = 0.5
+UNDERSERVED_SHARE = 0.5
 """Part of what the best served team received below which a team is behind:
 operators take less than half of it, over seconds, for unfair."""
 
-FALLING_BEHIND = 0.6
+IDLE_UNDERSERVED_SHARE = 0.6
 """The same part from which on it is let to idle engines: a team that is kept
 from engines settles where it is let to them, so that has to lie above the
 limit."""
 
-SHORT_FOR = 1.0
+REFUSAL_RETENTION = 1.0
 """Seconds for which a team counts as short of service after a refusal."""
 
 NEWEST_TRIES = 2
@@ -65,7 +65,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class WaitingRoom:
+class ServiceQueue:
     """Numbers of the requests that wait for one service.
 
     Attributes:
@@ -100,7 +100,7 @@
         >>> accounts = TeamAccounts()
         >>> charge_team(accounts, 0.0, "mill", 60.0)
         >>> refund_team(accounts, 2.0, "mill", 60.0, since=0.0)
-        >>> read_service(accounts, 2.0, "mill")
+        >>> compute_received(accounts, 2.0, "mill")
         0.0
     """
     left = _read_own(accounts, now, team) - _decay(cost, now - since)
@@ -116,12 +116,14 @@
     return amount * 0.5 ** (max(0.0, seconds) / ACCOUNT_MEMORY)
 
 
-def read_service(accounts: TeamAccounts, now: float, team: str) -> float:
+def compute_received(accounts: TeamAccounts, now: float, team: str) -> float:
     """Reads what a team received lately from all routers."""
     return _read_own(accounts, now, team) + accounts.others.get(team, 0.0)
 
 
-def list_own(accounts: TeamAccounts, now: float) -> dict[str, float]:
+def collect_own_received(
+    accounts: TeamAccounts, now: float
+) -> dict[str, float]:
     """Lists what this router gave each team lately; forgets the idle ones."""
     amounts = {team: _read_own(accounts, now, team) for team in accounts.own}
     for team in [team for team, amount in amounts.items() if amount < 1.0]:
@@ -129,12 +131,12 @@
     return amounts
 
 
-def find_most(accounts: TeamAccounts, own: dict[str, float]) -> float:
+def find_max_received(accounts: TeamAccounts, own: dict[str, float]) -> float:
     """Finds the most that any team received lately of all routers.
 
     Args:
         accounts: What teams received.
-        own: What this router gave each, as `list_own` lists it.
+        own: What this router gave each, as `collect_own_received` lists it.
 
     Returns:
         Cost units; 0 if no team received anything.
@@ -148,61 +150,61 @@
     )
 
 
-def find_share(accounts: TeamAccounts, received: float) -> float:
+def compute_relative_share(accounts: TeamAccounts, received: float) -> float:
     """Finds which part of what the best served team received a team did.
 
     Args:
         accounts: What teams received.
-        received: What the team received, as `read_service` reads it.
+        received: What the team received, as `compute_received` reads it.
 
     Returns:
         0 to 1; 1 if no team received anything.
 
     Example:
-        >>> find_share(TeamAccounts(most=100.0), 60.0)
+        >>> compute_relative_share(TeamAccounts(most=100.0), 60.0)
         0.6
     """
     return min(1.0, received / accounts.most) if accounts.most else 1.0
 
 
-def note_refusal(accounts: TeamAccounts, now: float, team: str) -> None:
+def record_refusal(accounts: TeamAccounts, now: float, team: str) -> None:
     """Takes note that a team's request is refused for want of room."""
     accounts.refused_at[team] = now
 
 
-def forget_refusals(accounts: TeamAccounts, now: float) -> None:
+def drop_expired_refusals(accounts: TeamAccounts, now: float) -> None:
     """Forgets refusals after which no team counts as short any more."""
     teams = list(accounts.refused_at)
     for team in itertools.filterfalse(
-        lambda team: is_short(accounts, now, team), teams
+        lambda team: was_refused_recently(accounts, now, team), teams
     ):
         del accounts.refused_at[team]
 
 
-def is_short(accounts: TeamAccounts, now: float, team: str) -> bool:
+def was_refused_recently(accounts: TeamAccounts, now: float, team: str) -> bool:
     """Tells whether a team had a request refused here lately.
 
     Example:
         >>> accounts = TeamAccounts()
-        >>> note_refusal(accounts, 1.0, "mill")
-        >>> is_short(accounts, 1.5, "mill"), is_short(accounts, 3.5, "mill")
-        (True, False)
-        >>> is_short(accounts, 1.5, "oil")
+        >>> record_refusal(accounts, 1.0, "mill")
+        >>> [was_refused_recently(accounts, at, "mill") for at in (1.5, 3.5)]
+        [True, False]
+        >>> was_refused_recently(accounts, 1.5, "oil")
         False
     """
     refused_at = accounts.refused_at.get(team, float("-inf"))
-    return now - refused_at < SHORT_FOR
+    return now - refused_at < REFUSAL_RETENTION
 
 
 def add_request(
-    room: WaitingRoom, team: str, number: int, target: float = 0.0
+    room: ServiceQueue, team: str, number: int, target: float = 0.0
 ) -> None:
     """Adds a request behind its team's others of the same target latency."""
     queues = room.by_team.setdefault(team, {})
     queues.setdefault(target, {})[number] = None
 
 
-def remove_request(room: WaitingRoom, team: str, number: int) -> None:
+def remove_request(room: ServiceQueue, team: str, number: int) -> None:
     """Removes a request; one that does not wait is none."""
     queues = room.by_team.get(team, {})
     found = [target for target, queue in queues.items() if number in queue]
@@ -215,12 +217,12 @@
 
 
 def order_teams(
-    room: WaitingRoom, accounts: TeamAccounts, now: float
+    room: ServiceQueue, accounts: TeamAccounts, now: float
 ) -> list[str]:
     """Orders the teams that wait, the least served first.
 
     Example:
-        >>> room, accounts = WaitingRoom(), TeamAccounts()
+        >>> room, accounts = ServiceQueue(), TeamAccounts()
         >>> for number, team in enumerate(["mill", "trader"]):
         ...     add_request(room, team, number)
         >>> charge_team(accounts, 0.0, "mill", 100.0)
@@ -228,16 +230,16 @@
         ['trader', 'mill']
     """
     return sorted(
-        room.by_team, key=lambda team: read_service(accounts, now, team)
+        room.by_team, key=lambda team: compute_received(accounts, now, team)
     )
 
 
-def count_waiting(room: WaitingRoom, team: str) -> int:
+def count_waiting(room: ServiceQueue, team: str) -> int:
     """Counts the requests of a team that wait."""
     return sum(len(queue) for queue in room.by_team.get(team, {}).values())
 
 
-def list_candidates(room: WaitingRoom, team: str) -> Iterator[int]:
+def list_candidates(room: ServiceQueue, team: str) -> Iterator[int]:
     """Lists the requests of a team that one pass looks at.
 
     Guards against a flood that stands in its own way: the oldest requests are
@@ -249,7 +251,7 @@
     target latency stand in a queue of their own, the most urgent first.
 
     Example:
-        >>> room = WaitingRoom()
+        >>> room = ServiceQueue()
         >>> for number in range(9):
         ...     add_request(room, "mill", number, 1.2)
         >>> add_request(room, "mill", 9, 0.6)
--- a/sycamorefall/direct/fetching.py
+++ b/sycamorefall/direct/fetching.py
@@ -5,7 +5,11 @@
 were met.
 """
 
-__all__ = ["Fetch", "choose_source", "count_saved"]
+__all__ = [
+    "Fetch",
+    "choose_source",
+    "count_saved_tokens",
+]
 
 import dataclasses
 
@@ -14,7 +18,7 @@
 from sycamorefall.direct import upstreams as upstreams_module
 from sycamorefall.direct.upstreams import Upstream
 
-LEAST_FETCH = 500
+MIN_FETCH_TOKENS = 500
 """Tokens below which a part is read rather than fetched: 5 ms of reading. Not
 tuned; a transfer that saves less isn't worth a place in the links' queues."""
 
@@ -57,8 +61,8 @@
     """
     if not service.engine.fetch_rate:
         return None
-    held = caches.count_held(target.cache, prompt)
-    if prompt.shared - held < LEAST_FETCH:
+    held = caches.count_cached_tokens(target.cache, prompt)
+    if prompt.shared - held < MIN_FETCH_TOKENS:
         return None
     others = [
         one
@@ -67,12 +71,14 @@
     ]
     if not others:
         return None
-    source = max(others, key=lambda one: caches.count_held(one.cache, prompt))
-    gain = caches.count_held(source.cache, prompt) - held
+    source = max(
+        others, key=lambda one: caches.count_cached_tokens(one.cache, prompt)
+    )
+    gain = caches.count_cached_tokens(source.cache, prompt) - held
     return Fetch(source, gain) if gain > 0 else Fetch(others[0], 0)
 
 
-def count_saved(
+def count_saved_tokens(
     fetch: Fetch, target: Upstream, service: catalog_module.Service
 ) -> int:
     """Counts the tokens that a fetch spares an engine's time.
@@ -85,5 +91,5 @@
     Returns:
         Prompt tokens that it could read in the time that fetching is faster.
     """
-    as_read = target.reading_rate / service.engine.fetch_rate
+    as_read = target.prefill_rate / service.engine.fetch_rate
     return max(0, int(fetch.tokens * (1 - as_read)))
--- a/sycamorefall/direct/fingerprints.py
+++ b/sycamorefall/direct/fingerprints.py
@@ -1,6 +1,10 @@
 """Request fingerprints, which identify repeated requests."""
 
-__all__ = ["FINGERPRINT_SIZE", "compute_fingerprint", "find_fingerprint"]
+__all__ = [
+    "FINGERPRINT_SIZE",
+    "compute_fingerprint",
+    "get_fingerprint",
+]
 
 import hashlib
 
@@ -44,7 +48,7 @@
     return digest.digest()
 
 
-def find_fingerprint(request: state_module.Request) -> bytes:
+def get_fingerprint(request: state_module.Request) -> bytes:
     """Returns the fingerprint of a request, computed on first use."""
     if not request.fingerprint:
         request.fingerprint = compute_fingerprint(request.new, request.team)
--- a/sycamorefall/direct/freshness.py
+++ b/sycamorefall/direct/freshness.py
@@ -7,11 +7,15 @@
 VMs are compared.
 """
 
-__all__ = ["Freshness", "is_fresh", "note_proof"]
+__all__ = [
+    "Freshness",
+    "is_fresh",
+    "record_proof",
+]
 
 import dataclasses
 
-RUN_ALLOWANCE = 1.2
+DISPATCH_ALLOWANCE = 1.2
 """Seconds that a request may take from its check until its upstream begins
 it: its way there and a short queue; a longer one isn't entered, see
 `placing`."""
@@ -22,16 +26,17 @@
     """Proof that the configuration in force is the newest.
 
     Attributes:
-        bound: Seconds after which a key that was taken away must not work.
+        revocation_bound: Seconds after which a key that was taken away must not
+            work.
         proven_at: When the last read that proved it was sent. Its answer
             says nothing of changes made after it was taken on the way.
     """
 
-    bound: float
+    revocation_bound: float
     proven_at: float = float("-inf")
 
 
-def note_proof(freshness: Freshness, sent_at: float) -> None:
+def record_proof(freshness: Freshness, sent_at: float) -> None:
     """Takes note of a read that showed the newest configuration."""
     freshness.proven_at = max(freshness.proven_at, sent_at)
 
@@ -40,9 +45,12 @@
     """Tells whether keys may still be believed.
 
     Example:
-        >>> freshness = Freshness(bound=5.0)
-        >>> note_proof(freshness, 10.0)
+        >>> freshness = Freshness(revocation_bound=5.0)
+        >>> record_proof(freshness, 10.0)
         >>> is_fresh(freshness, 13.0), is_fresh(freshness, 14.0)
         (True, False)
     """
-    return now - freshness.proven_at < freshness.bound - RUN_ALLOWANCE
+    return (
+        now - freshness.proven_at
+        < freshness.revocation_bound - DISPATCH_ALLOWANCE
+    )
--- a/sycamorefall/direct/homes.py
+++ b/sycamorefall/direct/homes.py
@@ -10,7 +10,7 @@
 import itertools
 
 from sycamorefall.direct import catalog as catalog_module
-from sycamorefall.direct import fitting, prompts
+from sycamorefall.direct import eligibility, prompts
 from sycamorefall.direct import upstreams as upstreams_module
 from sycamorefall.direct.upstreams import Upstream
 
@@ -23,7 +23,7 @@
     table: upstreams_module.UpstreamTable,
     now: float,
     service: catalog_module.Service,
-    need: fitting.Need,
+    constraints: eligibility.PlacementConstraints,
 ) -> list[Upstream]:
     """Lists the engines that are to hold a part, the first choice first.
 
@@ -34,17 +34,17 @@
         table: All upstreams.
         now: This process's time.
         service: The request's service.
-        need: What the request needs; it has a prompt.
+        constraints: What the request needs; it has a prompt.
 
     Returns:
         The engines; none if it shares no part with others.
     """
-    ranked = rank_engines(table, service, need.prompt.home_key)
-    count = 1 + int(need.uses / USES_PER_HOME)
+    ranked = rank_engines(table, service, constraints.prompt.home_key)
+    count = 1 + int(constraints.uses / USES_PER_HOME)
     usable = (
         one
         for one in ranked
-        if one.listed.name not in need.tried
+        if one.listed.name not in constraints.tried
         and upstreams_module.is_usable(one, now)
     )
     return list(itertools.islice(usable, count))
@@ -69,7 +69,7 @@
         return []
     ranked = table.rankings.get((service.name, key))
     if ranked is None:
-        if len(table.rankings) >= prompts.MOST_PARTS:
+        if len(table.rankings) >= prompts.MAX_PARTS:
             table.rankings.clear()
         group = upstreams_module.list_upstreams(table, service.name)
         ranked = sorted(group, key=lambda one: _draw(key, one), reverse=True)
--- a/sycamorefall/direct/urgency.py
+++ b/sycamorefall/direct/latency_targets.py
@@ -1,6 +1,10 @@
 """The shortest target latency among the requests that a service gets."""
 
-__all__ = ["Urgency", "find_shortest", "note_target"]
+__all__ = [
+    "RecentTargets",
+    "find_shortest_target",
+    "record_target",
+]
 
 import dataclasses
 import math
@@ -11,7 +15,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Urgency:
+class RecentTargets:
     """When requests of each target latency last came.
 
     Attributes:
@@ -21,7 +25,7 @@
     asked_at: dict[float, float] = dataclasses.field(default_factory=dict)
 
 
-def note_target(urgency: Urgency, now: float, target: float) -> None:
+def record_target(urgency: RecentTargets, now: float, target: float) -> None:
     """Takes note of a request.
 
     Args:
@@ -32,7 +36,7 @@
     urgency.asked_at[target] = now
 
 
-def find_shortest(urgency: Urgency, now: float) -> float:
+def find_shortest_target(urgency: RecentTargets, now: float) -> float:
     """Finds the shortest target latency that was asked for lately.
 
     Args:
@@ -43,11 +47,11 @@
         Seconds; infinity if nothing was asked for.
 
     Example:
-        >>> urgency = Urgency()
-        >>> note_target(urgency, 0.0, 0.3)
-        >>> note_target(urgency, 9.0, 1.2)
-        >>> find_shortest(urgency, 9.0), find_shortest(urgency, 11.0)
-        (0.3, 1.2)
+        >>> urgency = RecentTargets()
+        >>> record_target(urgency, 0.0, 0.3)
+        >>> record_target(urgency, 9.0, 1.2)
+        >>> [find_shortest_target(urgency, now) for now in (9.0, 11.0)]
+        [0.3, 1.2]
     """
     lately = [
         target
--- a/sycamorefall/direct/metrics.py
+++ b/sycamorefall/direct/metrics.py
@@ -28,7 +28,7 @@
     """
     state, control = daemon.state, daemon.control
     gauge, count = metrics.gauge_metric, metrics.count_metric
-    yield from metrics.describe_recorder(daemon.desk.recorder)
+    yield from metrics.describe_recorder(daemon.proxy.recorder)
     yield gauge("open", "In progress.", (), {(): len(state.requests)})
     yield gauge(
         "revision",
--- a/sycamorefall/direct/outcomes.py
+++ b/sycamorefall/direct/outcomes.py
@@ -2,18 +2,18 @@
 
 __all__ = [
     "AttemptEnd",
-    "draw_pause",
-    "drop_attempt",
+    "abort_attempt",
+    "discard_request",
+    "draw_retry_after",
     "end_attempt",
-    "end_late",
-    "forget_request",
-    "note_answer",
-    "note_leaving",
-    "note_retry_delay",
-    "note_sent",
+    "expire_request",
+    "fail_request",
+    "record_leaving",
+    "record_response",
+    "record_retry_delay",
+    "record_sent",
     "refund_attempt",
     "refuse_delayed_requests",
-    "refuse_request",
 ]
 
 import enum
@@ -24,17 +24,17 @@
     dialects,
     dispatching,
     effects,
+    eligibility,
+    fair_queue,
     fingerprints,
-    fitting,
     quarantine,
     upstreams,
-    waiting,
 )
 from sycamorefall.direct import (
     state as state_module,
 )
 
-PAUSE = (0.6, 1.4)
+RETRY_AFTER_RANGE = (0.6, 1.4)
 """Seconds after which a refused caller is told to come back: about as long as
 a full engine takes to end a tenth of what it runs; spread, so that callers
 refused together don't come back together."""
@@ -43,15 +43,15 @@
 """Most seconds of random jitter added to a Retry-After derived from upstreams'
 retry delays, so that callers don't retry simultaneously."""
 
-RATE_SAMPLE = 3_000
+MIN_RATE_SAMPLE = 3_000
 """Prompt tokens from which on the time to the first event tells how fast an
 engine reads; below, the first step weighs too much."""
 
-RATE_RISE = 0.02
+PREFILL_RATE_INCREASE = 0.02
 """Part by which an engine's reading rate rises when a first event came no
 later than reckoned."""
 
-RATE_FALL = 0.1
+PREFILL_RATE_DECREASE = 0.1
 """Part by which it falls when one came later. With the rise above, one answer
 in six begins later than reckoned, whatever slows the engine."""
 
@@ -78,9 +78,9 @@
 _RAN = frozenset({AttemptEnd.COMPLETE, AttemptEnd.FAILED, AttemptEnd.BROKEN})
 
 
-def draw_pause(state: state_module.DirectState) -> float:
+def draw_retry_after(state: state_module.DirectState) -> float:
     """Draws after how many seconds a refused caller is to come back."""
-    return round(state.random.uniform(*PAUSE), 2)
+    return round(state.random.uniform(*RETRY_AFTER_RANGE), 2)
 
 
 def _choose_retry_after(
@@ -91,7 +91,7 @@
     """Computes the Retry-After of a refused request, in seconds."""
     end = upstreams.find_retry_delay_end(state.table, now, request.service)
     if end is None:
-        return draw_pause(state)
+        return draw_retry_after(state)
     return round(end - now + state.random.uniform(0.0, RETRY_JITTER), 2)
 
 
@@ -102,7 +102,7 @@
     attempt, request.attempt = request.attempt, None
     state.running -= 1
     upstream = state_module.find_upstream(state, attempt)
-    state.serve = True
+    state.dispatch_needed = True
     if upstream is None:
         return None
     upstream.own.running -= 1
@@ -111,15 +111,15 @@
     return upstream
 
 
-def forget_request(
+def discard_request(
     state: state_module.DirectState, request: state_module.Request
 ) -> None:
     """Forgets a request that is answered or whose caller has gone."""
-    dispatching.leave_room(state, request)
+    dispatching.dequeue_request(state, request)
     state.requests.pop(request.number, None)
 
 
-def drop_attempt(
+def abort_attempt(
     state: state_module.DirectState,
     request: state_module.Request,
     now: float,
@@ -127,11 +127,11 @@
     """Takes a request away from its upstream, if it is at one."""
     if request.attempt is None:
         return []
-    request.runs += 1
+    request.possible_runs += 1
     upstream = _release(state, request)
     if upstream is not None:
         upstreams.end_probe(upstream)
-    return [effects.Abort(request.number)]
+    return [effects.AbortAttempt(request.number)]
 
 
 def refund_attempt(
@@ -141,15 +141,15 @@
     attempt: state_module.Attempt,
 ) -> None:
     """Takes back the charge for a send that ended before its answer began."""
-    if attempt.answered or not attempt.cost:
+    if attempt.response_started or not attempt.cost:
         return
-    accounts = state_module.find_accounts(state, request.service)
-    waiting.refund_team(
+    accounts = state_module.get_or_create_accounts(state, request.service)
+    fair_queue.refund_team(
         accounts, now, request.team, attempt.cost, attempt.charged_at
     )
 
 
-def note_sent(
+def record_sent(
     state: state_module.DirectState, now: float, number: int
 ) -> float:
     """Takes note of when a request really leaves for its upstream.
@@ -171,7 +171,7 @@
     return request.answer_by - now
 
 
-def note_answer(
+def record_response(
     state: state_module.DirectState,
     now: float,
     number: int,
@@ -191,16 +191,16 @@
     attempt = request.attempt
     upstream = state_module.find_upstream(state, attempt)
     if upstream is not None:
-        upstream.heard_at = now
-    if first and not attempt.answered:
-        attempt.answered = True
-        request.begun = True
-        state.serve = True
+        upstream.last_byte_at = now
+    if first and not attempt.response_started:
+        attempt.response_started = True
+        request.forwarding_started = True
+        state.dispatch_needed = True
         if upstream is not None:
             _note_read(upstream, now, attempt)
 
 
-def note_leaving(
+def record_leaving(
     state: state_module.DirectState,
     now: float,
     number: int,
@@ -224,10 +224,10 @@
         return False
     if head.verdict is dialects.Verdict.OTHER_INCARNATION:
         return False
-    return upstreams.note_leaving(state.table, now, upstream)
+    return upstreams.record_leaving(state.table, now, upstream)
 
 
-def note_retry_delay(
+def record_retry_delay(
     state: state_module.DirectState,
     now: float,
     number: int,
@@ -251,7 +251,7 @@
         return False
     if head.verdict is dialects.Verdict.OTHER_INCARNATION:
         return False
-    return upstreams.note_retry_delay(
+    return upstreams.record_retry_delay(
         state.table, now, upstream, head.retry_after
     )
 
@@ -276,7 +276,7 @@
     return [
         effect
         for request in refused
-        for effect in refuse_request(state, request, now)
+        for effect in fail_request(state, request, now)
     ]
 
 
@@ -284,7 +284,7 @@
     upstream: upstreams.Upstream, now: float, attempt: state_module.Attempt
 ) -> None:
     """Takes note that an engine has read a prompt, and how fast."""
-    upstreams.note_success(upstream, now)
+    upstreams.record_success(upstream, now)
     upstream.own.unread -= attempt.unread
     attempt.unread = 0
     _learn_rate(upstream, attempt, now - attempt.sent_at)
@@ -300,10 +300,17 @@
     of some engines ten times too high, and a sixth of the answers of a full
     day late. It tells only whether the reckoning held.
     """
-    if attempt.queued < RATE_SAMPLE:
+    if attempt.queued < MIN_RATE_SAMPLE:
         return
-    reckoned = fitting.FIRST_STEP + attempt.queued / upstream.reading_rate
-    upstream.reading_rate *= 1 - RATE_FALL if took > reckoned else 1 + RATE_RISE
+    reckoned = (
+        eligibility.FIRST_TOKEN_OVERHEAD
+        + attempt.queued / upstream.prefill_rate
+    )
+    upstream.prefill_rate *= (
+        1 - PREFILL_RATE_DECREASE
+        if took > reckoned
+        else 1 + PREFILL_RATE_INCREASE
+    )
 
 
 def end_attempt(
@@ -335,19 +342,23 @@
     if end is not AttemptEnd.COMPLETE:
         refund_attempt(state, now, request, attempt)
     if end in _RAN:
-        request.runs += 1
+        request.possible_runs += 1
     if end is AttemptEnd.COMPLETE:
         _clear_request(state, request, now)
-        forget_request(state, request)
+        discard_request(state, request)
         return []
     if _may_go_again(state, request, attempt, end):
         again = dispatching.try_send(state, now, request)
         if again:
             return again
-        if end not in _RAN and not request.runs and now < request.give_up_at:
+        if (
+            end not in _RAN
+            and not request.possible_runs
+            and now < request.give_up_at
+        ):
             if dispatching.is_retry_delay_too_long(state, now, request):
-                return refuse_request(state, request, now)
-            dispatching.enter_room(state, request)
+                return fail_request(state, request, now)
+            dispatching.enqueue_request(state, request)
             return []
     return _give_up(state, request, end, now)
 
@@ -363,20 +374,20 @@
         return
     match end:
         case AttemptEnd.COMPLETE:
-            upstreams.note_success(upstream, now)
+            upstreams.record_success(upstream, now)
         case AttemptEnd.OTHER_INCARNATION:
-            upstreams.note_other_incarnation(state.table, name)
+            upstreams.record_other_incarnation(state.table, name)
         case AttemptEnd.NOT_SENT:
-            upstreams.bar_upstream(upstream, now)
+            upstreams.suspend_upstream(upstream, now)
         case AttemptEnd.BROKEN | AttemptEnd.FAILED | AttemptEnd.NOT_RUN:
-            upstreams.note_failure(upstream, now)
+            upstreams.record_failure(upstream, now)
 
 
 def _clear_request(
     state: state_module.DirectState, request: state_module.Request, now: float
 ) -> None:
     if state.quarantine.suspects:
-        fingerprint = fingerprints.find_fingerprint(request)
+        fingerprint = fingerprints.get_fingerprint(request)
         quarantine.clear_request(state.quarantine, now, fingerprint)
 
 
@@ -388,14 +399,16 @@
 ) -> bool:
     if dispatching.is_quarantined(state, request):
         return False
-    if end not in _RAN and not request.runs:
+    if end not in _RAN and not request.possible_runs:
         return True
     kind = request.route.kind
-    if end is AttemptEnd.FAILED and request.begun:
+    if end is AttemptEnd.FAILED and request.forwarding_started:
         return False
     if end is AttemptEnd.BROKEN and _is_suspect(state, request, attempt):
         return False
-    return kind.repeatable and request.runs < request.route.most_upstreams
+    return (
+        kind.retryable and request.possible_runs < request.route.max_upstreams
+    )
 
 
 def _is_suspect(
@@ -409,7 +422,7 @@
     """
     if not state.quarantine.suspects:
         return False
-    fingerprint = fingerprints.find_fingerprint(request)
+    fingerprint = fingerprints.get_fingerprint(request)
     present = quarantine.Crash(attempt.upstream, attempt.born)
     return quarantine.count_crashes(state.quarantine, fingerprint, present) > 0
 
@@ -420,54 +433,58 @@
     end: AttemptEnd,
     now: float,
 ) -> list[effects.Effect]:
-    if request.begun:
-        forget_request(state, request)
-        return [effects.BreakOff(request.number)]
+    if request.forwarding_started:
+        discard_request(state, request)
+        return [effects.AbortResponse(request.number)]
     if end is AttemptEnd.FAILED:
-        forget_request(state, request)
-        return [effects.PassOn(request.number)]
-    return refuse_request(state, request, now)
+        discard_request(state, request)
+        return [effects.ForwardResponse(request.number)]
+    return fail_request(state, request, now)
 
 
-def refuse_request(
+def fail_request(
     state: state_module.DirectState,
     request: state_module.Request,
     now: float,
 ) -> list[effects.Effect]:
     """Answers a request that gets no further, truthfully."""
-    forget_request(state, request)
-    if request.begun:
-        return [effects.BreakOff(request.number)]
-    if not request.runs and dispatching.is_quarantined(state, request):
+    discard_request(state, request)
+    if request.forwarding_started:
+        return [effects.AbortResponse(request.number)]
+    if not request.possible_runs and dispatching.is_quarantined(state, request):
         # No Retry-After: a retry would be refused as well.
         kind = errors.ErrorKind.QUARANTINED
-        fingerprint = fingerprints.find_fingerprint(request)
-        return [effects.Fail(request.number, kind, fingerprint=fingerprint)]
-    if not request.runs:
+        fingerprint = fingerprints.get_fingerprint(request)
+        return [
+            effects.AnswerError(request.number, kind, fingerprint=fingerprint)
+        ]
+    if not request.possible_runs:
         kind = errors.ErrorKind.NO_UPSTREAM
         pause = _choose_retry_after(state, request, now)
         if request.new.prompt is not None:
-            accounts = state_module.find_accounts(state, request.service)
-            waiting.note_refusal(accounts, now, request.team)
+            accounts = state_module.get_or_create_accounts(
+                state, request.service
+            )
+            fair_queue.record_refusal(accounts, now, request.team)
         refusal = dispatching.explain_refusal(state, now, request)
-        return [effects.Fail(request.number, kind, pause, refusal)]
+        return [effects.AnswerError(request.number, kind, pause, refusal)]
     if request.route.kind is catalog.RouteKind.IDEMPOTENT:
         kind = errors.ErrorKind.RETRIES_EXHAUSTED
     else:
         kind = errors.ErrorKind.OUTCOME_UNKNOWN
-    return [effects.Fail(request.number, kind)]
+    return [effects.AnswerError(request.number, kind)]
 
 
-def end_late(
+def expire_request(
     state: state_module.DirectState,
     request: state_module.Request,
     now: float,
 ) -> list[effects.Effect]:
     """Ends a request whose time is over."""
-    aborted = drop_attempt(state, request, now)
-    forget_request(state, request)
-    if request.begun:
-        return [*aborted, effects.BreakOff(request.number)]
+    aborted = abort_attempt(state, request, now)
+    discard_request(state, request)
+    if request.forwarding_started:
+        return [*aborted, effects.AbortResponse(request.number)]
     kind = errors.ErrorKind.DEADLINE_EXCEEDED
-    ran = errors.Ran.UNKNOWN if request.runs else None
-    return [*aborted, effects.Fail(request.number, kind, ran=ran)]
+    ran = errors.Ran.UNKNOWN if request.possible_runs else None
+    return [*aborted, effects.AnswerError(request.number, kind, ran=ran)]
--- a/sycamorefall/direct/overload.py
+++ b/sycamorefall/direct/overload.py
@@ -6,7 +6,12 @@
 not ready loses new connections to the others and keeps what it has.
 """
 
-__all__ = ["LONGEST_TURN", "Overload", "is_overloaded", "note_pass"]
+__all__ = [
+    "LONGEST_TURN",
+    "Overload",
+    "is_overloaded",
+    "record_lateness",
+]
 
 import dataclasses
 
@@ -46,7 +51,7 @@
     until: float = float("-inf")
 
 
-def note_pass(overload: Overload, now: float, late: float) -> None:
+def record_lateness(overload: Overload, now: float, late: float) -> None:
     """Takes note of how late a pass of the loop was.
 
     One that is very late stands for a VM that was frozen, which is no
@@ -59,11 +64,11 @@
 
     Example:
         >>> overload = Overload()
-        >>> note_pass(overload, 1.0, 20.0)
+        >>> record_lateness(overload, 1.0, 20.0)
         >>> is_overloaded(overload, 1.0)
         False
         >>> for tenth in range(11, 20):
-        ...     note_pass(overload, tenth / 10, 0.09)
+        ...     record_lateness(overload, tenth / 10, 0.09)
         >>> is_overloaded(overload, 2.0), is_overloaded(overload, 12.0)
         (True, False)
     """
--- a/sycamorefall/direct/loads.py
+++ b/sycamorefall/direct/own_load.py
@@ -3,8 +3,8 @@
 __all__ = ["describe_load", "describe_loads", "list_own_services"]
 
 from sycamorefall import messages
+from sycamorefall.direct import fair_queue
 from sycamorefall.direct import state as state_module
-from sycamorefall.direct import waiting
 
 LEAST_AMOUNT = 50
 """Cost units below which a team's past service is not worth its bytes."""
@@ -57,12 +57,12 @@
     state: state_module.DirectState, now: float, service: str
 ) -> messages.ServiceDemand:
     accounts = state.accounts[service]
-    amounts = waiting.list_own(accounts, now)
+    amounts = fair_queue.collect_own_received(accounts, now)
     teams = tuple(
         messages.TeamService(team, int(amount))
         for team, amount in amounts.items()
         if amount >= LEAST_AMOUNT
     )
-    accounts.most = waiting.find_most(accounts, amounts)
-    waiting.forget_refusals(accounts, now)
+    accounts.most = fair_queue.find_max_received(accounts, amounts)
+    fair_queue.drop_expired_refusals(accounts, now)
     return messages.ServiceDemand(service, teams)
--- a/sycamorefall/direct/peers.py
+++ b/sycamorefall/direct/peers.py
@@ -9,8 +9,8 @@
     "list_delegates",
     "list_heard",
     "note_heard",
-    "note_hearsay",
     "rank_domain",
+    "record_known_routers",
 ]
 
 from collections.abc import Iterable, Mapping
@@ -100,7 +100,7 @@
     return now - peer.spoke_at < PEER_TIMEOUT
 
 
-def note_hearsay(
+def record_known_routers(
     peers: dict[str, Peer],
     now: float,
     own: str,
--- a/sycamorefall/direct/needs.py
+++ b/sycamorefall/direct/placement_constraints.py
@@ -1,10 +1,12 @@
 """What a request asks of an engine at a moment; no I/O."""
 
-__all__ = ["describe_need"]
+__all__ = [
+    "compute_constraints",
+]
 
 import math
 
-from sycamorefall.direct import fitting, urgency, waiting
+from sycamorefall.direct import eligibility, fair_queue, latency_targets
 from sycamorefall.direct import (
     state as state_module,
 )
@@ -19,11 +21,11 @@
 any engine; the other half is left for that engine to be on time."""
 
 
-def describe_need(
+def compute_constraints(
     state: state_module.DirectState,
     now: float,
     request: state_module.Request,
-) -> fitting.Need:
+) -> eligibility.PlacementConstraints:
     """Describes what a request asks of an upstream now.
 
     Args:
@@ -31,20 +33,20 @@
         now: This process's time.
         request: A request that is nowhere.
     """
-    accounts = state_module.find_accounts(state, request.service)
-    received = waiting.read_service(accounts, now, request.team)
-    share = waiting.find_share(accounts, received)
+    accounts = state_module.get_or_create_accounts(state, request.service)
+    received = fair_queue.compute_received(accounts, now, request.team)
+    share = fair_queue.compute_relative_share(accounts, received)
     slack = FAIRNESS_SLACK * state.catalog.tokens_per_second
     has_waited = _has_waited(request, now)
-    return fitting.Need(
+    return eligibility.PlacementConstraints(
         request.new.prompt,
         request.target_at - now,
         request.tried,
         yields_to=received - slack,
-        leaves_idle_to=waiting.FALLING_BEHIND * received,
+        leaves_idle_to=fair_queue.IDLE_UNDERSERVED_SHARE * received,
         uses=request.part_uses * state.routers,
-        anywhere=has_waited and share < waiting.BEHIND,
-        anywhere_idle=has_waited and share < waiting.FALLING_BEHIND,
+        anywhere=has_waited and share < fair_queue.UNDERSERVED_SHARE,
+        anywhere_idle=has_waited and share < fair_queue.IDLE_UNDERSERVED_SHARE,
         most_queue=_find_most_queue(state, now, request),
     )
 
@@ -61,11 +63,11 @@
     what is left of the engine's queue is all that the others may fill, which
     have time to wait here.
     """
-    known = state_module.find_urgency(state, request.service)
-    shortest = urgency.find_shortest(known, now)
+    known = state_module.get_or_create_recent_targets(state, request.service)
+    shortest = latency_targets.find_shortest_target(known, now)
     if request.target_at - now <= shortest:
         return math.inf
-    return fitting.QUEUE_SHARE * shortest
+    return eligibility.QUEUE_SHARE * shortest
 
 
 def _has_waited(request: state_module.Request, now: float) -> bool:
--- a/sycamorefall/direct/prompts.py
+++ b/sycamorefall/direct/prompts.py
@@ -1,12 +1,12 @@
 """What requests ask of engines, and how often their shared parts are used."""
 
 __all__ = [
-    "MOST_PARTS",
+    "MAX_PARTS",
     "OUTPUT_WEIGHT",
     "Digests",
-    "PartUses",
+    "PartUsage",
     "Prompt",
-    "note_use",
+    "record_use",
 ]
 
 import collections
@@ -14,7 +14,7 @@
 import math
 import zlib
 
-MOST_PARTS = 20_000
+MAX_PARTS = 20_000
 """Parts whose uses are counted: 4 MB."""
 
 OUTPUT_WEIGHT = 2
@@ -72,7 +72,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class PartUses:
+class PartUsage:
     """How often shared parts were asked for lately at this router.
 
     Attributes:
@@ -85,7 +85,7 @@
     )
 
 
-def note_use(uses: PartUses, now: float, key: str) -> float:
+def record_use(uses: PartUsage, now: float, key: str) -> float:
     """Counts a use of a part.
 
     Args:
@@ -102,6 +102,6 @@
     count = count * math.exp((since - now) / USE_MEMORY) + 1.0
     uses.uses[key] = (count, now)
     uses.uses.move_to_end(key)
-    while len(uses.uses) > MOST_PARTS:
+    while len(uses.uses) > MAX_PARTS:
         uses.uses.popitem(last=False)
     return count
--- a/sycamorefall/direct/quarantine.py
+++ b/sycamorefall/direct/quarantine.py
@@ -15,10 +15,10 @@
     "clear_request",
     "count_crashes",
     "drop_expired",
-    "find_next_expiry",
+    "extend_quarantine",
+    "find_next_scan",
     "is_quarantined",
     "list_evidence",
-    "note_arrival",
 ]
 
 from collections.abc import Iterable, Iterator, Set
@@ -30,20 +30,20 @@
 """Crashes without a success in between after which a request is quarantined.
 Operators set a limit on what a request may cost after its third crash."""
 
-SUSPECT_TIME = 300.0
+SUSPECT_RETENTION = 300.0
 """Seconds after its last crash until a suspect expires."""
 
-QUARANTINE_TIME = 900.0
+QUARANTINE_RETENTION = 900.0
 """Seconds after its last crash or arrival until a quarantine expires."""
 
-MOST_SUSPECTS = 4096
+MAX_SUSPECTS = 4096
 """Suspects that are kept, without quarantined requests. Bounds the memory that
 a caller can use up by changing a byte of its request each time."""
 
-MOST_QUARANTINED = 1024
+MAX_QUARANTINED = 1024
 """Quarantined requests that are kept."""
 
-EXPIRY_INTERVAL = 10.0
+EXPIRY_SCAN_INTERVAL = 10.0
 """Seconds between two scans for expired suspects."""
 
 
@@ -52,7 +52,7 @@
 
     Attributes:
         upstream: The upstream's incarnation.
-        born: When the process started; see `upstreams.Listed`.
+        born: When the process started; see `upstreams.UpstreamEntry`.
     """
 
     upstream: str
@@ -102,13 +102,13 @@
         suspects: All suspects, quarantined ones included.
         quarantined: Fingerprints of the quarantined ones.
         unsent: This router's evidence that is to be sent to the others.
-        expires_at: Time of the next scan for expired suspects.
+        next_scan_at: Time of the next scan for expired suspects.
     """
 
     suspects: dict[bytes, Suspect] = dataclasses.field(default_factory=dict)
     quarantined: set[bytes] = dataclasses.field(default_factory=set)
     unsent: list[tuple[Crash, bytes]] = dataclasses.field(default_factory=list)
-    expires_at: float = float("inf")
+    next_scan_at: float = float("inf")
 
 
 def is_quarantined(quarantine: Quarantine, fingerprint: bytes) -> bool:
@@ -151,7 +151,9 @@
     new = [one for one in evidence if _add_one(quarantine, one)]
     if not new:
         return [], []
-    quarantine.expires_at = min(quarantine.expires_at, now + EXPIRY_INTERVAL)
+    quarantine.next_scan_at = min(
+        quarantine.next_scan_at, now + EXPIRY_SCAN_INTERVAL
+    )
     added = _update_quarantined(quarantine, new)
     _drop_excess(quarantine)
     return new, added
@@ -204,7 +206,7 @@
     quarantine.unsent += ((one.crash, one.fingerprint) for one in new)
 
 
-def note_arrival(
+def extend_quarantine(
     quarantine: Quarantine, now: float, fingerprint: bytes
 ) -> None:
     """Extends the quarantine of a request that arrived again."""
@@ -222,9 +224,9 @@
             yield Evidence(crash, fingerprint, cleared, suspect.seen_at)
 
 
-def find_next_expiry(quarantine: Quarantine) -> float:
+def find_next_scan(quarantine: Quarantine) -> float:
     """Tells when `drop_expired` is due; infinity if nothing expires."""
-    return quarantine.expires_at
+    return quarantine.next_scan_at
 
 
 def drop_expired(quarantine: Quarantine, now: float) -> None:
@@ -233,11 +235,11 @@
         fingerprint
         for fingerprint, suspect in quarantine.suspects.items()
         if now - suspect.seen_at
-        >= (QUARANTINE_TIME if suspect.quarantined else SUSPECT_TIME)
+        >= (QUARANTINE_RETENTION if suspect.quarantined else SUSPECT_RETENTION)
     ]
     _drop(quarantine, expired)
-    due = now + EXPIRY_INTERVAL
-    quarantine.expires_at = due if quarantine.suspects else float("inf")
+    due = now + EXPIRY_SCAN_INTERVAL
+    quarantine.next_scan_at = due if quarantine.suspects else float("inf")
 
 
 def _drop(quarantine: Quarantine, expired: Iterable[bytes]) -> None:
@@ -253,7 +255,7 @@
     Suspects never displace a quarantined request.
     """
     suspects = quarantine.suspects
-    excess = len(suspects) - len(quarantine.quarantined) - MOST_SUSPECTS
+    excess = len(suspects) - len(quarantine.quarantined) - MAX_SUSPECTS
     if excess > 0:
         ranked = heapq.nsmallest(
             excess,
@@ -264,7 +266,7 @@
             ),
         )
         _drop(quarantine, (fingerprint for *_, fingerprint in ranked))
-    excess = len(quarantine.quarantined) - MOST_QUARANTINED
+    excess = len(quarantine.quarantined) - MAX_QUARANTINED
     if excess > 0:
         oldest = heapq.nsmallest(
             excess,
--- a/sycamorefall/direct/following.py
+++ b/sycamorefall/direct/read_schedule.py
@@ -11,16 +11,16 @@
 """
 
 __all__ = [
-    "Following",
-    "Read",
-    "create_following",
+    "ReadKind",
+    "ReadSchedule",
+    "create_read_schedule",
     "extend_read",
     "find_next_due",
-    "is_expired",
-    "note_behind",
-    "note_end",
-    "note_proof",
-    "plan_read",
+    "finish_read",
+    "is_read_expired",
+    "record_proof",
+    "schedule_snapshot",
+    "start_due_read",
 ]
 
 import dataclasses
@@ -71,7 +71,7 @@
 _NEVER = float("inf")
 
 
-class Read(enum.Enum):
+class ReadKind(enum.Enum):
     """What is read.
 
     PROBE: the platform's revision.
@@ -83,38 +83,39 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Following:
+class ReadSchedule:
     """Reads of the platform that are in progress or due.
 
     Attributes:
         random: Source of jitter.
         proven_at: When what is known was the newest for certain.
-        proven_here: Whether that was proved by a read of this process.
+        proven_by_own_read: Whether that was proved by a read of this process.
         read: The read in progress.
         sent_at: When that was sent.
         expires_at: When it is given up; infinity if there is none.
         retry_at: Until when nothing is read after a failure.
         failures: Reads that failed in a row.
-        behind_at: When all records are to be read, as a later revision than
+        snapshot_due_at: When all records are to be read, as a later revision
+            than
             is known was heard of; infinity if none was.
-        leads: Whether this router reads for others.
+        is_reader: Whether this router reads for others.
         jitter: From 0 to 1, drawn anew with each proof and failure.
     """
 
     random: random.Random
     proven_at: float = -_NEVER
-    proven_here: bool = False
-    read: Read | None = None
+    proven_by_own_read: bool = False
+    read: ReadKind | None = None
     sent_at: float = -_NEVER
     expires_at: float = _NEVER
     retry_at: float = -_NEVER
     failures: int = 0
-    behind_at: float = _NEVER
-    leads: bool = True
+    snapshot_due_at: float = _NEVER
+    is_reader: bool = True
     jitter: float = 0.0
 
 
-def create_following(now: float, seed: int, alone: bool) -> Following:
+def create_read_schedule(now: float, seed: int, alone: bool) -> ReadSchedule:
     """Creates the plan of a process that has read nothing.
 
     Args:
@@ -122,116 +123,122 @@
         seed: Seed of its draws.
         alone: Whether it has nobody to ask, or is one that others ask.
     """
-    following = Following(random.Random(seed))
-    wait = 0.0 if alone else following.random.uniform(*START_SPREAD)
-    following.behind_at = now + wait
-    following.leads = alone
-    return following
+    read_schedule = ReadSchedule(random.Random(seed))
+    wait = 0.0 if alone else read_schedule.random.uniform(*START_SPREAD)
+    read_schedule.snapshot_due_at = now + wait
+    read_schedule.is_reader = alone
+    return read_schedule
 
 
-def plan_read(following: Following, now: float) -> Read | None:
+def start_due_read(read_schedule: ReadSchedule, now: float) -> ReadKind | None:
     """Tells which read is to be sent now.
 
     Args:
-        following: The plan; changed.
+        read_schedule: The plan; changed.
         now: This process's time.
 
     Returns:
         What is to be read; None if nothing is, or something is being read.
     """
-    if following.read is not None or now < _find_due(following):
+    if read_schedule.read is not None or now < _find_due(read_schedule):
         return None
-    is_behind = now >= following.behind_at
-    following.read = Read.SNAPSHOT if is_behind else Read.PROBE
-    following.sent_at = now
-    extend_read(following, now)
-    return following.read
+    is_behind = now >= read_schedule.snapshot_due_at
+    read_schedule.read = ReadKind.SNAPSHOT if is_behind else ReadKind.PROBE
+    read_schedule.sent_at = now
+    extend_read(read_schedule, now)
+    return read_schedule.read
 
 
-def extend_read(following: Following, now: float) -> None:
+def extend_read(read_schedule: ReadSchedule, now: float) -> None:
     """Gives a read more time, as a part of its answer has come."""
-    following.expires_at = now + READ_TIMEOUT
+    read_schedule.expires_at = now + READ_TIMEOUT
 
 
-def _find_due(following: Following) -> float:
-    if following.failures:
+def _find_due(read_schedule: ReadSchedule) -> float:
+    if read_schedule.failures:
         # Also if others prove what is known: whether this process can read
         # decides who reads for whom.
-        return following.retry_at
-    if following.proven_at == -_NEVER:
+        return read_schedule.retry_at
+    if read_schedule.proven_at == -_NEVER:
         # Nothing is known that a probe could prove.
-        return following.behind_at
-    if not following.leads:
+        return read_schedule.snapshot_due_at
+    if not read_schedule.is_reader:
         age = FOLLOWER_AGE
-    elif following.proven_here:
+    elif read_schedule.proven_by_own_read:
         age = OWN_AGE
     else:
         age = READER_AGE
-    probe = following.proven_at + age * (1 + AGE_SPREAD * following.jitter)
-    return min(probe, following.behind_at)
+    probe = read_schedule.proven_at + age * (
+        1 + AGE_SPREAD * read_schedule.jitter
+    )
+    return min(probe, read_schedule.snapshot_due_at)
 
 
-def is_expired(following: Following, now: float) -> bool:
+def is_read_expired(read_schedule: ReadSchedule, now: float) -> bool:
     """Tells whether the read in progress is to be given up."""
-    return now >= following.expires_at
+    return now >= read_schedule.expires_at
 
 
-def find_next_due(following: Following) -> float:
+def find_next_due(read_schedule: ReadSchedule) -> float:
     """Tells when a read is to be sent or given up next."""
-    if following.read is not None:
-        return following.expires_at
-    return _find_due(following)
+    if read_schedule.read is not None:
+        return read_schedule.expires_at
+    return _find_due(read_schedule)
 
 
-def note_behind(following: Following, at: float) -> None:
+def schedule_snapshot(read_schedule: ReadSchedule, at: float) -> None:
     """Takes note that there is a later revision than is known.
 
     Args:
-        following: The plan; changed.
+        read_schedule: The plan; changed.
         at: When all records are to be read, unless they come until then.
     """
-    following.behind_at = min(following.behind_at, at)
+    read_schedule.snapshot_due_at = min(read_schedule.snapshot_due_at, at)
 
 
-def note_proof(following: Following, proven_at: float, here: bool) -> bool:
+def record_proof(
+    read_schedule: ReadSchedule, proven_at: float, here: bool
+) -> bool:
     """Takes note that what is known was the newest at a time.
 
     Args:
-        following: The plan; changed.
+        read_schedule: The plan; changed.
         proven_at: The time.
         here: Whether a read of this process proved it.
 
     Returns:
         Whether that is later than was known.
     """
-    if proven_at <= following.proven_at:
+    if proven_at <= read_schedule.proven_at:
         return False
-    following.proven_at = proven_at
-    following.proven_here = here
-    following.jitter = following.random.random()
+    read_schedule.proven_at = proven_at
+    read_schedule.proven_by_own_read = here
+    read_schedule.jitter = read_schedule.random.random()
     return True
 
 
-def note_end(following: Following, now: float, good: bool) -> float:
+def finish_read(read_schedule: ReadSchedule, now: float, good: bool) -> float:
     """Takes note of how the read in progress ended.
 
     Args:
-        following: The plan; changed.
+        read_schedule: The plan; changed.
         now: This process's time.
         good: Whether it was answered.
 
     Returns:
         When it was sent.
     """
-    following.read = None
-    following.expires_at = _NEVER
+    read_schedule.read = None
+    read_schedule.expires_at = _NEVER
     if good:
-        following.failures = 0
-        return following.sent_at
-    longest = LONGEST_RETRY if following.leads else LONGEST_PAUSE
-    doubled = 2 ** min(following.failures, MOST_DOUBLED)
+        read_schedule.failures = 0
+        return read_schedule.sent_at
+    longest = LONGEST_RETRY if read_schedule.is_reader else LONGEST_PAUSE
+    doubled = 2 ** min(read_schedule.failures, MOST_DOUBLED)
     pause = min(longest, RETRY * doubled)
-    following.failures += 1
-    following.jitter = following.random.random()
-    following.retry_at = now + pause * (1 + AGE_SPREAD * following.jitter)
-    return following.sent_at
+    read_schedule.failures += 1
+    read_schedule.jitter = read_schedule.random.random()
+    read_schedule.retry_at = now + pause * (
+        1 + AGE_SPREAD * read_schedule.jitter
+    )
+    return read_schedule.sent_at
--- a/sycamorefall/direct/readers.py
+++ b/sycamorefall/direct/readers.py
@@ -8,15 +8,15 @@
 """
 
 __all__ = [
-    "Readers",
+    "ReaderSelection",
     "Subscriber",
     "Subscription",
-    "bar_reader",
     "choose_readers",
+    "exclude_reader",
     "find_next_due",
     "list_subscribers",
-    "note_subscriber",
-    "plan_subscriptions",
+    "record_subscription",
+    "renew_due_subscriptions",
 ]
 
 from collections.abc import Collection, Iterator, Mapping, Sequence
@@ -79,7 +79,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Readers:
+class ReaderSelection:
     """Who reads for this router, and for whom it reads.
 
     Attributes:
@@ -100,8 +100,8 @@
     barred: dict[str, float] = dataclasses.field(default_factory=dict)
 
 
-def note_subscriber(
-    readers: Readers, now: float, envelope: messages.Envelope
+def record_subscription(
+    readers: ReaderSelection, now: float, envelope: messages.Envelope
 ) -> bool:
     """Takes note of a subscription.
 
@@ -124,7 +124,7 @@
 
 
 def list_subscribers(
-    readers: Readers, now: float
+    readers: ReaderSelection, now: float
 ) -> list[tuple[str, Subscriber]]:
     """Lists who is to be told; forgets those whose lease has ended."""
     readers.subscribers = {
@@ -135,13 +135,13 @@
     return list(readers.subscribers.items())
 
 
-def bar_reader(readers: Readers, now: float, name: str) -> None:
+def exclude_reader(readers: ReaderSelection, now: float, name: str) -> None:
     """Passes a router over for a while that can't read or says nothing."""
     readers.barred[name] = now + BAR_TIME
 
 
 def choose_readers(
-    readers: Readers,
+    readers: ReaderSelection,
     now: float,
     ranking: Mapping[str, Sequence[str]],
     able: bool,
@@ -174,11 +174,11 @@
     ]
     others = [name for name in elsewhere if name is not None]
     if first:
-        leads = readers.vm in first
+        is_reader = readers.vm in first
         # Those elsewhere tell of changes, which then needn't be read here.
-        changes = others if leads else ()
+        changes = others if is_reader else ()
         _keep_only(readers, now, first, changes)
-        return leads
+        return is_reader
     # Nobody here can read. The first ones are asked still, as they try more
     # often than all others.
     first = [*own[:READERS], *_pick(readers.vm, others)]
@@ -196,7 +196,7 @@
     return sorted(names, key=draw)[:READERS]
 
 
-def _bar_silent(readers: Readers, now: float) -> None:
+def _bar_silent(readers: ReaderSelection, now: float) -> None:
     """Passes over readers that were asked and said nothing.
 
     Guards against one that is heard and can't hear, or whose process stands
@@ -205,11 +205,11 @@
     for name, one in readers.subscriptions.items():
         waited = now - max(one.since, one.heard_at)
         if waited > SILENCE and not one.changes_only:
-            bar_reader(readers, now, name)
+            exclude_reader(readers, now, name)
 
 
 def _keep_only(
-    readers: Readers,
+    readers: ReaderSelection,
     now: float,
     names: Collection[str],
     changes: Collection[str],
@@ -229,14 +229,14 @@
     }
 
 
-def find_next_due(readers: Readers) -> float:
-    """Tells when `plan_subscriptions` has somebody to ask next."""
+def find_next_due(readers: ReaderSelection) -> float:
+    """Tells when `renew_due_subscriptions` has somebody to ask next."""
     asked = (one.sent_at for one in readers.subscriptions.values())
     return min(asked, default=float("inf")) + SUBSCRIBE_INTERVAL
 
 
-def plan_subscriptions(
-    readers: Readers, now: float
+def renew_due_subscriptions(
+    readers: ReaderSelection, now: float
 ) -> Iterator[tuple[str, bool]]:
     """Tells who is to be asked now.
 
--- a/sycamorefall/direct/outlets.py
+++ b/sycamorefall/direct/receiver_groups.py
@@ -2,7 +2,7 @@
 
 __all__ = [
     "LARGE_READ",
-    "Outlet",
+    "ReceiverGroup",
     "begin_message",
     "diff_loads",
     "find_due",
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Outlet:
+class ReceiverGroup:
     """What a set of receivers was told.
 
     Attributes:
@@ -45,7 +45,7 @@
     prompts: list[messages.SentPrompt] = dataclasses.field(default_factory=list)
 
 
-def find_due(outlet: Outlet, unread: int, pace: float) -> float:
+def find_due(outlet: ReceiverGroup, unread: int, pace: float) -> float:
     """Tells when the next message is due.
 
     Whole messages go out at fixed intervals. In between, only what changed
@@ -63,7 +63,7 @@
 
 
 def diff_loads(
-    outlet: Outlet, loads: Mapping[str, messages.UpstreamLoad]
+    outlet: ReceiverGroup, loads: Mapping[str, messages.UpstreamLoad]
 ) -> tuple[messages.UpstreamLoad, ...]:
     """Lists the loads that differ from what was told, and notes them as told.
 
@@ -72,7 +72,7 @@
         loads: The loads by upstream; what is left out is none.
 
     Example:
-        >>> outlet = Outlet()
+        >>> outlet = ReceiverGroup()
         >>> one = messages.UpstreamLoad("e1", 1, 10, 100)
         >>> len(diff_loads(outlet, {"e1": one}))
         1
@@ -92,7 +92,7 @@
 
 
 def queue_prompts(
-    outlet: Outlet, prompts: Iterable[messages.SentPrompt]
+    outlet: ReceiverGroup, prompts: Iterable[messages.SentPrompt]
 ) -> None:
     """Adds prompts to be told with the next message."""
     outlet.prompts += prompts
@@ -100,7 +100,7 @@
 
 
 def begin_message(
-    outlet: Outlet, now: float, unread: int
+    outlet: ReceiverGroup, now: float, unread: int
 ) -> tuple[messages.SentPrompt, ...]:
     """Takes note that the receivers are told now.
 
--- a/sycamorefall/direct/records.py
+++ b/sycamorefall/direct/records.py
@@ -6,11 +6,11 @@
 """
 
 __all__ = [
-    "Outcome",
     "Records",
+    "UpdateOutcome",
     "apply_changes",
-    "replace_all",
-    "write_changes",
+    "apply_snapshot",
+    "collect_changes",
 ]
 
 from collections.abc import Iterable
@@ -25,7 +25,7 @@
 finds that its keys differ, and is told all records."""
 
 
-class Outcome(enum.Enum):
+class UpdateOutcome(enum.Enum):
     """What became of records that were offered.
 
     UNCHANGED: they were known.
@@ -87,9 +87,9 @@
     return True
 
 
-def replace_all(
+def apply_snapshot(
     records: Records, revision: int, listed: Iterable[messages.Record]
-) -> Outcome:
+) -> UpdateOutcome:
     """Takes over all records that there are.
 
     Args:
@@ -102,16 +102,18 @@
         Whether anything changed.
     """
     if revision < records.revision:
-        return Outcome.UNCHANGED
+        return UpdateOutcome.UNCHANGED
     by_key = {record.key: record for record in listed}
     changes = [_put(records, record) for record in by_key.values()]
     missing = records.by_key.keys() - by_key.keys()
     changes += [_drop(records, key, revision) for key in missing]
     records.revision = revision
-    return Outcome.CHANGED if any(changes) else Outcome.UNCHANGED
+    return UpdateOutcome.CHANGED if any(changes) else UpdateOutcome.UNCHANGED
 
 
-def apply_changes(records: Records, changes: messages.RecordChanges) -> Outcome:
+def apply_changes(
+    records: Records, changes: messages.RecordChanges
+) -> UpdateOutcome:
     """Takes over what another router knows to have changed.
 
     Guards against a deletion that is never heard of: the router that tells of
@@ -129,20 +131,22 @@
         the revision stays as it was.
     """
     if not changes.since:
-        return replace_all(records, changes.revision, changes.records)
+        return apply_snapshot(records, changes.revision, changes.records)
     if changes.revision <= records.revision:
-        return Outcome.UNCHANGED
+        return UpdateOutcome.UNCHANGED
     if records.revision < changes.since:
-        return Outcome.INCOMPLETE
+        return UpdateOutcome.INCOMPLETE
     puts = [_put(records, record) for record in changes.records]
     drops = [_drop(records, key, changes.revision) for key in changes.gone]
     if records.fingerprint != changes.fingerprint:
-        return Outcome.INCOMPLETE
+        return UpdateOutcome.INCOMPLETE
     records.revision = changes.revision
-    return Outcome.CHANGED if any(puts + drops) else Outcome.UNCHANGED
+    return (
+        UpdateOutcome.CHANGED if any(puts + drops) else UpdateOutcome.UNCHANGED
+    )
 
 
-def write_changes(records: Records, since: int) -> messages.RecordChanges:
+def collect_changes(records: Records, since: int) -> messages.RecordChanges:
     """Writes what changed after a revision.
 
     Args:
@@ -152,10 +156,10 @@
     Example:
         >>> here, there = Records(), Records()
         >>> one = messages.Record("upstream/e1", 3, 3, b"")
-        >>> replace_all(here, 5, [one])
-        <Outcome.CHANGED: 'changed'>
-        >>> apply_changes(there, write_changes(here, there.revision))
-        <Outcome.CHANGED: 'changed'>
+        >>> apply_snapshot(here, 5, [one])
+        <UpdateOutcome.CHANGED: 'changed'>
+        >>> apply_changes(there, collect_changes(here, there.revision))
+        <UpdateOutcome.CHANGED: 'changed'>
         >>> there.revision, list(there.by_key)
         (5, ['upstream/e1'])
     """
--- a/sycamorefall/direct/relay.py
+++ b/sycamorefall/direct/relay.py
@@ -1,6 +1,11 @@
 """Carries requests to upstreams and answers back to callers."""
 
-__all__ = ["Desk", "note_dropped", "perform", "take_call"]
+__all__ = [
+    "Proxy",
+    "handle_call",
+    "perform_effects",
+    "record_dropped_call",
+]
 
 from collections.abc import Iterable
 import dataclasses
@@ -83,7 +88,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Desk:
+class Proxy:
     """The I/O that the decisions drive.
 
     Attributes:
@@ -103,95 +108,99 @@
     deliveries: dict[int, _Delivery] = dataclasses.field(default_factory=dict)
 
 
-def take_call(desk: Desk, call: transport.IncomingCall) -> None:
+def handle_call(proxy: Proxy, call: transport.IncomingCall) -> None:
     """Takes a caller's call."""
-    match desk.dialect.read_request(call):
+    match proxy.dialect.read_request(call):
         case result.Failure(reason):
-            observation.count_event(desk.recorder, "call_refused", "malformed")
+            observation.count_event(proxy.recorder, "call_refused", "malformed")
             call.fail(errors.ErrorKind.MALFORMED_REQUEST, reason)
         case result.Success(new):
-            _take_request(desk, call, new)
+            _take_request(proxy, call, new)
 
 
-def note_dropped(desk: Desk, call: transport.IncomingCall) -> None:
+def record_dropped_call(proxy: Proxy, call: transport.IncomingCall) -> None:
     """Takes note of a request that isn't begun, as its caller has left."""
     now = transport.read_clock()
     track = observation.begin_request(
-        desk.recorder, now, "", "", request_id=desk.dialect.read_id(call)
+        proxy.recorder,
+        now,
+        "",
+        "",
+        request_id=proxy.dialect.read_request_id(call),
     )
-    observation.end_request(desk.recorder, track, now, "dropped")
+    observation.end_request(proxy.recorder, track, now, "dropped")
 
 
 def _take_request(
-    desk: Desk, call: transport.IncomingCall, new: state_module.NewRequest
+    proxy: Proxy, call: transport.IncomingCall, new: state_module.NewRequest
 ) -> None:
     now = transport.read_clock()
-    number, done = core.take_request(desk.state, now, new)
-    request = desk.state.requests.get(number)
+    number, done = core.handle_request(proxy.state, now, new)
+    request = proxy.state.requests.get(number)
     track = observation.begin_request(
-        desk.recorder,
+        proxy.recorder,
         now,
         request.service if request else "",
         request.team if request else "",
-        request_id=desk.dialect.read_id(call),
+        request_id=proxy.dialect.read_request_id(call),
         route=request.route.name if request else "",
         target=round(request.target_at - now, 3) if request else None,
     )
     streamed = request is not None and request.route.kind.streamed
-    desk.deliveries[number] = _Delivery(call, streamed, track)
-    call.on_hangup = lambda: _cancel(desk, number)
-    perform(desk, done)
+    proxy.deliveries[number] = _Delivery(call, streamed, track)
+    call.on_hangup = lambda: _cancel(proxy, number)
+    perform_effects(proxy, done)
 
 
-def _cancel(desk: Desk, number: int) -> None:
+def _cancel(proxy: Proxy, number: int) -> None:
     now = transport.read_clock()
-    done = core.cancel_request(desk.state, number, now)
-    perform(desk, done)
-    _forget(desk, number, "cancelled")
+    done = core.cancel_request(proxy.state, number, now)
+    perform_effects(proxy, done)
+    _forget(proxy, number, "cancelled")
 
 
-def _forget(desk: Desk, number: int, end: str, **fields: object) -> None:
-    delivery = desk.deliveries.pop(number, None)
+def _forget(proxy: Proxy, number: int, end: str, **fields: object) -> None:
+    delivery = proxy.deliveries.pop(number, None)
     if delivery is not None:
         now = transport.read_clock()
         observation.end_request(
-            desk.recorder, delivery.track, now, end, **fields
+            proxy.recorder, delivery.track, now, end, **fields
         )
 
 
-def perform(desk: Desk, done: Iterable[effects.Effect]) -> None:
+def perform_effects(proxy: Proxy, done: Iterable[effects.Effect]) -> None:
     """Carries out effects of the decisions."""
     for effect in done:
         if isinstance(effect, _UPSTREAM_EFFECTS):
-            _perform_upstream_effect(desk, effect)
+            _perform_upstream_effect(proxy, effect)
             continue
-        delivery = desk.deliveries.get(effect.request)
+        delivery = proxy.deliveries.get(effect.request)
         if delivery is None:
             continue
         match effect:
-            case effects.SendTo():
-                _send(desk, delivery, effect)
-            case effects.Abort():
-                _abort(desk, delivery)
-            case effects.Fail():
-                _fail(desk, delivery, effect)
-            case effects.BreakOff():
-                _forget(desk, effect.request, "broken_off")
+            case effects.SendRequest():
+                _send(proxy, delivery, effect)
+            case effects.AbortAttempt():
+                _abort(proxy, delivery)
+            case effects.AnswerError():
+                _fail(proxy, delivery, effect)
+            case effects.AbortResponse():
+                _forget(proxy, effect.request, "broken_off")
                 delivery.call.abort()
-            case effects.PassOn():
-                _pass_on(desk, delivery, effect.request)
+            case effects.ForwardResponse():
+                _pass_on(proxy, delivery, effect.request)
 
 
-def _perform_upstream_effect(desk: Desk, effect: effects.Effect) -> None:
+def _perform_upstream_effect(proxy: Proxy, effect: effects.Effect) -> None:
     """Carries out an effect that concerns an upstream."""
     match effect:
         case effects.CheckUpstream():
-            desk.client.check_reachable(
+            proxy.client.check_reachable(
                 effect.address,
-                lambda found: _take_check(desk, effect, found),
+                lambda found: _take_check(proxy, effect, found),
             )
         case effects.ReportCrash():
-            observation.count_event(desk.recorder, "upstream", "crashed")
+            observation.count_event(proxy.recorder, "upstream", "crashed")
             observation.write_record(
                 observation.Level.WARNING,
                 "upstream.crashed",
@@ -199,7 +208,7 @@
                 requests=effect.requests,
             )
         case effects.ReportQuarantine():
-            observation.count_event(desk.recorder, "request", "quarantined")
+            observation.count_event(proxy.recorder, "request", "quarantined")
             observation.write_record(
                 observation.Level.WARNING,
                 "quarantine.added",
@@ -209,25 +218,29 @@
 
 
 def _take_check(
-    desk: Desk, check: effects.CheckUpstream, found: transport.Reachability
+    proxy: Proxy, check: effects.CheckUpstream, found: transport.Reachability
 ) -> None:
     now = transport.read_clock()
-    perform(desk, crashes.take_check(desk.state, now, check, found))
+    perform_effects(
+        proxy, crashes.handle_check_result(proxy.state, now, check, found)
+    )
 
 
-def _abort(desk: Desk, delivery: _Delivery) -> None:
+def _abort(proxy: Proxy, delivery: _Delivery) -> None:
     if delivery.exchange is not None:
-        desk.client.abort(delivery.exchange)
+        proxy.client.abort(delivery.exchange)
         delivery.exchange = None
 
 
-def _fail(desk: Desk, delivery: _Delivery, effect: effects.Fail) -> None:
+def _fail(
+    proxy: Proxy, delivery: _Delivery, effect: effects.AnswerError
+) -> None:
     why = _list_fields(effect.refusal) if effect.refusal else {}
     if effect.fingerprint:
         why["fingerprint"] = effect.fingerprint.hex()
     ran = effect.ran or errors.ANSWERS[effect.kind].ran
     _forget(
-        desk,
+        proxy,
         effect.request,
         effect.kind.value,
         retry_after=effect.retry_after,
@@ -250,22 +263,22 @@
     return {name: getattr(refusal, name) for name in names}
 
 
-def _pass_on(desk: Desk, delivery: _Delivery, number: int) -> None:
+def _pass_on(proxy: Proxy, delivery: _Delivery, number: int) -> None:
     head = delivery.head
-    _forget(desk, number, "answered", status=head.status)
+    _forget(proxy, number, "answered", status=head.status)
     body = b"".join(delivery.held)
     delivery.call.respond(head.status, body, head.headers)
 
 
-def _send(desk: Desk, delivery: _Delivery, send: effects.SendTo) -> None:
+def _send(proxy: Proxy, delivery: _Delivery, send: effects.SendRequest) -> None:
     call, number = delivery.call, send.request
     now = transport.read_clock()
-    left = outcomes.note_sent(desk.state, now, number)
-    if left < dispatching.SHORTEST_LEFT:
+    left = outcomes.record_sent(proxy.state, now, number)
+    if left < dispatching.MIN_TIME_LEFT:
         return  # The timers answer it.
     send = dataclasses.replace(send, time_left=left)
     observation.note_hand_out(
-        desk.recorder,
+        proxy.recorder,
         delivery.track,
         now,
         str(send.attempt),
@@ -282,73 +295,73 @@
         idle=send.idle,
         time_left=round(send.time_left, 3),
     )
-    streams.start_over(delivery.splitter)
+    streams.prepare_resume(delivery.splitter)
     delivery.head, delivery.held = None, []
     last = delivery.splitter.last_id if call.begun else ""
     request = transport.OutgoingRequest(
         send.address,
         call.method,
         call.target,
-        desk.dialect.write_headers(call, send, last),
+        proxy.dialect.write_headers(call, send, last),
         call.body,
         fresh=send.fresh,
         host=call.headers.get("host", ""),
         keep=send.keep,
     )
-    delivery.exchange = desk.client.send(
+    delivery.exchange = proxy.client.send(
         request,
         transport.Listener(
             on_head=lambda status, headers: _take_head(
-                desk, delivery, number, status, headers
+                proxy, delivery, number, status, headers
             ),
-            on_data=lambda data: _take_data(desk, delivery, number, data),
-            on_end=lambda: _take_end(desk, delivery, number),
+            on_data=lambda data: _take_data(proxy, delivery, number, data),
+            on_end=lambda: _take_end(proxy, delivery, number),
             on_failure=lambda stage: _take_failure(
-                desk, delivery, number, stage
+                proxy, delivery, number, stage
             ),
-            is_ours=lambda headers: desk.dialect.is_ours(call, headers),
-            on_sent=lambda: outcomes.note_sent(
-                desk.state, transport.read_clock(), number
+            is_ours=lambda headers: proxy.dialect.is_ours(call, headers),
+            on_sent=lambda: outcomes.record_sent(
+                proxy.state, transport.read_clock(), number
             ),
         ),
     )
     # Once more, as a freeze before the system call is as long as any other.
-    outcomes.note_sent(desk.state, transport.read_clock(), number)
+    outcomes.record_sent(proxy.state, transport.read_clock(), number)
 
 
 def _take_head(
-    desk: Desk,
+    proxy: Proxy,
     delivery: _Delivery,
     number: int,
     status: int,
     headers: list[tuple[str, str]],
 ) -> None:
-    delivery.head = desk.dialect.read_answer(status, headers)
-    _note_upstream_state(desk, number, delivery.head)
+    delivery.head = proxy.dialect.read_answer(status, headers)
+    _note_upstream_state(proxy, number, delivery.head)
     verdict = delivery.head.verdict
     if verdict is dialects.Verdict.INVALID:
-        _abort(desk, delivery)
-        _end(desk, delivery, number, outcomes.AttemptEnd.BROKEN)
+        _abort(proxy, delivery)
+        _end(proxy, delivery, number, outcomes.AttemptEnd.BROKEN)
         return
     if verdict is dialects.Verdict.SUCCESS and delivery.first_head is None:
         delivery.first_head = delivery.head
     now = transport.read_clock()
-    outcomes.note_answer(desk.state, now, number, first=False)
+    outcomes.record_response(proxy.state, now, number, first=False)
 
 
 def _note_upstream_state(
-    desk: Desk, number: int, head: dialects.AnswerHead
+    proxy: Proxy, number: int, head: dialects.AnswerHead
 ) -> None:
     """Records a shutdown notice or retry delay from an upstream's response."""
-    request = desk.state.requests.get(number)
+    request = proxy.state.requests.get(number)
     if request is None or request.attempt is None:
         return
     upstream, now = request.attempt.upstream, transport.read_clock()
-    if outcomes.note_leaving(desk.state, now, number, head):
+    if outcomes.record_leaving(proxy.state, now, number, head):
         observation.write_record(
             observation.Level.INFO, "upstream.leaving", upstream=upstream
         )
-    if outcomes.note_retry_delay(desk.state, now, number, head):
+    if outcomes.record_retry_delay(proxy.state, now, number, head):
         observation.write_record(
             observation.Level.INFO,
             "upstream.resting",
@@ -356,13 +369,13 @@
             seconds=head.retry_after,
         )
         done = outcomes.refuse_delayed_requests(
-            desk.state, now, request.service
+            proxy.state, now, request.service
         )
-        perform(desk, done)
+        perform_effects(proxy, done)
 
 
 def _take_data(
-    desk: Desk, delivery: _Delivery, number: int, data: bytes
+    proxy: Proxy, delivery: _Delivery, number: int, data: bytes
 ) -> None:
     if (
         not delivery.streamed
@@ -372,73 +385,75 @@
         return
     events = streams.split_events(delivery.splitter, data)
     now = transport.read_clock()
-    outcomes.note_answer(desk.state, now, number, first=bool(events))
+    outcomes.record_response(proxy.state, now, number, first=bool(events))
     if events:
-        observation.note_piece(desk.recorder, delivery.track, now)
-        _write(desk, delivery, events)
+        observation.note_piece(proxy.recorder, delivery.track, now)
+        _write(proxy, delivery, events)
 
 
-def _write(desk: Desk, delivery: _Delivery, data: bytes) -> None:
+def _write(proxy: Proxy, delivery: _Delivery, data: bytes) -> None:
     call = delivery.call
     if not call.begun:
         call.begin(delivery.first_head.status, delivery.first_head.headers)
-        call.on_drained = lambda: _resume(desk, delivery)
+        call.on_drained = lambda: _resume(proxy, delivery)
     call.write(data)
     if call.backlog > MOST_UNSENT and delivery.exchange is not None:
-        desk.client.pause(delivery.exchange, True)
+        proxy.client.pause(delivery.exchange, True)
 
 
-def _resume(desk: Desk, delivery: _Delivery) -> None:
+def _resume(proxy: Proxy, delivery: _Delivery) -> None:
     if delivery.exchange is not None:
-        desk.client.pause(delivery.exchange, False)
+        proxy.client.pause(delivery.exchange, False)
 
 
-def _take_end(desk: Desk, delivery: _Delivery, number: int) -> None:
+def _take_end(proxy: Proxy, delivery: _Delivery, number: int) -> None:
     delivery.exchange = None
     end = _ENDS[delivery.head.verdict]
     if end is outcomes.AttemptEnd.COMPLETE:
-        _complete(desk, delivery, number)
-    _end(desk, delivery, number, end)
+        _complete(proxy, delivery, number)
+    _end(proxy, delivery, number, end)
 
 
-def _complete(desk: Desk, delivery: _Delivery, number: int) -> None:
+def _complete(proxy: Proxy, delivery: _Delivery, number: int) -> None:
     if not delivery.streamed:
-        _pass_on(desk, delivery, number)
+        _pass_on(proxy, delivery, number)
         return
     rest = streams.flush_rest(delivery.splitter)
-    _write(desk, delivery, rest)
+    _write(proxy, delivery, rest)
     delivery.call.end()
-    _forget(desk, number, "answered", status=delivery.first_head.status)
+    _forget(proxy, number, "answered", status=delivery.first_head.status)
 
 
 def _take_failure(
-    desk: Desk, delivery: _Delivery, number: int, stage: transport.Stage
+    proxy: Proxy, delivery: _Delivery, number: int, stage: transport.Stage
 ) -> None:
     delivery.exchange = None
     unsent = stage is transport.Stage.NOT_SENT
     end = outcomes.AttemptEnd.NOT_SENT if unsent else outcomes.AttemptEnd.BROKEN
     if not unsent:
         now = transport.read_clock()
-        perform(desk, crashes.note_disconnect(desk.state, now, number))
-    _end(desk, delivery, number, end, lost_after_send=not unsent)
+        perform_effects(
+            proxy, crashes.record_disconnect(proxy.state, now, number)
+        )
+    _end(proxy, delivery, number, end, lost_after_send=not unsent)
 
 
 def _end(
-    desk: Desk,
+    proxy: Proxy,
     delivery: _Delivery,
     number: int,
     end: outcomes.AttemptEnd,
     lost_after_send: bool = False,
 ) -> None:
     fields = {}
-    request = desk.state.requests.get(number)
+    request = proxy.state.requests.get(number)
     if request is not None and request.attempt is not None:
         fields["sidecar"] = request.attempt.upstream
         if lost_after_send:
-            fingerprint = fingerprints.find_fingerprint(request)
+            fingerprint = fingerprints.get_fingerprint(request)
             fields["fingerprint"] = fingerprint.hex()
     observation.note_attempt_end(
-        desk.recorder, delivery.track, end.value, **fields
+        proxy.recorder, delivery.track, end.value, **fields
     )
     now = transport.read_clock()
-    perform(desk, outcomes.end_attempt(desk.state, now, number, end))
+    perform_effects(proxy, outcomes.end_attempt(proxy.state, now, number, end))
--- a/sycamorefall/direct/replica.py
+++ b/sycamorefall/direct/replica.py
@@ -1,24 +1,24 @@
 """This process's replica of the platform's records; no I/O.
 
-It is brought up to date by reads of its own (`following`) and by what other
+It is brought up to date by reads of its own (`read_schedule`) and by what other
 routers tell (`readers`). What it is told never makes it believe something to
 be newer than it is: a time that another router tells is put in terms of this
 process's clock, by a message that this process sent before.
 """
 
 __all__ = [
-    "Adopt",
+    "ApplyRecords",
+    "CancelRead",
     "Effect",
-    "Prove",
+    "RecordProof",
     "Replica",
+    "SendMessage",
     "StartRead",
-    "StopRead",
-    "Tell",
     "create_replica",
     "find_next_due",
-    "note_failure",
-    "note_probe",
-    "note_snapshot",
+    "handle_probe",
+    "handle_read_failure",
+    "handle_snapshot",
     "receive_message",
     "run_timers",
 ]
@@ -27,7 +27,7 @@
 import dataclasses
 
 from sycamorefall import messages
-from sycamorefall.direct import following as following_module
+from sycamorefall.direct import read_schedule as read_schedule_module
 from sycamorefall.direct import readers as readers_module
 from sycamorefall.direct import records as records_module
 
@@ -49,16 +49,16 @@
 class StartRead:
     """Send a read to the platform."""
 
-    kind: following_module.Read
+    kind: read_schedule_module.ReadKind
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class StopRead:
+class CancelRead:
     """Give up the read in progress."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Tell:
+class SendMessage:
     """Send a control message to a router."""
 
     to: str
@@ -66,18 +66,18 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Adopt:
+class ApplyRecords:
     """Bring the records into force: some have changed."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Prove:
+class RecordProof:
     """What is in force was the newest at a time."""
 
     proven_at: float
 
 
-Effect = StartRead | StopRead | Tell | Adopt | Prove
+Effect = StartRead | CancelRead | SendMessage | ApplyRecords | RecordProof
 
 
 @dataclasses.dataclass(slots=True)
@@ -88,23 +88,23 @@
         process: Incarnation of this process.
         control: Where it takes control messages.
         records: What is known.
-        following: When to read the platform.
+        read_schedule: When to read the platform.
         readers: Who reads for whom.
         heard: Latest revision that another router told.
-        heard_proof: When that was the newest.
-        choose_at: When the readers are chosen next.
+        announced_proof: When that was the newest.
+        choose_readers_at: When the readers are chosen next.
     """
 
     process: int
     control: str
-    following: following_module.Following
-    readers: readers_module.Readers
+    read_schedule: read_schedule_module.ReadSchedule
+    readers: readers_module.ReaderSelection
     records: records_module.Records = dataclasses.field(
         default_factory=records_module.Records
     )
     heard: int = 0
-    heard_proof: float = float("-inf")
-    choose_at: float = float("-inf")
+    announced_proof: float = float("-inf")
+    choose_readers_at: float = float("-inf")
 
 
 def create_replica(
@@ -112,7 +112,7 @@
     seed: int,
     process: int,
     control: str,
-    readers: readers_module.Readers,
+    readers: readers_module.ReaderSelection,
     seeds: Sequence[str],
 ) -> Replica:
     """Creates the replica of a process that knows nothing.
@@ -127,23 +127,23 @@
             messages. Each of them reads for itself at once.
     """
     alone = not seeds or control in seeds
-    following = following_module.create_following(now, seed, alone)
-    replica = Replica(process, control, following, readers)
+    read_schedule = read_schedule_module.create_read_schedule(now, seed, alone)
+    replica = Replica(process, control, read_schedule, readers)
     readers.subscriptions = {
         address: readers_module.Subscription(now, float("-inf"), now, False)
         for address in seeds
         if address != control
     }
-    replica.choose_at = now + CATCH_UP
+    replica.choose_readers_at = now + CATCH_UP
     return replica
 
 
 def find_next_due(replica: Replica) -> float:
     """Tells when `run_timers` has something to do next."""
     return min(
-        following_module.find_next_due(replica.following),
+        read_schedule_module.find_next_due(replica.read_schedule),
         readers_module.find_next_due(replica.readers),
-        replica.choose_at,
+        replica.choose_readers_at,
     )
 
 
@@ -161,38 +161,42 @@
     Returns:
         What is to be done.
     """
-    following, readers = replica.following, replica.readers
+    read_schedule, readers = replica.read_schedule, replica.readers
     done: list[Effect] = []
-    if following_module.is_expired(following, now):
-        done += [StopRead(), *note_failure(replica, now)]
-    if now >= replica.choose_at:
-        replica.choose_at = now + CHOICE_INTERVAL
-        able = following.failures == 0
-        following.leads = readers_module.choose_readers(
+    if read_schedule_module.is_read_expired(read_schedule, now):
+        done += [CancelRead(), *handle_read_failure(replica, now)]
+    if now >= replica.choose_readers_at:
+        replica.choose_readers_at = now + CHOICE_INTERVAL
+        able = read_schedule.failures == 0
+        read_schedule.is_reader = readers_module.choose_readers(
             readers, now, rank_routers(), able
         )
-    for name, changes_only in readers_module.plan_subscriptions(readers, now):
+    for name, changes_only in readers_module.renew_due_subscriptions(
+        readers, now
+    ):
         asked = messages.Subscribe(
             replica.control, now, replica.records.revision, changes_only
         )
-        done.append(Tell(name, asked))
-    kind = following_module.plan_read(following, now)
+        done.append(SendMessage(name, asked))
+    kind = read_schedule_module.start_due_read(read_schedule, now)
     if kind is not None:
         done.append(StartRead(kind))
     return done
 
 
-def note_probe(replica: Replica, now: float, revision: int) -> list[Effect]:
+def handle_probe(replica: Replica, now: float, revision: int) -> list[Effect]:
     """Takes note of the platform's revision that a probe showed."""
-    was_able = replica.following.failures == 0
-    sent_at = following_module.note_end(replica.following, now, good=True)
+    was_able = replica.read_schedule.failures == 0
+    sent_at = read_schedule_module.finish_read(
+        replica.read_schedule, now, good=True
+    )
     if revision > replica.records.revision:
-        following_module.note_behind(replica.following, now)
+        read_schedule_module.schedule_snapshot(replica.read_schedule, now)
         return [] if was_able else _tell_all(replica, now)
     return _prove(replica, now, sent_at, here=True)
 
 
-def note_snapshot(
+def handle_snapshot(
     replica: Replica,
     now: float,
     revision: int,
@@ -209,26 +213,28 @@
     Returns:
         What is to be done.
     """
-    sent_at = following_module.note_end(replica.following, now, good=True)
+    sent_at = read_schedule_module.finish_read(
+        replica.read_schedule, now, good=True
+    )
     before = replica.records.revision
-    outcome = records_module.replace_all(replica.records, revision, listed)
+    outcome = records_module.apply_snapshot(replica.records, revision, listed)
     done: list[Effect] = []
-    if outcome is not records_module.Outcome.UNCHANGED or not before:
-        done.append(Adopt())
-    replica.following.behind_at = float("inf")
+    if outcome is not records_module.UpdateOutcome.UNCHANGED or not before:
+        done.append(ApplyRecords())
+    replica.read_schedule.snapshot_due_at = float("inf")
     return done + _note_caught_up(replica, now, sent_at, before, here=True)
 
 
-def note_failure(replica: Replica, now: float) -> list[Effect]:
+def handle_read_failure(replica: Replica, now: float) -> list[Effect]:
     """Takes note of a read that gave nothing.
 
     The others are told at once: they would wait for a proof that doesn't come.
     """
-    was_able = replica.following.failures == 0
-    following_module.note_end(replica.following, now, good=False)
+    was_able = replica.read_schedule.failures == 0
+    read_schedule_module.finish_read(replica.read_schedule, now, good=False)
     if not was_able:
         return []
-    replica.choose_at = now
+    replica.choose_readers_at = now
     return _tell_all(replica, now)
 
 
@@ -262,9 +268,9 @@
     replica: Replica, now: float, envelope: messages.Envelope
 ) -> list[Effect]:
     asked: messages.Subscribe = envelope.message
-    is_new = readers_module.note_subscriber(replica.readers, now, envelope)
+    is_new = readers_module.record_subscription(replica.readers, now, envelope)
     lags = asked.revision < replica.records.revision
-    if is_new or lags or replica.following.failures:
+    if is_new or lags or replica.read_schedule.failures:
         one = replica.readers.subscribers[envelope.sender]
         return [_describe_state(replica, envelope.sender, one)]
     return []
@@ -272,14 +278,14 @@
 
 def _describe_state(
     replica: Replica, name: str, one: readers_module.Subscriber
-) -> Tell:
+) -> SendMessage:
     state = messages.ReaderState(
         one.process,
         replica.records.revision,
-        replica.following.proven_at + one.offset,
-        replica.following.failures == 0,
+        replica.read_schedule.proven_at + one.offset,
+        replica.read_schedule.failures == 0,
     )
-    return Tell(name, state)
+    return SendMessage(name, state)
 
 
 def _tell_all(
@@ -305,24 +311,26 @@
     if told.able:
         readers.barred.pop(sender, None)
     elif readers.barred.get(sender, now) <= now:
-        readers_module.bar_reader(readers, now, sender)
-        replica.choose_at = now
+        readers_module.exclude_reader(readers, now, sender)
+        replica.choose_readers_at = now
     proven_at = min(told.proven_at, now)
     if told.revision <= replica.records.revision:
         return _prove(replica, now, proven_at, here=False)
-    if told.revision >= replica.heard and proven_at >= replica.heard_proof:
-        replica.heard, replica.heard_proof = told.revision, proven_at
-    following_module.note_behind(replica.following, now + CATCH_UP)
+    if told.revision >= replica.heard and proven_at >= replica.announced_proof:
+        replica.heard, replica.announced_proof = told.revision, proven_at
+    read_schedule_module.schedule_snapshot(
+        replica.read_schedule, now + CATCH_UP
+    )
     fetch = messages.FetchRecords(replica.records.revision)
-    return [Tell(sender, fetch)]
+    return [SendMessage(sender, fetch)]
 
 
 def _answer_fetch(replica: Replica, sender: str, since: int) -> list[Effect]:
     if not replica.records.revision:
         return []
-    changes = records_module.write_changes(replica.records, since)
+    changes = records_module.collect_changes(replica.records, since)
     size = sum(len(record.value) for record in changes.records)
-    return [Tell(sender, changes)] if size <= LARGEST_CHANGES else []
+    return [SendMessage(sender, changes)] if size <= LARGEST_CHANGES else []
 
 
 def _take_changes(
@@ -331,10 +339,10 @@
     before = replica.records.revision
     outcome = records_module.apply_changes(replica.records, changes)
     done: list[Effect] = []
-    if outcome is not records_module.Outcome.UNCHANGED:
-        done.append(Adopt())
-    if outcome is records_module.Outcome.INCOMPLETE:
-        return [*done, Tell(sender, messages.FetchRecords(0))]
+    if outcome is not records_module.UpdateOutcome.UNCHANGED:
+        done.append(ApplyRecords())
+    if outcome is records_module.UpdateOutcome.INCOMPLETE:
+        return [*done, SendMessage(sender, messages.FetchRecords(0))]
     return done + _note_caught_up(
         replica, now, float("-inf"), before, here=False
     )
@@ -357,14 +365,16 @@
     """
     revision = replica.records.revision
     if revision >= replica.heard:
-        if replica.heard_proof > proven_at:
-            proven_at, here = replica.heard_proof, False
-        replica.following.behind_at = float("inf")
+        if replica.announced_proof > proven_at:
+            proven_at, here = replica.announced_proof, False
+        replica.read_schedule.snapshot_due_at = float("inf")
     else:
-        following_module.note_behind(replica.following, now + CATCH_UP)
+        read_schedule_module.schedule_snapshot(
+            replica.read_schedule, now + CATCH_UP
+        )
     done = _prove(replica, now, proven_at, here)
     if revision > before:
-        told = [one for one in done if not isinstance(one, Tell)]
+        told = [one for one in done if not isinstance(one, SendMessage)]
         return told + _tell_all(replica, now, changed=True)
     return done
 
@@ -373,7 +383,9 @@
     replica: Replica, now: float, proven_at: float, here: bool
 ) -> list[Effect]:
     """Takes note that what is known was the newest at a time."""
-    if not following_module.note_proof(replica.following, proven_at, here):
+    if not read_schedule_module.record_proof(
+        replica.read_schedule, proven_at, here
+    ):
         return []
-    proved: list[Effect] = [Prove(proven_at)]
+    proved: list[Effect] = [RecordProof(proven_at)]
     return proved + _tell_all(replica, now) if here else proved
--- a/sycamorefall/direct/replicator.py
+++ b/sycamorefall/direct/replicator.py
@@ -1,6 +1,10 @@
 """Keeps a process's replica of the platform's records up to date."""
 
-__all__ = ["Replicator", "Source", "create_replicator"]
+__all__ = [
+    "RecordSource",
+    "Replicator",
+    "create_replicator",
+]
 
 import collections
 from collections.abc import Callable, Iterable
@@ -8,23 +12,23 @@
 
 from sycamorefall import messages, observation, transport
 from sycamorefall.direct import (
-    following,
+    read_schedule,
     readers,
     records,
     replica,
 )
 
 
-class Source(Protocol):
+class RecordSource(Protocol):
     """Reads the platform and brings what it publishes into force."""
 
-    def start_read(self, kind: following.Read) -> None:
+    def start_read(self, kind: read_schedule.ReadKind) -> None:
         """Sends a read; its end is told to the `Replicator`."""
 
-    def stop_read(self) -> None:
+    def cancel_read(self) -> None:
         """Gives up the read in progress."""
 
-    def adopt(self, known: records.Records) -> None:
+    def apply_records(self, known: records.Records) -> None:
         """Brings records into force, as far as they are new."""
 
 
@@ -64,7 +68,7 @@
                 newest for certain.
         """
         self.replica = kept
-        self.source: Source | None = None
+        self.source: RecordSource | None = None
         self.reads: collections.Counter[tuple[str, str]] = collections.Counter()
         self._rank_routers = rank_routers
         self._tell = tell
@@ -77,7 +81,7 @@
 
     def run(self, now: float) -> None:
         """Sends what is due and gives up late reads."""
-        if following.is_expired(self.replica.following, now):
+        if read_schedule.is_read_expired(self.replica.read_schedule, now):
             self._note_lost("timeout")
         done = replica.run_timers(self.replica, now, self._rank_routers)
         self._perform(done)
@@ -89,52 +93,54 @@
 
     def extend_read(self) -> None:
         """Takes note that a part of the answer has come."""
-        following.extend_read(self.replica.following, transport.read_clock())
+        read_schedule.extend_read(
+            self.replica.read_schedule, transport.read_clock()
+        )
 
-    def take_probe(self, revision: int) -> None:
+    def receive_probe(self, revision: int) -> None:
         """Takes the platform's revision that was read."""
-        self._note_regained(following.Read.PROBE)
+        self._note_regained(read_schedule.ReadKind.PROBE)
         now = transport.read_clock()
-        self._perform(replica.note_probe(self.replica, now, revision))
+        self._perform(replica.handle_probe(self.replica, now, revision))
 
-    def take_snapshot(
+    def receive_snapshot(
         self, revision: int, listed: Iterable[messages.Record]
     ) -> None:
         """Takes all records that were read, as of a revision."""
-        self._note_regained(following.Read.SNAPSHOT)
+        self._note_regained(read_schedule.ReadKind.SNAPSHOT)
         now = transport.read_clock()
-        done = replica.note_snapshot(self.replica, now, revision, listed)
+        done = replica.handle_snapshot(self.replica, now, revision, listed)
         self._perform(done)
 
-    def take_failure(self, reason: str) -> None:
+    def receive_failure(self, reason: str) -> None:
         """Takes note of a read that gave nothing."""
         self._note_lost(reason)
         now = transport.read_clock()
-        self._perform(replica.note_failure(self.replica, now))
+        self._perform(replica.handle_read_failure(self.replica, now))
 
     def _perform(self, done: Iterable[replica.Effect]) -> None:
         for effect in done:
             match effect:
                 case replica.StartRead(kind):
                     self.source.start_read(kind)
-                case replica.StopRead():
-                    self.source.stop_read()
-                case replica.Tell(to, message):
+                case replica.CancelRead():
+                    self.source.cancel_read()
+                case replica.SendMessage(to, message):
                     self._tell((to,), message)
-                case replica.Adopt():
-                    self.source.adopt(self.replica.records)
-                case replica.Prove(proven_at):
+                case replica.ApplyRecords():
+                    self.source.apply_records(self.replica.records)
+                case replica.RecordProof(proven_at):
                     self._prove(proven_at)
 
     def _note_lost(self, reason: str) -> None:
-        self.reads[self.replica.following.read.value, "failed"] += 1
+        self.reads[self.replica.read_schedule.read.value, "failed"] += 1
         if self._is_reachable:
             self._is_reachable = False
             observation.write_record(
                 observation.Level.WARNING, "platform.lost", reason=reason
             )
 
-    def _note_regained(self, kind: following.Read) -> None:
+    def _note_regained(self, kind: read_schedule.ReadKind) -> None:
         self.reads[kind.value, "answered"] += 1
         if not self._is_reachable:
             self._is_reachable = True
@@ -144,7 +150,7 @@
 
 
 def create_replicator(
-    place: readers.Readers,
+    place: readers.ReaderSelection,
     process: int,
     control: str,
     seeds: tuple[str, ...],
