--- a/sycamorefall/direct/claims.py
+++ b/sycamorefall/direct/service_floors.py
@@ -1,21 +1,29 @@
 """Which engines the other routers leave to teams that wait here; no I/O."""
 
-__all__ = ["MOST_CLAIMS", "find_floors"]
+__all__ = [
+    "MAX_ENGINES_PER_REQUEST",
+    "compute_floors",
+]
 
 import math
 
-from sycamorefall.direct import catalog, needs, placing, waiting
+from sycamorefall.direct import (
+    catalog,
+    fair_queue,
+    placement_constraints,
+    upstream_selection,
+)
 from sycamorefall.direct import (
     state as state_module,
 )
 
-MOST_CLAIMS = 8
+MAX_ENGINES_PER_REQUEST = 8
 """Engines that the other routers leave to one waiting request: one of so many
 has room soon. Were all of them left to it, teams that wait at different
 routers would keep each other from engines that stand half empty."""
 
 
-def find_floors(
+def compute_floors(
     state: state_module.DirectState, now: float, short: bool = False
 ) -> dict[str, int]:
     """Finds the least that a team received that waits here, by engine.
@@ -34,16 +42,16 @@
         left out.
     """
     floors: dict[str, int] = {}
-    for name, room in state.rooms.items():
+    for name, room in state.service_queues.items():
         service = state.catalog.services.get(name)
         if service is not None and service.engine is not None:
-            accounts = state_module.find_accounts(state, name)
-            teams = waiting.order_teams(room, accounts, now)
+            accounts = state_module.get_or_create_accounts(state, name)
+            teams = fair_queue.order_teams(room, accounts, now)
             if short:
                 teams = [
                     team
                     for team in teams
-                    if waiting.is_short(accounts, now, team)
+                    if fair_queue.was_refused_recently(accounts, now, team)
                 ]
             floors |= _find_room_floors(state, now, service, room, teams)
     return floors
@@ -53,7 +61,7 @@
     state: state_module.DirectState,
     now: float,
     service: catalog.Service,
-    room: waiting.WaitingRoom,
+    room: fair_queue.ServiceQueue,
     teams: list[str],
 ) -> dict[str, int]:
     """Finds the floors of one service's engines.
@@ -67,20 +75,24 @@
     floors: dict[str, int] = {}
     if not teams:
         return floors
-    accounts = state_module.find_accounts(state, service.name)
-    standings = placing.list_standings(state.table, now, service, full=True)
-    left = {one.upstream: one for one in standings}
+    accounts = state_module.get_or_create_accounts(state, service.name)
+    engine_loads = upstream_selection.list_engine_loads(
+        state.table, now, service, full=True
+    )
+    left = {one.upstream: one for one in engine_loads}
     for team in teams:
-        received = int(waiting.read_service(accounts, now, team))
-        candidates = list(waiting.list_candidates(room, team))
-        stands_for = waiting.count_waiting(room, team) / len(candidates)
-        most = math.ceil(MOST_CLAIMS * stands_for)
+        received = int(fair_queue.compute_received(accounts, now, team))
+        candidates = list(fair_queue.list_candidates(room, team))
+        stands_for = fair_queue.count_waiting(room, team) / len(candidates)
+        most = math.ceil(MAX_ENGINES_PER_REQUEST * stands_for)
         for number in candidates:
             if not left:
                 return floors
-            need = needs.describe_need(state, now, state.requests[number])
-            found = placing.list_waited_for(
-                state.table, now, service, need, left.values()
+            constraints = placement_constraints.compute_constraints(
+                state, now, state.requests[number]
+            )
+            found = upstream_selection.list_awaited_engines(
+                state.table, now, service, constraints, left.values()
             )
             for one in found[:most]:
                 del left[one]
--- a/sycamorefall/direct/silence.py
+++ b/sycamorefall/direct/stalls.py
@@ -1,23 +1,25 @@
 """Upstreams that say nothing, and the requests that are better elsewhere."""
 
-__all__ = ["check_silence"]
+__all__ = [
+    "handle_stalls",
+]
 
 from sycamorefall.direct import dispatching, effects, outcomes, upstreams
 from sycamorefall.direct import state as state_module
 
-SILENT_ENGINE = 1.0
+ENGINE_STALL_TIMEOUT = 1.0
 """Seconds without a byte after which an engine that was making tokens is taken
 to hang: a step takes a hundredth of that, the longest prompt two thirds."""
 
-SILENT_BEFORE_FIRST = 2.0
+PREFILL_STALL_TIMEOUT = 2.0
 """The same for an engine that only reads prompts for this router."""
 
-SILENT_PLAIN = 0.5
+PLAIN_RESPONSE_TIMEOUT = 0.5
 """Seconds after which an answer of a plain service is given up if the request
 may be repeated: ten times what one takes."""
 
 
-def check_silence(
+def handle_stalls(
     state: state_module.DirectState, now: float
 ) -> list[effects.Effect]:
     """Looks for upstreams that say nothing, and moves what may be moved.
@@ -41,7 +43,7 @@
         if _is_stuck(state, now, request, hanging)
     ]
     for name in hanging:
-        upstreams.bar_upstream(state.table.by_name[name], now)
+        upstreams.suspend_upstream(state.table.by_name[name], now)
     for request in stuck:
         done += _move(state, now, request)
     return done
@@ -64,10 +66,10 @@
     times a second it took 0.35 ms for 208 requests and 450 that wait, and
     takes 0.2 ms with this (`benchmarks.direct`).
     """
-    limit = min(SILENT_ENGINE, SILENT_BEFORE_FIRST)
+    limit = min(ENGINE_STALL_TIMEOUT, PREFILL_STALL_TIMEOUT)
     known = state.table.by_name
     names = {request.attempt.upstream for request in running} & known.keys()
-    return {name for name in names if now - known[name].heard_at > limit}
+    return {name for name in names if now - known[name].last_byte_at > limit}
 
 
 def _end_former_lives(
@@ -94,7 +96,7 @@
         attempt = request.attempt
         if (attempt.upstream, attempt.born) in former:
             end = outcomes.AttemptEnd.BROKEN
-            ended.append(effects.Abort(request.number))
+            ended.append(effects.AbortAttempt(request.number))
             ended += outcomes.end_attempt(state, now, request.number, end)
     return ended
 
@@ -109,8 +111,12 @@
     upstream = state_module.find_upstream(state, attempt)
     if upstream is None or not request.route.kind.streamed:
         return False
-    limit = SILENT_ENGINE if attempt.answered else SILENT_BEFORE_FIRST
-    return now - max(upstream.heard_at, attempt.sent_at) > limit
+    limit = (
+        ENGINE_STALL_TIMEOUT
+        if attempt.response_started
+        else PREFILL_STALL_TIMEOUT
+    )
+    return now - max(upstream.last_byte_at, attempt.sent_at) > limit
 
 
 def _is_stuck(
@@ -120,14 +126,14 @@
     hanging: set[str],
 ) -> bool:
     """Tells whether a request is better sent to another upstream."""
-    if not request.route.kind.repeatable:
+    if not request.route.kind.retryable:
         return False
-    if request.runs + 1 >= request.route.most_upstreams:
+    if request.possible_runs + 1 >= request.route.max_upstreams:
         return False
     attempt = request.attempt
     if request.route.kind.streamed:
         return attempt.upstream in hanging
-    return now - attempt.sent_at > SILENT_PLAIN
+    return now - attempt.sent_at > PLAIN_RESPONSE_TIMEOUT
 
 
 def _move(
@@ -137,11 +143,11 @@
 ) -> list[effects.Effect]:
     name = request.attempt.upstream
     outcomes.refund_attempt(state, now, request, request.attempt)
-    aborted = outcomes.drop_attempt(state, request, now)
+    aborted = outcomes.abort_attempt(state, request, now)
     upstream = state.table.by_name.get(name)
     if upstream is not None:
-        upstreams.note_failure(upstream, now)
+        upstreams.record_failure(upstream, now)
     again = dispatching.try_send(state, now, request)
     if again:
         return [*aborted, *again]
-    return [*aborted, *outcomes.refuse_request(state, request, now)]
+    return [*aborted, *outcomes.fail_request(state, request, now)]
--- a/sycamorefall/direct/state.py
+++ b/sycamorefall/direct/state.py
@@ -8,9 +8,9 @@
     "Placement",
     "Request",
     "create_state",
-    "find_accounts",
     "find_upstream",
-    "find_urgency",
+    "get_or_create_accounts",
+    "get_or_create_recent_targets",
 ]
 
 import dataclasses
@@ -19,17 +19,17 @@
 from sycamorefall import settings
 from sycamorefall.direct import (
     budget,
+    fair_queue,
     prompts,
     stopping,
     upstreams,
-    waiting,
 )
 from sycamorefall.direct import catalog as catalog_module
 from sycamorefall.direct import freshness as freshness_module
+from sycamorefall.direct import latency_targets as latency_targets_module
 from sycamorefall.direct import overload as overload_module
 from sycamorefall.direct import patience as patience_module
 from sycamorefall.direct import quarantine as quarantine_module
-from sycamorefall.direct import urgency as urgency_module
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -64,14 +64,14 @@
     Attributes:
         number: Counts the sends of the request, from 1.
         upstream: The incarnation.
-        born: Its life under that name; see `upstreams.Listed`.
+        born: Its life under that name; see `upstreams.UpstreamEntry`.
         sent_at: When it was sent.
         unread: Prompt tokens it adds until it begins to answer.
         queued: Prompt tokens that were ahead of it, its own included.
         memory: Tokens it takes of the engine's cache.
         cost: Cost units that its team was charged.
         charged_at: When that was.
-        answered: Whether its answer has begun.
+        response_started: Whether its answer has begun.
     """
 
     number: int
@@ -83,7 +83,7 @@
     memory: int = 0
     cost: int = 0
     charged_at: float = 0.0
-    answered: bool = False
+    response_started: bool = False
 
 
 @dataclasses.dataclass(slots=True)
@@ -101,10 +101,10 @@
         target_at: When the first part of its answer is due.
         give_up_at: When it is refused if it still waits.
         sends: Times it was sent.
-        runs: Upstreams that may have run it.
+        possible_runs: Upstreams that may have run it.
         tried: Upstreams that had it.
         attempt: Where it is now; None while it waits.
-        begun: Whether the caller has a part of the answer.
+        forwarding_started: Whether the caller has a part of the answer.
         part_uses: How often its last shared part was asked for lately.
         fingerprint: Its fingerprint; empty until it is computed.
     """
@@ -119,10 +119,10 @@
     target_at: float
     give_up_at: float
     sends: int = 0
-    runs: int = 0
+    possible_runs: int = 0
     tried: set[str] = dataclasses.field(default_factory=set)
     attempt: Attempt | None = None
-    begun: bool = False
+    forwarding_started: bool = False
     part_uses: float = 0.0
     fingerprint: bytes = b""
 
@@ -134,12 +134,13 @@
     Attributes:
         upstream: The incarnation.
         prompt: The prompt.
-        news: Tokens of its shared parts that the engine wasn't known to hold.
+        new_tokens: Tokens of its shared parts that the engine wasn't known to
+            hold.
     """
 
     upstream: str
     prompt: prompts.Prompt
-    news: int
+    new_tokens: int
 
 
 @dataclasses.dataclass(slots=True)
@@ -175,24 +176,25 @@
         running: How many of them are at an upstream. Counted, as the loop
             asks at each of its passes whether there is one: looking for one
             among 450 that wait took 20 us, and the whole pass takes 3 us now.
-        rooms: Waiting requests by service.
+        service_queues: Waiting requests by service.
         accounts: What teams received, by service.
         budgets: Second sends, by service.
         urgency: How soon answers are due, by service.
         deadlines: Heap of (time, request).
         uses: How often prompt parts were asked for lately.
         patience: How long callers are ready to wait, by route.
-        unread_sent: Prompt tokens sent to be read since the other routers
+        total_unread_sent: Prompt tokens sent to be read since the other routers
             were last told.
         placements: Prompts with long shared parts sent since then.
         quarantine: Requests suspected of crashing upstreams.
         disconnects: Lost connections, by the process that may have crashed.
         overload: How late the process was lately.
         routers: Routers that were heard lately, this one included.
-        serve: Whether a place may have come free for a waiting request.
-        served_at: When waiting requests were last looked at.
-        look_pause: Seconds until they may be looked at again.
-        checked_at: When upstreams were last looked at for silence.
+        dispatch_needed: Whether a place may have come free for a waiting
+            request.
+        last_dispatch_at: When waiting requests were last looked at.
+        min_dispatch_interval: Seconds until they may be looked at again.
+        stalls_checked_at: When upstreams were last looked at for silence.
         last_number: Number of the last request.
     """
 
@@ -207,24 +209,26 @@
     )
     requests: dict[int, Request] = dataclasses.field(default_factory=dict)
     running: int = 0
-    rooms: dict[str, waiting.WaitingRoom] = dataclasses.field(
+    service_queues: dict[str, fair_queue.ServiceQueue] = dataclasses.field(
         default_factory=dict
     )
-    accounts: dict[str, waiting.TeamAccounts] = dataclasses.field(
+    accounts: dict[str, fair_queue.TeamAccounts] = dataclasses.field(
         default_factory=dict
     )
     budgets: dict[str, budget.RetryBudget] = dataclasses.field(
         default_factory=dict
     )
-    urgency: dict[str, urgency_module.Urgency] = dataclasses.field(
-        default_factory=dict
+    urgency: dict[str, latency_targets_module.RecentTargets] = (
+        dataclasses.field(default_factory=dict)
     )
     deadlines: list[tuple[float, int]] = dataclasses.field(default_factory=list)
-    uses: prompts.PartUses = dataclasses.field(default_factory=prompts.PartUses)
+    uses: prompts.PartUsage = dataclasses.field(
+        default_factory=prompts.PartUsage
+    )
     patience: dict[str, patience_module.Patience] = dataclasses.field(
         default_factory=dict
     )
-    unread_sent: int = 0
+    total_unread_sent: int = 0
     placements: list[Placement] = dataclasses.field(default_factory=list)
     quarantine: quarantine_module.Quarantine = dataclasses.field(
         default_factory=quarantine_module.Quarantine
@@ -236,10 +240,10 @@
         default_factory=overload_module.Overload
     )
     routers: int = 1
-    serve: bool = False
-    served_at: float = 0.0
-    look_pause: float = 0.0
-    checked_at: float = 0.0
+    dispatch_needed: bool = False
+    last_dispatch_at: float = 0.0
+    min_dispatch_interval: float = 0.0
+    stalls_checked_at: float = 0.0
     last_number: int = 0
 
 
@@ -266,11 +270,13 @@
     )
 
 
-def find_accounts(state: DirectState, service: str) -> waiting.TeamAccounts:
+def get_or_create_accounts(
+    state: DirectState, service: str
+) -> fair_queue.TeamAccounts:
     """Finds what teams received of a service."""
     known = state.accounts.get(service)
     if known is None:
-        known = state.accounts[service] = waiting.TeamAccounts()
+        known = state.accounts[service] = fair_queue.TeamAccounts()
     return known
 
 
@@ -284,9 +290,11 @@
     return upstream
 
 
-def find_urgency(state: DirectState, service: str) -> urgency_module.Urgency:
+def get_or_create_recent_targets(
+    state: DirectState, service: str
+) -> latency_targets_module.RecentTargets:
     """Finds how soon answers of a service are due."""
     known = state.urgency.get(service)
     if known is None:
-        known = state.urgency[service] = urgency_module.Urgency()
+        known = state.urgency[service] = latency_targets_module.RecentTargets()
     return known
--- a/sycamorefall/direct/stopping.py
+++ b/sycamorefall/direct/stopping.py
@@ -6,7 +6,12 @@
 gets an answer: what can still be served is, the rest is refused as not run.
 """
 
-__all__ = ["Stop", "is_over", "may_end_listening", "may_take"]
+__all__ = [
+    "Stop",
+    "may_accept",
+    "may_end_listening",
+    "may_exit",
+]
 
 import dataclasses
 
@@ -45,14 +50,14 @@
     quiet_since: float | None = None
 
 
-def may_take(stop: Stop, now: float, answer_by: float) -> bool:
+def may_accept(stop: Stop, now: float, answer_by: float) -> bool:
     """Tells whether a request may be taken: it must end before the process.
 
     Example:
         >>> stop = Stop(8.0, since=0.0)
-        >>> may_take(stop, 2.0, 14.0), may_take(stop, 3.0, 15.0)
+        >>> may_accept(stop, 2.0, 14.0), may_accept(stop, 3.0, 15.0)
         (True, False)
-        >>> may_take(stop, 3.0, 5.5)
+        >>> may_accept(stop, 3.0, 5.5)
         True
     """
     if stop.since is None or now - stop.since < TAKE_ALL:
@@ -74,7 +79,7 @@
     return now - asked_at >= LINGER or since >= LISTEN_AT_MOST
 
 
-def is_over(stop: Stop, now: float, quiet: bool) -> bool:
+def may_exit(stop: Stop, now: float, quiet: bool) -> bool:
     """Tells whether the process may end, once it no longer listens.
 
     Args:
--- a/sycamorefall/direct/streams.py
+++ b/sycamorefall/direct/streams.py
@@ -1,6 +1,11 @@
 """Splits a stream into whole events and keeps count of what was passed on."""
 
-__all__ = ["EventSplitter", "flush_rest", "split_events", "start_over"]
+__all__ = [
+    "EventSplitter",
+    "flush_rest",
+    "prepare_resume",
+    "split_events",
+]
 
 import re
 
@@ -108,7 +113,7 @@
     return rest
 
 
-def start_over(splitter: EventSplitter) -> None:
+def prepare_resume(splitter: EventSplitter) -> None:
     """Prepares for the answer of another upstream that goes on."""
     splitter._rest = b""
     splitter.resumed = bool(splitter.last_id)
--- a/sycamorefall/direct/tests/fakes.py
+++ b/sycamorefall/direct/tests/fakes.py
@@ -35,7 +35,7 @@
             ),
             timeout=3.0,
             target_latency=0.5,
-            most_upstreams=2 if kind.repeatable else 1,
+            max_upstreams=2 if kind.retryable else 1,
             public=not kind.streamed,
         )
         for name, kind in _KINDS.items()
@@ -52,23 +52,25 @@
     )
 
 
-def list_one(name, service="engine", port=1, leaving=False, listed_at=1):
-    return upstreams.Listed(
+def create_upstream_entry(
+    name, service="engine", port=1, leaving=False, listed_revision=1
+):
+    return upstreams.UpstreamEntry(
         name,
         service,
         settings.Address("127.0.0.1", port),
         "a",
         4,
         leaving,
-        listed_at,
+        listed_revision,
     )
 
 
 STANDARD_LISTING = [
-    list_one("e1", port=1),
-    list_one("e2", port=2),
-    list_one("l1", "ledger", port=3),
-    list_one("l2", "ledger", port=4),
+    create_upstream_entry("e1", port=1),
+    create_upstream_entry("e2", port=2),
+    create_upstream_entry("l1", "ledger", port=3),
+    create_upstream_entry("l2", "ledger", port=4),
 ]
 
 
@@ -76,7 +78,7 @@
     state = state_module.create_state("a", settings.BoundSettings(**bounds), 1)
     core.apply_catalog(state, now, create_catalog())
     core.apply_listing(state, now, list(listing))
-    core.note_proof(state, now, now)
+    core.record_proof(state, now, now)
     return state
 
 
@@ -85,7 +87,7 @@
     return exchange.Exchange(name, f"127.0.0.1:{port}", seeds)
 
 
-def ask(route, team="mill", time_left=3.0, tokens=1000, parts=()):
+def create_request(route, team="mill", time_left=3.0, tokens=1000, parts=()):
     prompt = None
     if _KINDS[route].streamed:
         own = tokens - sum(size for _, size in parts)
@@ -101,19 +103,27 @@
     )
 
 
-def take(state, now, route, **more):
+def submit_request(state, now, route, **more):
     """Takes a request; gives its number and its one effect, if any."""
-    number, done = core.take_request(state, now, ask(route, **more))
+    number, done = core.handle_request(
+        state, now, create_request(route, **more)
+    )
     assert len(done) <= 1
     return number, done[0] if done else None
 
 
-def find_kinds(done):
-    return [effect.kind for effect in done if isinstance(effect, effects.Fail)]
+def list_error_kinds(done):
+    return [
+        effect.kind
+        for effect in done
+        if isinstance(effect, effects.AnswerError)
+    ]
 
 
-def find_sends(done):
-    return [effect for effect in done if isinstance(effect, effects.SendTo)]
+def list_sends(done):
+    return [
+        effect for effect in done if isinstance(effect, effects.SendRequest)
+    ]
 
 
 def list_addresses(told):
--- a/sycamorefall/direct/tests/replicas.py
+++ b/sycamorefall/direct/tests/replicas.py
@@ -77,7 +77,7 @@
             hash_name(name, process),
             process,
             name,
-            readers.Readers(name, domain),
+            readers.ReaderSelection(name, domain),
             fleet.seeds,
         )
 
@@ -159,13 +159,13 @@
                 case replica.StartRead(kind):
                     one.read += 1
                     self._read(one, kind, one.read)
-                case replica.StopRead():
+                case replica.CancelRead():
                     one.read += 1
-                case replica.Tell(to, message):
+                case replica.SendMessage(to, message):
                     self._send(one, to, message)
-                case replica.Adopt():
+                case replica.ApplyRecords():
                     one.adopted = one.replica.records.revision
-                case replica.Prove(proven_at):
+                case replica.RecordProof(proven_at):
                     one.proven_at = max(one.proven_at, proven_at)
 
     def _read(self, one, kind, number):
@@ -191,13 +191,17 @@
                 return
             now = self.now + one.offset
             if answer is None:
-                self._perform(one, replica.note_failure(one.replica, now))
+                self._perform(
+                    one, replica.handle_read_failure(one.replica, now)
+                )
                 return
             kind, (revision, listed) = answer
             if kind.value == "probe":
-                done = replica.note_probe(one.replica, now, revision)
+                done = replica.handle_probe(one.replica, now, revision)
             else:
-                done = replica.note_snapshot(one.replica, now, revision, listed)
+                done = replica.handle_snapshot(
+                    one.replica, now, revision, listed
+                )
             self._perform(one, done)
 
         one.inbox.append(act)
--- a/sycamorefall/direct/tests/exchanges.py
+++ b/sycamorefall/direct/tests/simulated_fleet.py
@@ -12,7 +12,7 @@
 STEP = 0.01
 """Seconds between two looks of a router at what is due."""
 
-ENGINES = [fakes.list_one(f"e{n}", port=n) for n in range(1, 7)]
+ENGINES = [fakes.create_upstream_entry(f"e{n}", port=n) for n in range(1, 7)]
 
 
 class Router:
@@ -32,20 +32,20 @@
         self.state = state_module.create_state(domain, bounds, process)
         core.apply_catalog(self.state, 0.0, fakes.create_catalog())
         core.apply_listing(self.state, 0.0, list(ENGINES))
-        self.told = exchange.Exchange(name, name, seeds, capacity, now)
+        self.load_exchange = exchange.Exchange(name, name, seeds, capacity, now)
         self.crashes = crash_exchange.CrashExchange()
 
-    def take(self, now, **kinds):
+    def submit_request(self, now, **kinds):
         """Takes a request; gives its number and what is done at once."""
-        core.note_proof(self.state, now, now)
-        return fakes.take(self.state, now, "draft", **kinds)
+        core.record_proof(self.state, now, now)
+        return fakes.submit_request(self.state, now, "draft", **kinds)
 
 
 class Fleet:
     """Routers by name, and the messages between them.
 
     Attributes:
-        cut: Failure domains that are partitioned from the others.
+        partitioned: Failure domains that are partitioned from the others.
         loss: Fraction of messages that are lost.
     """
 
@@ -54,7 +54,7 @@
         self.now = 0.0
         self.events = []
         self.number = itertools.count()
-        self.cut = set()
+        self.partitioned = set()
         self.loss = 0.0
         names = [
             (f"router-{domain}-{n}", f"domain-{domain}")
@@ -87,14 +87,19 @@
             while self.events and self.events[0][0] <= self.now:
                 heapq.heappop(self.events)[2]()
             for one in self.list_live():
-                if self.now >= exchange.find_next_due(one.told, one.state):
+                if self.now >= exchange.find_next_due(
+                    one.load_exchange, one.state
+                ):
                     self._send(
-                        one, exchange.write_due(one.told, one.state, self.now)
+                        one,
+                        exchange.build_due_messages(
+                            one.load_exchange, one.state, self.now
+                        ),
                     )
                 due = crash_exchange.find_next_due(one.crashes, one.state)
                 if self.now >= due:
-                    reports = crash_exchange.write_due(
-                        one.crashes, one.told, one.state, self.now
+                    reports = crash_exchange.build_due_messages(
+                        one.crashes, one.load_exchange, one.state, self.now
                     )
                     self._send(one, reports)
 
@@ -112,7 +117,7 @@
         if receiver is None:
             return
         ends = {one.domain, receiver.domain}
-        if len(ends) > 1 and ends & self.cut:
+        if len(ends) > 1 and ends & self.partitioned:
             return
         if self.random.random() < self.loss:
             return
@@ -125,19 +130,21 @@
                 receiver.heard_far += size
             message = envelope.message
             if isinstance(message, messages.CrashReports):
-                crash_exchange.take_reports(
+                crash_exchange.handle_reports(
                     receiver.crashes,
-                    receiver.told,
+                    receiver.load_exchange,
                     receiver.state,
                     self.now,
                     envelope,
                 )
                 return
             if isinstance(message, messages.KnownRouters):
-                exchange.note_hearsay(receiver.told, self.now, message.routers)
+                exchange.record_known_routers(
+                    receiver.load_exchange, self.now, message.routers
+                )
                 return
-            referral = exchange.take_load(
-                receiver.told, receiver.state, self.now, envelope
+            referral = exchange.handle_load(
+                receiver.load_exchange, receiver.state, self.now, envelope
             )
             if referral is not None:
                 self._send(receiver, [referral])
--- a/sycamorefall/direct/tests/test_backlog.py
+++ b/sycamorefall/direct/tests/test_backlog.py
@@ -18,14 +18,14 @@
     # only the flood that it is held against is in them.
     state = create_full_state()
     for _ in range(5):
-        fakes.take(state, 0.0, "draft", team="mill")
-    fakes.take(state, 0.2, "draft", team="trader")
+        fakes.submit_request(state, 0.0, "draft", team="mill")
+    fakes.submit_request(state, 0.2, "draft", team="trader")
     demand = messages.ServiceDemand(
         "engine", (messages.TeamService("mill", 9000),)
     )
     load = messages.RouterLoad(1, "127.0.0.1:2", services=(demand,))
     envelope = messages.Envelope("front-2", 1, 1, load)
-    exchange.take_load(fakes.create_exchange(), state, 0.0, envelope)
+    exchange.handle_load(fakes.create_exchange(), state, 0.0, envelope)
     assert backlog.list_backlogs(state, 0.3) == [
         backlog.TeamBacklog("engine", "mill", 5, 0.3, 9000, 0),
         backlog.TeamBacklog("engine", "trader", 1, 0.1, 0, 0),
@@ -38,8 +38,8 @@
     state = create_full_state()
     state.catalog = fakes.create_catalog(version=2, keys=keys)
     for team in keys:
-        fakes.take(state, 0.0, "draft", team=team)
-    assert len(backlog.list_backlogs(state, 0.1)) == backlog.MOST_TEAMS
+        fakes.submit_request(state, 0.0, "draft", team=team)
+    assert len(backlog.list_backlogs(state, 0.1)) == backlog.MAX_TEAMS
 
 
 def test_no_line_while_nothing_waits():
@@ -50,8 +50,8 @@
 def test_send_says_what_its_team_had_received():
     # Guards against a team's share that can't be reckoned from the logs.
     state = fakes.create_state()
-    _, first = fakes.take(state, 0.0, "draft", tokens=1000)
-    _, second = fakes.take(state, 0.0, "draft", tokens=500)
+    _, first = fakes.submit_request(state, 0.0, "draft", tokens=1000)
+    _, second = fakes.submit_request(state, 0.0, "draft", tokens=500)
     assert (first.cost, first.received, first.floor) == (1100, 0, None)
     assert (second.cost, second.received) == (600, 1100)
     assert first.idle
@@ -60,9 +60,9 @@
 def test_refusal_says_what_the_best_served_team_received():
     # Guards against refusals that don't tell whether their team was behind.
     state = create_full_state()
-    accounts = state_module.find_accounts(state, "engine")
+    accounts = state_module.get_or_create_accounts(state, "engine")
     accounts.most = 70_000.0
-    number, _ = fakes.take(state, 0.0, "draft")
+    number, _ = fakes.submit_request(state, 0.0, "draft")
     refusal = dispatching.explain_refusal(state, 0.1, state.requests[number])
     assert refusal.most == 70_000
     assert refusal.cost == 1100
--- a/sycamorefall/direct/tests/test_crash_exchange.py
+++ b/sycamorefall/direct/tests/test_crash_exchange.py
@@ -5,7 +5,7 @@
 from sycamorefall import messages, names
 from sycamorefall.direct import crash_exchange, quarantine
 from sycamorefall.direct.quarantine import Crash, Evidence
-from sycamorefall.direct.tests import exchanges
+from sycamorefall.direct.tests import simulated_fleet
 
 HARMFUL = b"h" * 16
 
@@ -32,7 +32,7 @@
 
 @pytest.fixture
 def fleet():
-    made = exchanges.Fleet()
+    made = simulated_fleet.Fleet()
     made.run(4.0)
     return made
 
@@ -55,7 +55,7 @@
 def test_quarantine_spreads_within_the_bound_despite_lost_messages(seed):
     # Guards against routers that miss a quarantine because control messages
     # are lost.
-    fleet = exchanges.Fleet(domains=4, size=6, seed=seed)
+    fleet = simulated_fleet.Fleet(domains=4, size=6, seed=seed)
     fleet.run(4.0)
     fleet.loss = 0.3
     for number in range(3):
@@ -67,12 +67,12 @@
 def test_failure_domain_learns_of_a_quarantine_after_a_partition(fleet):
     # Guards against routers that send a quarantined request after a partition
     # because the evidence was exchanged during it.
-    fleet.cut = {"domain-2"}
+    fleet.partitioned = {"domain-2"}
     for number in range(3):
         record_crash(fleet, "router-0-1", f"e{number}")
     fleet.run(5.0)
     assert set(list_unquarantined(fleet)) == {f"router-2-{n}" for n in range(4)}
-    fleet.cut = set()
+    fleet.partitioned = set()
     fleet.run(2.5)
     assert list_unquarantined(fleet) == []
 
@@ -107,9 +107,9 @@
 def test_evidence_expires_although_routers_repeat_it(monkeypatch):
     # Guards against evidence that never expires because routers keep sending
     # it to each other.
-    monkeypatch.setattr(quarantine, "QUARANTINE_TIME", 6.0)
-    monkeypatch.setattr(quarantine, "EXPIRY_INTERVAL", 1.0)
-    fleet = exchanges.Fleet(domains=2, size=3)
+    monkeypatch.setattr(quarantine, "QUARANTINE_RETENTION", 6.0)
+    monkeypatch.setattr(quarantine, "EXPIRY_SCAN_INTERVAL", 1.0)
+    fleet = simulated_fleet.Fleet(domains=2, size=3)
     fleet.run(4.0)
     for number in range(3):
         record_crash(fleet, "router-0-1", f"e{number}")
@@ -128,8 +128,8 @@
         record_crash(fleet, "router-0-1", "e1", b"%016d" % number)
     one = fleet.routers["router-0-1"]
     for _ in range(10):
-        for report in crash_exchange.write_due(
-            one.crashes, one.told, one.state, fleet.now
+        for report in crash_exchange.build_due_messages(
+            one.crashes, one.load_exchange, one.state, fleet.now
         ):
             envelope = messages.Envelope(one.name, 1, 1, report.message)
             sizes.append(len(messages.encode_envelope(envelope)))
@@ -153,8 +153,8 @@
     envelope = messages.Envelope(
         "router-0-1", 1, 1, messages.CrashReports((report,))
     )
-    crash_exchange.take_reports(
-        one.crashes, one.told, one.state, fleet.now, envelope
+    crash_exchange.handle_reports(
+        one.crashes, one.load_exchange, one.state, fleet.now, envelope
     )
     assert not one.state.quarantine.suspects
 
--- a/sycamorefall/direct/tests/test_delegates.py
+++ b/sycamorefall/direct/tests/test_delegates.py
@@ -5,7 +5,7 @@
 
 from sycamorefall import messages
 from sycamorefall.direct import core, exchange, fetching
-from sycamorefall.direct.tests import exchanges, fakes
+from sycamorefall.direct.tests import fakes, simulated_fleet
 
 LARGE = 30_000
 """Prompt tokens of a request that the others are told of at once."""
@@ -13,17 +13,17 @@
 
 def create_busy(**kinds):
     """Creates a fleet that has run for a while, each router at work."""
-    fleet = exchanges.Fleet(**kinds)
+    fleet = simulated_fleet.Fleet(**kinds)
     fleet.run(2.0)
     for one in fleet.list_live():
-        one.take(fleet.now)
+        one.submit_request(fleet.now)
     fleet.run(3.0)
     return fleet
 
 
 def list_delegates(fleet, domain="domain-0"):
     one = next(one for one in fleet.list_live() if one.domain == domain)
-    return exchange._rank_delegates(one.told, one.state, fleet.now)
+    return exchange._rank_delegates(one.load_exchange, one.state, fleet.now)
 
 
 @pytest.mark.parametrize(
@@ -58,7 +58,7 @@
     # send to it within a tenth of a second; both callers wait twice as long.
     fleet = create_busy(domains=3, size=6)
     sender = fleet.routers["router-1-5"]
-    _, sent = sender.take(fleet.now, tokens=LARGE)
+    _, sent = sender.submit_request(fleet.now, tokens=LARGE)
     fleet.run(0.12)
     for one in fleet.list_live():
         engine = one.state.table.by_name[sent.upstream]
@@ -73,7 +73,7 @@
     waiting = fleet.routers["router-0-3"]
     for one in waiting.state.table.by_name.values():
         one.own.running = 4
-    waiting.take(fleet.now, team="trader")
+    waiting.submit_request(fleet.now, team="trader")
     fleet.run(0.35)
     for one in fleet.list_live():
         if one is not waiting:
@@ -88,10 +88,10 @@
     refusing = fleet.routers["router-0-3"]
     for one in refusing.state.table.by_name.values():
         one.own.running = 4
-    refusing.take(fleet.now, team="trader")
+    refusing.submit_request(fleet.now, team="trader")
     fleet.run(0.45)
     core.run_timers(refusing.state, fleet.now)
-    refusing.take(fleet.now, team="trader")
+    refusing.submit_request(fleet.now, team="trader")
     fleet.run(0.35)
     for one in fleet.list_live():
         if one is not refusing:
@@ -110,7 +110,9 @@
     # would take it for a small one, and it would get a share in each.
     fleet = create_busy(domains=3, size=4)
     for name in ("router-0-3", "router-1-0", "router-2-2"):
-        fleet.routers[name].take(fleet.now, team="mill", tokens=10_000)
+        fleet.routers[name].submit_request(
+            fleet.now, team="mill", tokens=10_000
+        )
     fleet.run(0.5)
     for one in fleet.list_live():
         accounts = one.state.accounts["engine"]
@@ -124,11 +126,11 @@
     # has a second engine read it, as it doesn't know whom to fetch it from.
     fleet = create_busy(domains=2, size=4)
     sender = fleet.routers["router-0-3"]
-    parts = (("paper", fetching.LEAST_FETCH + 5000),)
+    parts = (("paper", fetching.MIN_FETCH_TOKENS + 5000),)
     for one in fleet.list_live():
         catalog = fakes.create_catalog(version=2, fetch_rate=1e6)
         core.apply_catalog(one.state, fleet.now, catalog)
-    _, sent = sender.take(fleet.now, tokens=LARGE, parts=parts)
+    _, sent = sender.submit_request(fleet.now, tokens=LARGE, parts=parts)
     fleet.run(1.0)
     for one in fleet.list_live():
         cache = one.state.table.by_name[sent.upstream].cache
@@ -172,19 +174,19 @@
     # On the smallest VMs, work for others delays callers.
     fleet = create_busy(domains=2, size=6, capacities=(4, 4, 4, 4, 21, 21))
     for one in fleet.list_live():
-        if one.told.role.part is not None:
-            assert one.told.capacity == 21
+        if one.load_exchange.role.part is not None:
+            assert one.load_exchange.capacity == 21
 
 
 def test_failure_domain_that_was_cut_off_is_counted_again():
     # A failure domain is cut from the others for longer than they remember
     # its delegates, and comes back.
     fleet = create_busy(domains=3, size=4)
-    fleet.cut = {"domain-1"}
+    fleet.partitioned = {"domain-1"}
     fleet.run(8.0)
     inside = fleet.routers["router-1-3"]
     assert inside.state.routers == 4
-    fleet.cut = set()
+    fleet.partitioned = set()
     fleet.run(4.0)
     assert fleet.list_wrong() == []
 
@@ -200,9 +202,9 @@
 
 def test_fleet_finds_itself_after_a_power_loss():
     # All VMs start at once and know only the seeds, in one failure domain.
-    fleet = exchanges.Fleet(domains=6, size=6, seeds=1)
+    fleet = simulated_fleet.Fleet(domains=6, size=6, seeds=1)
     for one in fleet.list_live():
-        one.take(fleet.now)
+        one.submit_request(fleet.now)
     fleet.run(4.0)
     assert fleet.list_wrong() == []
 
@@ -215,18 +217,18 @@
     gone.alive = False
     fleet.run(140.0)
     for one in fleet.list_live():
-        assert gone.name not in one.told.peers, one.name
+        assert gone.name not in one.load_exchange.peers, one.name
 
 
 def test_router_of_the_version_before_is_counted():
     # During a release, routers of the version before tell everyone of
     # themselves and name no failure domain.
-    state, told = fakes.create_state(), fakes.create_exchange()
+    state, load_exchange = fakes.create_state(), fakes.create_exchange()
     load = messages.RouterLoad(
         1, "127.0.0.1:2", upstreams=(messages.UpstreamLoad("e1", 3, 0, 0),)
     )
     envelope = messages.Envelope("front-2", 1, 1, load)
-    exchange.take_load(told, state, 0.0, envelope)
+    exchange.handle_load(load_exchange, state, 0.0, envelope)
     assert state.table.by_name["e1"].others.running == 3
     assert state.routers == 2
 
@@ -248,15 +250,19 @@
                 fleet.routers[data.draw(names)].alive = False
             case 1:
                 one = fleet.restart(data.draw(names))
-                one.take(fleet.now)
+                one.submit_request(fleet.now)
             case 2:
-                fleet.cut ^= {f"domain-{data.draw(strategies.integers(0, 3))}"}
+                fleet.partitioned ^= {
+                    f"domain-{data.draw(strategies.integers(0, 3))}"
+                }
             case 3:
                 one = fleet.routers[data.draw(names)]
-                one.take(fleet.now, tokens=data.draw(strategies.just(LARGE)))
+                one.submit_request(
+                    fleet.now, tokens=data.draw(strategies.just(LARGE))
+                )
             case 4:
                 fleet.run(data.draw(strategies.floats(0.05, 4.0)))
-    fleet.cut = set()
+    fleet.partitioned = set()
     if not any(fleet.routers[name].alive for name in fleet.seeds):
         fleet.restart(fleet.seeds[0])
     fleet.run(8.0)
--- a/sycamorefall/direct/tests/test_fetching.py
+++ b/sycamorefall/direct/tests/test_fetching.py
@@ -17,7 +17,7 @@
 from sycamorefall.direct.tests import fakes
 
 PAPER = (("paper", 9000),)
-LISTING = [fakes.list_one(f"e{n}", port=n) for n in range(1, 5)]
+LISTING = [fakes.create_upstream_entry(f"e{n}", port=n) for n in range(1, 5)]
 FETCH_RATE = 700_000.0
 
 
@@ -39,7 +39,9 @@
     """Has a prompt sent to the only engine that has room; gives its send."""
     for one in state.table.by_name.values():
         one.others.running = 0 if one is upstream else one.listed.slots
-    number, sent = fakes.take(state, now, "draft", tokens=tokens, parts=parts)
+    number, sent = fakes.submit_request(
+        state, now, "draft", tokens=tokens, parts=parts
+    )
     assert sent.upstream == upstream.listed.name
     core.cancel_request(state, number, now)
     return sent
@@ -55,7 +57,7 @@
     sent = send_to(state, third)
     assert sent.source == second.listed.address
     assert sent.fetches == 9500, "the same session's own part too"
-    assert sent.reads == int(9500 * third.reading_rate / FETCH_RATE) + 1
+    assert sent.reads == int(9500 * third.prefill_rate / FETCH_RATE) + 1
 
 
 def test_engine_that_was_sent_the_part_fetches_nothing():
@@ -84,11 +86,11 @@
     state = create_state()
     first, second, third, _ = rank(state)
     send_to(state, first)
-    upstreams.bar_upstream(first, 0.0)
+    upstreams.suspend_upstream(first, 0.0)
     assert send_to(state, third).source == second.listed.address
     for one in rank(state):
         if one is not third:
-            upstreams.bar_upstream(one, 0.0)
+            upstreams.suspend_upstream(one, 0.0)
     assert send_to(state, third, parts=(("other", 9000),)).source is None
 
 
@@ -108,7 +110,7 @@
 def pass_on(load, told, state, now=0.0):
     """Hands what `front-2` tells to a router."""
     envelope = messages.Envelope("front-2", 1, 1, load)
-    exchange.take_load(told, state, now, envelope)
+    exchange.handle_load(told, state, now, envelope)
 
 
 def test_what_another_router_sent_is_known():
@@ -119,7 +121,7 @@
     told, heard = fakes.create_exchange(), fakes.create_exchange("front-2", 2)
     _, second, third, _ = rank(there)
     send_to(there, second)
-    pass_on(exchange.write_load(heard, there, 0.0), told, here)
+    pass_on(exchange.build_load_message(heard, there, 0.0), told, here)
     source = here.table.by_name[second.listed.name]
     target = here.table.by_name[third.listed.name]
     assert send_to(here, source).source is None, "it has the part"
@@ -133,11 +135,11 @@
     first, second, *_ = rank(state)
     send_to(state, first)
     send_to(state, second, parts=(("short", 100),), tokens=600)
-    load = exchange.write_load(told, state, 0.0)
+    load = exchange.build_load_message(told, state, 0.0)
     assert [one.upstream for one in load.prompts] == [first.listed.name]
     assert [size for _, size in load.prompts[0].parts] == [9000]
     assert load.prompts[0].own == 500
-    assert exchange.write_load(told, state, 1.0).prompts == ()
+    assert exchange.build_load_message(told, state, 1.0).prompts == ()
 
 
 def test_prompts_told_of_upstreams_that_are_not_known_do_no_harm():
@@ -169,7 +171,7 @@
         now += pause
         placement = state_module.Placement("e1", prompt, 6300)
         state.placements += [placement] * 10
-        load = exchange.write_load(told, state, now)
+        load = exchange.build_load_message(told, state, now)
         size += sum(len(msgspec.msgpack.encode(one)) for one in load.prompts)
     sent, heard = size * (routers - 1), size * (routers - 1)
     assert sent + heard <= 5500 * (now + 1.0) + 2 * 25 * routers
@@ -179,22 +181,22 @@
     # An engine is sent a paper for the first time while others use theirs
     # again. If the budget leaves the new one out, nobody fetches from there.
     state, told = create_state(), fakes.create_exchange()
-    state.routers = int(exchange.PROMPTS_TOLD) + 1
+    state.routers = int(exchange.MAX_PROMPTS_PER_SECOND) + 1
     first, second, *_ = rank(state)
     send_to(state, first)
-    exchange.write_load(told, state, 0.0)
+    exchange.build_load_message(told, state, 0.0)
     send_to(state, first)
     send_to(state, second)
-    load = exchange.write_load(told, state, 1.0)
+    load = exchange.build_load_message(told, state, 1.0)
     assert [one.upstream for one in load.prompts] == [second.listed.name]
 
 
 def test_cache_never_counts_more_than_it_holds():
     # An engine is taken to hold all that it was ever sent; it is asked for
     # parts that it dropped long ago, and the target reads them after all.
-    cache = caches.Cache()
+    cache = caches.CacheEstimate()
     for number in range(50):
-        caches.note_parts(cache, ((number % 7, 9000),), 40_000, 500)
+        caches.record_parts(cache, ((number % 7, 9000),), 40_000, 500)
         assert cache.tokens == sum(cache.parts.values()) <= 40_000
 
 
@@ -202,8 +204,8 @@
     # A session's own part grows with each turn. An engine that holds the
     # first turn was taken to hold all of the tenth, and its queue was taken
     # to be empty.
-    cache = caches.Cache()
+    cache = caches.CacheEstimate()
     first = prompts.Prompt(1000, 50, (("paper", 900), ("session", 100)))
-    caches.note_parts(cache, first.digests, 10_000)
+    caches.record_parts(cache, first.digests, 10_000)
     grown = prompts.Prompt(4900, 50, (("paper", 900), ("session", 4000)))
-    assert caches.count_held(cache, grown) == 1000
+    assert caches.count_cached_tokens(cache, grown) == 1000
--- a/sycamorefall/direct/tests/test_keys.py
+++ b/sycamorefall/direct/tests/test_keys.py
@@ -12,9 +12,9 @@
     # holder must not get work done there for more than five seconds. Cause:
     # the router can't hear of it, so only its lease can end the key.
     state = fakes.create_state(now=10.0)
-    _, sent = fakes.take(state, 13.0, "draft")
-    assert isinstance(sent, effects.SendTo)
-    _, refused = fakes.take(state, 14.0, "draft")
+    _, sent = fakes.submit_request(state, 13.0, "draft")
+    assert isinstance(sent, effects.SendRequest)
+    _, refused = fakes.submit_request(state, 14.0, "draft")
     assert refused.kind is errors.ErrorKind.NOT_READY
     assert refused.retry_after
 
@@ -23,19 +23,19 @@
     # The platform is down for a minute. Orders on public routes must go on:
     # no key can be taken away from them.
     state = fakes.create_state(now=10.0)
-    _, sent = fakes.take(state, 70.0, "book", team="")
-    assert isinstance(sent, effects.SendTo)
+    _, sent = fakes.submit_request(state, 70.0, "book", team="")
+    assert isinstance(sent, effects.SendRequest)
 
 
 def test_waiting_request_is_not_sent_after_its_key_is_gone():
     # A request waits for a full engine; its key is taken away meanwhile; the
     # engine gets free. The request must not run. Cause: it was judged as it
     # came in, under the older configuration.
-    listing = [fakes.list_one("e1")]
+    listing = [fakes.create_upstream_entry("e1")]
     state = fakes.create_state(listing=listing)
     for _ in range(4):
-        fakes.take(state, 0.0, "draft", tokens=100)
-    number, sent = fakes.take(state, 0.0, "draft", team="trader")
+        fakes.submit_request(state, 0.0, "draft", tokens=100)
+    number, sent = fakes.submit_request(state, 0.0, "draft", team="trader")
     assert sent is None
     changed = fakes.create_catalog(2, keys=("mill",))
     done = core.apply_catalog(state, 0.1, changed)
@@ -48,12 +48,15 @@
 def test_waiting_request_is_not_sent_after_its_lease_ended():
     # A request waits while the router loses the platform; the lease ends;
     # then an engine gets free. Sent now, it could run on a key that is gone.
-    state = fakes.create_state(listing=[fakes.list_one("e1")])
-    running = [fakes.take(state, 3.7, "draft", tokens=100)[0] for _ in range(4)]
-    _, sent = fakes.take(state, 3.7, "draft")
+    state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
+    running = [
+        fakes.submit_request(state, 3.7, "draft", tokens=100)[0]
+        for _ in range(4)
+    ]
+    _, sent = fakes.submit_request(state, 3.7, "draft")
     assert sent is None
     core.cancel_request(state, running[0], 3.9)
-    assert not fakes.find_sends(core.run_timers(state, 3.9))
+    assert not fakes.list_sends(core.run_timers(state, 3.9))
 
 
 def test_older_configuration_never_comes_back():
@@ -62,7 +65,7 @@
     state = fakes.create_state()
     core.apply_catalog(state, 1.0, fakes.create_catalog(5, keys=("mill",)))
     core.apply_catalog(state, 1.1, fakes.create_catalog(3))
-    _, refused = fakes.take(state, 1.2, "draft", team="trader")
+    _, refused = fakes.submit_request(state, 1.2, "draft", team="trader")
     assert refused.kind is errors.ErrorKind.UNKNOWN_TEAM
 
 
@@ -71,7 +74,7 @@
     # Cause: no configuration yet is not the same as no such route.
     state = fakes.create_state()
     state.catalog = None
-    _, refused = fakes.take(state, 0.0, "draft")
+    _, refused = fakes.submit_request(state, 0.0, "draft")
     assert refused.kind is errors.ErrorKind.NOT_READY
 
 
@@ -81,7 +84,7 @@
     def __init__(self):
         super().__init__()
         self.now = 0.0
-        self.lease = freshness.Freshness(bound=5.0)
+        self.lease = freshness.Freshness(revocation_bound=5.0)
         self.under_way: list[float] = []
         self.answered: list[float] = []
 
@@ -98,15 +101,15 @@
     def take_answer(self, data):
         sent = data.draw(strategies.sampled_from(self.under_way))
         self.under_way.remove(sent)
-        freshness.note_proof(self.lease, sent)
+        freshness.record_proof(self.lease, sent)
         self.answered.append(sent)
 
     @stateful.invariant()
     def believes_only_what_was_newest_lately(self):
         if freshness.is_fresh(self.lease, self.now):
             newest = max(self.answered)
-            run_by = self.now + freshness.RUN_ALLOWANCE
-            assert run_by - newest <= self.lease.bound
+            run_by = self.now + freshness.DISPATCH_ALLOWANCE
+            assert run_by - newest <= self.lease.revocation_bound
 
 
 TestLease = LeaseMachine.TestCase
--- a/sycamorefall/direct/tests/test_links.py
+++ b/sycamorefall/direct/tests/test_links.py
@@ -21,17 +21,19 @@
         self.links = transport.ControlLinks(
             self.told.control,
             lambda to: exchange.find_address(self.told, to),
-            lambda envelope: exchange.take_load(
+            lambda envelope: exchange.handle_load(
                 self.told, self.state, 0.0, envelope
             ),
             authentication.create_authenticator(
                 name, settings.SecuritySettings()
             ),
-            lambda envelope: exchange.note_unnamed(self.told, 0.0, envelope),
+            lambda envelope: exchange.record_unreadable_sender(
+                self.told, 0.0, envelope
+            ),
         ).register(loop)
 
     def tell(self, now):
-        load = exchange.write_load(self.told, self.state, now)
+        load = exchange.build_load_message(self.told, self.state, now)
         envelope = messages.Envelope(self.told.vm, 1, 1, load)
         self.links.send_all(exchange.list_addresses(self.told), envelope)
 
@@ -53,7 +55,7 @@
     loop._running = True
     loop._executing_thread = threading.current_thread()
     loop.fire(events.started(loop))
-    fakes.take(late.state, 0.0, "draft", tokens=3000)
+    fakes.submit_request(late.state, 0.0, "draft", tokens=3000)
     for to in exchange.list_addresses(late.told):
         late.links._names.told[to] = (1 << 20) - 1  # As if told before.
     for turn in range(TURNS):
@@ -74,11 +76,11 @@
     # A plain service takes 100 connections of all routers. Each of 28 kept up
     # to 32 idle ones, so new ones were reset; bookings had an unknown outcome.
     state = fakes.create_state()
-    _, sent = fakes.take(state, 0.0, "book", team="")
+    _, sent = fakes.submit_request(state, 0.0, "book", team="")
     assert sent.keep == 50
     state.routers = 28
-    _, sent = fakes.take(state, 0.0, "book", team="")
+    _, sent = fakes.submit_request(state, 0.0, "book", team="")
     assert sent.keep == 1
     state.routers = 370
-    _, sent = fakes.take(state, 0.0, "look", team="")
+    _, sent = fakes.submit_request(state, 0.0, "look", team="")
     assert sent.keep == 0
--- a/sycamorefall/direct/tests/test_loads.py
+++ b/sycamorefall/direct/tests/test_loads.py
@@ -5,20 +5,20 @@
 from sycamorefall import messages
 from sycamorefall.direct import (
     caches,
-    claims,
     core,
+    eligibility,
     exchange,
-    fitting,
     freshness,
     outcomes,
     peers,
+    service_floors,
 )
 from sycamorefall.direct.tests import fakes
 
 
 def pass_on(load, told, state, now, sender="front-2", incarnation=1):
     envelope = messages.Envelope(sender, incarnation, 1, load)
-    exchange.take_load(told, state, now, envelope)
+    exchange.handle_load(told, state, now, envelope)
 
 
 def describe_wait(engine, floor, running=0):
@@ -48,13 +48,13 @@
         services=give_service("mill", 30_000),
     )
     pass_on(load, told, state, 0.0)
-    _, sent = fakes.take(state, 0.0, "draft", team="mill")
+    _, sent = fakes.submit_request(state, 0.0, "draft", team="mill")
     assert sent.upstream == "e2"
-    assert fakes.take(state, 0.0, "draft", team="mill")[1] is None
+    assert fakes.submit_request(state, 0.0, "draft", team="mill")[1] is None
 
 
 def find_claims(told, state):
-    load = exchange.write_load(told, state, told.own.due)
+    load = exchange.build_load_message(told, state, told.own.due)
     return {entry.upstream for entry in load.upstreams if entry.floor >= 0}
 
 
@@ -63,13 +63,15 @@
     # can't use it, as another engine has its paper.
     state, told = fakes.create_state(), fakes.create_exchange()
     parts = (("paper", 5000),)
-    number, sent = fakes.take(state, 0.0, "draft", tokens=6000, parts=parts)
+    number, sent = fakes.submit_request(
+        state, 0.0, "draft", tokens=6000, parts=parts
+    )
     core.cancel_request(state, number, 0.0)
     for name in ("e1", "e2"):
         state.table.by_name[name].own.running = 4
-    fakes.take(state, 0.0, "draft", tokens=6000, parts=parts)
+    fakes.submit_request(state, 0.0, "draft", tokens=6000, parts=parts)
     assert find_claims(told, state) == {sent.upstream}
-    fakes.take(state, 0.0, "draft", tokens=100)
+    fakes.submit_request(state, 0.0, "draft", tokens=100)
     assert find_claims(told, state) == {"e1", "e2"}
 
 
@@ -78,14 +80,19 @@
     # nowhere had room left to it at all of them, and teams that waited at
     # other routers kept each other away.
     names = [f"e{n}" for n in range(30)]
-    listing = [fakes.list_one(name, port=n) for n, name in enumerate(names)]
+    listing = [
+        fakes.create_upstream_entry(name, port=n)
+        for n, name in enumerate(names)
+    ]
     state, told = fakes.create_state(listing=listing), fakes.create_exchange()
     for name in names:
         state.table.by_name[name].own.running = 4
-    fakes.take(state, 0.0, "draft", tokens=100)
-    assert len(find_claims(told, state)) == claims.MOST_CLAIMS
+    fakes.submit_request(state, 0.0, "draft", tokens=100)
+    assert (
+        len(find_claims(told, state)) == service_floors.MAX_ENGINES_PER_REQUEST
+    )
     for _ in range(9):
-        fakes.take(state, 0.0, "draft", tokens=100)
+        fakes.submit_request(state, 0.0, "draft", tokens=100)
     assert find_claims(told, state) == set(names)
 
 
@@ -95,9 +102,11 @@
     state, told = fakes.create_state(), fakes.create_exchange()
     for name in ("e1", "e2"):
         state.table.by_name[name].own.running = 4
-    number, _ = fakes.take(state, 0.0, "draft", time_left=3.0, tokens=100)
+    number, _ = fakes.submit_request(
+        state, 0.0, "draft", time_left=3.0, tokens=100
+    )
     core.cancel_request(state, number, 0.0)
-    fakes.take(state, 0.0, "draft", time_left=1.0, tokens=100)
+    fakes.submit_request(state, 0.0, "draft", time_left=1.0, tokens=100)
     assert find_claims(told, state) == set()
 
 
@@ -107,16 +116,16 @@
     # fixed intervals only.
     here, told = fakes.create_state(), fakes.create_exchange()
     there, heard = fakes.create_state(), fakes.create_exchange("front-2", 2)
-    first = exchange.write_load(told, here, 0.0)
+    first = exchange.build_load_message(told, here, 0.0)
     pass_on(first, heard, there, 0.0, sender="front-1")
-    fakes.take(here, 0.01, "draft", tokens=100)
+    fakes.submit_request(here, 0.01, "draft", tokens=100)
     assert exchange.find_next_due(told, here) == told.own.due, (
         "too little to tell"
     )
-    _, sent = fakes.take(here, 0.01, "draft", tokens=30_000)
+    _, sent = fakes.submit_request(here, 0.01, "draft", tokens=30_000)
     due = exchange.find_next_due(told, here)
     assert due <= 0.01
-    change = exchange.write_load(told, here, due)
+    change = exchange.build_load_message(told, here, due)
     assert not change.whole
     pass_on(change, heard, there, due, sender="front-1")
     seen = there.table.by_name[sent.upstream]
@@ -163,14 +172,14 @@
         now += 0.02
         running = [one for one in here.requests.values() if one.attempt]
         if step == "take":
-            fakes.take(here, now, "draft", tokens=2000)
+            fakes.submit_request(here, now, "draft", tokens=2000)
         elif step == "end" and running:
             core.cancel_request(here, running[0].number, now)
         elif step == "tell":
-            load = exchange.write_load(told, here, now)
+            load = exchange.build_load_message(told, here, now)
             if arrives:
                 pass_on(load, heard, there, now, sender="front-1")
-    load = exchange.write_load(told, here, told.own.due)
+    load = exchange.build_load_message(told, here, told.own.due)
     pass_on(load, heard, there, told.own.due, sender="front-1")
     for name, upstream in here.table.by_name.items():
         assert there.table.by_name[name].others == upstream.own
@@ -190,7 +199,7 @@
         pass_on(load, told, state, float(number), sender=f"front-{number}")
     assert state.table.by_name["e1"].running == 3
     assert state.accounts["engine"].others == {"mill": 300}
-    exchange.write_load(told, state, 2 + peers.PEER_TIMEOUT)
+    exchange.build_load_message(told, state, 2 + peers.PEER_TIMEOUT)
     assert state.table.by_name["e1"].running == 2
     assert state.accounts["engine"].others == {"mill": 200}
 
@@ -199,9 +208,9 @@
     # In a fleet of hundreds a busy router that sends nothing large says
     # nothing for longer than the others wait for it. They use its places.
     state, told = fakes.create_state(), fakes.create_exchange()
-    fakes.take(state, 0.0, "draft", tokens=100)
+    fakes.submit_request(state, 0.0, "draft", tokens=100)
     state.routers = 400
-    exchange.write_load(told, state, 0.0)
+    exchange.build_load_message(told, state, 0.0)
     assert exchange.find_next_due(told, state) < peers.PEER_TIMEOUT / 2
 
 
@@ -209,41 +218,43 @@
     # A short prompt comes as a long one before it is nearly read, and is
     # answered at once. The engine is taken to read ten times faster, gets
     # ten times too much, and a sixth of the day's answers are late.
-    state = fakes.create_state(listing=[fakes.list_one("e1")])
+    state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
     engine = state.table.by_name["e1"]
-    before = engine.reading_rate
+    before = engine.prefill_rate
     now = 0.0
     for _ in range(20):
-        freshness.note_proof(state.freshness, now)
-        long, _ = fakes.take(state, now, "draft", tokens=39_000)
-        engine.cache = caches.Cache()
-        short, sent = fakes.take(state, now + 0.4, "draft", tokens=100)
+        freshness.record_proof(state.freshness, now)
+        long, _ = fakes.submit_request(state, now, "draft", tokens=39_000)
+        engine.cache = caches.CacheEstimate()
+        short, sent = fakes.submit_request(
+            state, now + 0.4, "draft", tokens=100
+        )
         if sent:
-            outcomes.note_answer(state, now + 0.45, short, first=True)
-        outcomes.note_answer(state, now + 0.47, long, first=True)
+            outcomes.record_response(state, now + 0.45, short, first=True)
+        outcomes.record_response(state, now + 0.47, long, first=True)
         for number in (long, short):
             core.cancel_request(state, number, now + 0.5)
-        engine.cache = caches.Cache()
+        engine.cache = caches.CacheEstimate()
         now += 1.0
-    assert engine.reading_rate < 1.6 * before
+    assert engine.prefill_rate < 1.6 * before
 
 
 def test_engine_that_turned_slow_is_given_less():
     # An engine reads at a third of its speed. Answers are late only until
     # the routers have seen a few.
-    state = fakes.create_state(listing=[fakes.list_one("e1")])
+    state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
     engine = state.table.by_name["e1"]
-    true_rate, now = engine.reading_rate / 3, 0.0
+    true_rate, now = engine.prefill_rate / 3, 0.0
     for _ in range(20):
-        freshness.note_proof(state.freshness, now)
-        number, sent = fakes.take(state, now, "draft", tokens=10_000)
+        freshness.record_proof(state.freshness, now)
+        number, sent = fakes.submit_request(state, now, "draft", tokens=10_000)
         if sent:
             end = now + 0.05 + 10_000 / true_rate
-            outcomes.note_answer(state, end, number, first=True)
+            outcomes.record_response(state, end, number, first=True)
         core.cancel_request(state, number, now + 1.0)
-        engine.cache = caches.Cache()
+        engine.cache = caches.CacheEstimate()
         now += 1.0
-    assert true_rate * 0.7 < engine.reading_rate < true_rate * 1.4
+    assert true_rate * 0.7 < engine.prefill_rate < true_rate * 1.4
 
 
 def test_refusal_says_what_was_in_the_way():
@@ -257,11 +268,11 @@
         services=give_service("mill", 30_000),
     )
     pass_on(load, told, state, 0.0)
-    fakes.take(state, 0.0, "draft", team="mill")
+    fakes.submit_request(state, 0.0, "draft", team="mill")
     (refused,) = core.run_timers(state, 0.45)
     assert refused.refusal.obstacles == {
-        fitting.Obstacle.YIELDS.value: 1,
-        fitting.Obstacle.SLOTS.value: 1,
+        eligibility.Obstacle.YIELDS.value: 1,
+        eligibility.Obstacle.SLOTS.value: 1,
     }
     assert refused.refusal.received == 30_000
     assert refused.refusal.floor == 0
--- a/sycamorefall/direct/tests/test_patience.py
+++ b/sycamorefall/direct/tests/test_patience.py
@@ -5,7 +5,7 @@
 from hypothesis import example, given, strategies
 import pytest
 
-from sycamorefall.direct import core, fitting, patience
+from sycamorefall.direct import core, eligibility, patience
 from sycamorefall.direct.tests import fakes
 
 TARGET = 0.5
@@ -75,12 +75,18 @@
     # A quarter of the long prompts of a calm day wait a quarter of a second
     # for an idle engine while others, whose callers are more patient, go to
     # engines with a short queue at once, and are on time.
-    state = fakes.create_state(listing=[fakes.list_one("e1")])
+    state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
     for left, _ in draw_callers(2, 0.15, 0.0, count=100, longest=3.0):
-        number, _ = fakes.take(state, 0.0, "draft", time_left=left, tokens=9)
+        number, _ = fakes.submit_request(
+            state, 0.0, "draft", time_left=left, tokens=9
+        )
         core.cancel_request(state, number, 0.0)
     engine = state.table.by_name["e1"]
-    engine.others.unread = int(2 * fitting.IDLE_QUEUE * engine.reading_rate)
-    _, sent = fakes.take(state, 0.0, "draft", time_left=2.6, tokens=9000)
+    engine.others.unread = int(
+        2 * eligibility.IDLE_QUEUE_SECONDS * engine.prefill_rate
+    )
+    _, sent = fakes.submit_request(
+        state, 0.0, "draft", time_left=2.6, tokens=9000
+    )
     assert sent is not None
     assert sent.begins_in < TARGET
--- a/sycamorefall/direct/tests/test_quarantine.py
+++ b/sycamorefall/direct/tests/test_quarantine.py
@@ -80,21 +80,21 @@
 def test_suspects_expire_and_refused_requests_stay_quarantined():
     known = create(("e1", HARMLESS), ("e1", HARMFUL), ("e2", HARMFUL))
     add(known, "e3", HARMFUL)
-    late = quarantine.SUSPECT_TIME
-    quarantine.note_arrival(known, late, HARMFUL)
+    late = quarantine.SUSPECT_RETENTION
+    quarantine.extend_quarantine(known, late, HARMFUL)
     quarantine.drop_expired(known, late)
     assert list(known.suspects) == [HARMFUL]
-    quarantine.drop_expired(known, late + quarantine.QUARANTINE_TIME - 1)
+    quarantine.drop_expired(known, late + quarantine.QUARANTINE_RETENTION - 1)
     assert quarantine.is_quarantined(known, HARMFUL)
-    quarantine.drop_expired(known, late + quarantine.QUARANTINE_TIME)
+    quarantine.drop_expired(known, late + quarantine.QUARANTINE_RETENTION)
     assert not known.suspects
-    assert quarantine.find_next_expiry(known) == float("inf")
+    assert quarantine.find_next_scan(known) == float("inf")
 
 
 def test_suspects_displace_no_quarantined_request(monkeypatch):
     # Guards against unbounded memory, and against the eviction of quarantined
     # requests, if a caller changes one byte of its request each time.
-    monkeypatch.setattr(quarantine, "MOST_SUSPECTS", 50)
+    monkeypatch.setattr(quarantine, "MAX_SUSPECTS", 50)
     known = create(("e1", HARMFUL), ("e2", HARMFUL), ("e3", HARMFUL))
     add(known, "e4", OTHER)
     add(known, "e5", OTHER)
@@ -106,7 +106,7 @@
 
 
 def test_quarantined_requests_are_bounded(monkeypatch):
-    monkeypatch.setattr(quarantine, "MOST_QUARANTINED", 4)
+    monkeypatch.setattr(quarantine, "MAX_QUARANTINED", 4)
     known = quarantine.Quarantine()
     for number in range(6):
         for crash in "abc":
--- a/sycamorefall/direct/tests/test_records.py
+++ b/sycamorefall/direct/tests/test_records.py
@@ -14,7 +14,7 @@
     # Two neighbours tell of an upstream, the slower one as it was before it
     # began to leave. It would be sent requests again.
     known = records.Records()
-    records.replace_all(known, 9, [make_record("e1", 8)])
+    records.apply_snapshot(known, 9, [make_record("e1", 8)])
     older = messages.RecordChanges(0, 9, (make_record("e1", 3),), (), 0)
     records.apply_changes(known, older)
     assert known.by_key["e1"].changed_at == 8
@@ -24,10 +24,10 @@
     # An upstream is gone. A listing that was read in pages, the first of them
     # before, shows it still, and it would be sent requests again.
     known = records.Records()
-    records.replace_all(known, 5, [make_record("e1", 3)])
-    records.replace_all(known, 9, [])
+    records.apply_snapshot(known, 5, [make_record("e1", 3)])
+    records.apply_snapshot(known, 9, [])
     late = messages.RecordChanges(0, 9, (make_record("e1", 3),), (), 0)
-    assert records.apply_changes(known, late) is records.Outcome.UNCHANGED
+    assert records.apply_changes(known, late) is records.UpdateOutcome.UNCHANGED
     assert not known.by_key
     again = messages.RecordChanges(0, 12, (make_record("e1", 11, 11),), (), 0)
     records.apply_changes(known, again)
@@ -39,14 +39,16 @@
     # has seen it. The first can't tell the other that it is gone.
     here, there = records.Records(), records.Records()
     for known in (here, there):
-        records.replace_all(known, 5, [make_record("e1", 3)])
+        records.apply_snapshot(known, 5, [make_record("e1", 3)])
     both = [make_record("e1", 3), make_record("e2", 7, 7)]
-    records.replace_all(there, 7, both)
-    records.replace_all(here, 9, [make_record("e1", 3)])
-    told = records.write_changes(here, there.revision)
-    assert records.apply_changes(there, told) is records.Outcome.INCOMPLETE
+    records.apply_snapshot(there, 7, both)
+    records.apply_snapshot(here, 9, [make_record("e1", 3)])
+    told = records.collect_changes(here, there.revision)
+    assert (
+        records.apply_changes(there, told) is records.UpdateOutcome.INCOMPLETE
+    )
     assert there.revision == 7, "it goes on asking"
-    records.apply_changes(there, records.write_changes(here, 0))
+    records.apply_changes(there, records.collect_changes(here, 0))
     assert there.by_key == here.by_key
 
 
@@ -78,7 +80,7 @@
     @stateful.rule(place=places)
     def read(self, place):
         listed = list(self.store.values())
-        records.replace_all(self.replicas[place], self.revision, listed)
+        records.apply_snapshot(self.replicas[place], self.revision, listed)
 
     @stateful.rule(place=places, key=keys)
     def read_in_pages(self, place, key):
@@ -87,12 +89,12 @@
         first = [one for one in self.store.values() if one.key <= "b"]
         self.put(key)
         rest = [one for one in self.store.values() if one.key > "b"]
-        records.replace_all(self.replicas[place], revision, first + rest)
+        records.apply_snapshot(self.replicas[place], revision, first + rest)
 
     @stateful.rule(place=places, other=places, whole=strategies.booleans())
     def tell(self, place, other, whole):
         since = 0 if whole else self.replicas[other].revision
-        told = records.write_changes(self.replicas[place], since)
+        told = records.collect_changes(self.replicas[place], since)
         records.apply_changes(self.replicas[other], told)
         self.late.append(told)
 
--- a/sycamorefall/direct/tests/test_running.py
+++ b/sycamorefall/direct/tests/test_running.py
@@ -15,14 +15,14 @@
     number = draws.choice([0, *state.requests])
     match draws.randrange(5):
         case 0 | 1:
-            fakes.take(state, now, draws.choice(PATHS), time_left=2.0)
+            fakes.submit_request(state, now, draws.choice(PATHS), time_left=2.0)
         case 2:
             core.cancel_request(state, number, now)
         case 3:
             end = draws.choice(list(outcomes.AttemptEnd))
             outcomes.end_attempt(state, now, number, end)
         case 4:
-            outcomes.note_answer(state, now, number, first=True)
+            outcomes.record_response(state, now, number, first=True)
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -34,13 +34,13 @@
     state, now, most = fakes.create_state(), 0.0, 0
     for _ in range(600):
         now += draws.expovariate(20.0)
-        freshness.note_proof(state.freshness, now)
+        freshness.record_proof(state.freshness, now)
         act(state, draws, now)
         core.run_timers(state, now)
         running = [one for one in state.requests.values() if one.attempt]
         assert state.running == len(running)
         most = max(most, len(running))
-        look = state.checked_at + core.SILENCE_CHECK
+        look = state.stalls_checked_at + core.STALL_CHECK_INTERVAL
         assert not running or core.find_next_due(state) <= look
     assert most > 3
     core.run_timers(state, now + 100.0)
--- a/sycamorefall/direct/tests/test_shares.py
+++ b/sycamorefall/direct/tests/test_shares.py
@@ -7,9 +7,9 @@
     core,
     dispatching,
     exchange,
+    fair_queue,
     freshness,
     outcomes,
-    waiting,
 )
 from sycamorefall.direct.tests import fakes
 
@@ -32,7 +32,7 @@
         services=(messages.ServiceDemand("engine", teams),),
     )
     envelope = messages.Envelope("front-2", 1, 1, load)
-    exchange.take_load(fakes.create_exchange(), state, now, envelope)
+    exchange.handle_load(fakes.create_exchange(), state, now, envelope)
 
 
 def run(state, start, seconds):
@@ -40,9 +40,9 @@
     sends = []
     for step in range(round(seconds / 0.01) + 1):
         now = start + step * 0.01
-        freshness.note_proof(state.freshness, now)
+        freshness.record_proof(state.freshness, now)
         done = core.run_timers(state, now)
-        sends += [(now, sent) for sent in fakes.find_sends(done)]
+        sends += [(now, sent) for sent in fakes.list_sends(done)]
     return sends
 
 
@@ -59,9 +59,9 @@
     # to do: it waits at all routers, so one of them is always the first.
     state = create_state_with_running(2)
     tell(state, 0.0, claimed=ENGINES, mill=30_000)
-    _, sent = fakes.take(state, 0.0, "draft", team="mill")
+    _, sent = fakes.submit_request(state, 0.0, "draft", team="mill")
     assert sent is None
-    _, sent = fakes.take(state, 0.0, "draft", team="trader")
+    _, sent = fakes.submit_request(state, 0.0, "draft", team="trader")
     sends = run(state, 0.0, 0.1)
     assert [one.team for _, one in sends] == ["trader"]
 
@@ -70,7 +70,7 @@
     # Guards against capacity that idles for a request that doesn't use it.
     state = create_state_with_running(2)
     tell(state, 0.0, claimed=ENGINES, mill=30_000)
-    fakes.take(state, 0.0, "draft", team="mill")
+    fakes.submit_request(state, 0.0, "draft", team="mill")
     ((at, sent),) = run(state, 0.0, 0.39)
     assert sent.team == "mill"
     assert at <= 0.3
@@ -89,37 +89,37 @@
         1, "127.0.0.1:2", upstreams=loads, services=(demand,)
     )
     envelope = messages.Envelope("front-2", 1, 1, load)
-    exchange.take_load(fakes.create_exchange(), state, 0.0, envelope)
-    assert fakes.take(state, 0.0, "draft", team="mill")[1]
+    exchange.handle_load(fakes.create_exchange(), state, 0.0, envelope)
+    assert fakes.submit_request(state, 0.0, "draft", team="mill")[1]
 
 
 def test_router_tells_which_engines_a_refused_team_waits_for():
     # Guards against a team that is refused and that no other router leaves an
     # idle engine to.
     state, told = create_state_with_running(4), fakes.create_exchange()
-    fakes.take(state, 0.0, "draft", team="trader")
-    first = exchange.write_load(told, state, 0.0)
+    fakes.submit_request(state, 0.0, "draft", team="trader")
+    first = exchange.build_load_message(told, state, 0.0)
     assert {one.short_floor for one in first.upstreams} == {-1}
     run(state, 0.0, 0.45)
-    fakes.take(state, 0.46, "draft", team="trader")
-    later = exchange.write_load(told, state, told.own.due)
+    fakes.submit_request(state, 0.46, "draft", team="trader")
+    later = exchange.build_load_message(told, state, told.own.due)
     assert {one.short_floor for one in later.upstreams} == {0}
 
 
 def test_refusals_are_forgotten():
     # Guards against memory that grows with the teams that were ever refused.
     state, told = create_state_with_running(4), fakes.create_exchange()
-    fakes.take(state, 0.0, "draft")
+    fakes.submit_request(state, 0.0, "draft")
     run(state, 0.0, 0.45)
     assert state.accounts["engine"].refused_at
-    exchange.write_load(told, state, 0.5 + waiting.SHORT_FOR)
+    exchange.build_load_message(told, state, 0.5 + fair_queue.REFUSAL_RETENTION)
     assert not state.accounts["engine"].refused_at
 
 
 def test_plain_services_keep_no_account_of_teams():
     # Guards against messages that tell of teams at services without engines.
     state = fakes.create_state()
-    number, _ = fakes.take(state, 0.0, "look", team="")
+    number, _ = fakes.submit_request(state, 0.0, "look", team="")
     end = outcomes.AttemptEnd.NOT_RUN
     outcomes.end_attempt(state, 0.1, number, end)
     run(state, 0.1, 0.5)
@@ -133,7 +133,7 @@
     for share in (0.0, 0.4, 0.5, 0.55):
         state = fakes.create_state()
         asked = {"team": "trader", "tokens": 6000, "parts": PARTS}
-        number, sent = fakes.take(state, 0.0, "draft", **asked)
+        number, sent = fakes.submit_request(state, 0.0, "draft", **asked)
         core.cancel_request(state, number, 0.0)
         home = state.table.by_name[sent.upstream]
         home.own.running = 4
@@ -146,10 +146,10 @@
         state.accounts["engine"].own.clear()
         tell(state, 0.0, trader=int(share * 100_000), mill=100_000)
         state.accounts["engine"].most = 100_000
-        fakes.take(state, 0.0, "draft", **asked)
+        fakes.submit_request(state, 0.0, "draft", **asked)
         ((at, sent),) = run(state, 0.0, 0.39)
         assert sent.upstream == other.listed.name
-        wait = dispatching.PATIENCE * 0.5
+        wait = dispatching.MAX_WAIT_SHARE * 0.5
         assert at <= 0.5 * wait + 0.02
 
 
@@ -157,12 +157,12 @@
     # Guards against parts that are read everywhere once a service is full.
     state = fakes.create_state()
     asked = {"team": "mill", "tokens": 6000, "parts": PARTS}
-    number, sent = fakes.take(state, 0.0, "draft", **asked)
+    number, sent = fakes.submit_request(state, 0.0, "draft", **asked)
     core.cancel_request(state, number, 0.0)
     state.table.by_name[sent.upstream].own.running = 4
     tell(state, 0.0, trader=10_000, mill=100_000)
     state.accounts["engine"].most = 100_000
-    fakes.take(state, 0.0, "draft", **asked)
+    fakes.submit_request(state, 0.0, "draft", **asked)
     assert run(state, 0.0, 0.39) == []
 
 
@@ -175,33 +175,37 @@
         outcomes.AttemptEnd.OTHER_INCARNATION,
         outcomes.AttemptEnd.BROKEN,
     ):
-        state = fakes.create_state(listing=[fakes.list_one("e1")])
-        number, sent = fakes.take(state, 0.0, "draft", tokens=9000)
+        state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
+        number, sent = fakes.submit_request(state, 0.0, "draft", tokens=9000)
         accounts = state.accounts["engine"]
-        assert waiting.read_service(accounts, 0.0, "mill") == sent.cost
+        assert fair_queue.compute_received(accounts, 0.0, "mill") == sent.cost
         outcomes.end_attempt(state, 1.0, number, end)
-        received = waiting.read_service(accounts, 1.0, "mill")
+        received = fair_queue.compute_received(accounts, 1.0, "mill")
         assert received == pytest.approx(0.0, abs=1.0)
 
 
 def test_team_is_charged_once_for_a_request_that_moves_from_a_silent_engine():
     # Guards against the same while an engine hangs and says nothing.
     state = fakes.create_state()
-    number, first = fakes.take(state, 0.0, "answer", tokens=9000)
+    number, first = fakes.submit_request(state, 0.0, "answer", tokens=9000)
     now = 0.0
     while state.requests[number].sends < 2:
         now += 0.05
-        freshness.note_proof(state.freshness, now)
+        freshness.record_proof(state.freshness, now)
         core.run_timers(state, now)
-    received = waiting.read_service(state.accounts["engine"], now, "mill")
+    received = fair_queue.compute_received(
+        state.accounts["engine"], now, "mill"
+    )
     assert received <= first.cost
 
 
 def test_team_is_charged_for_an_answer_that_broke_off():
     # Guards against free service for a team whose answers break off.
-    state = fakes.create_state(listing=[fakes.list_one("e1")])
-    number, sent = fakes.take(state, 0.0, "draft", tokens=9000)
-    outcomes.note_answer(state, 0.1, number, first=True)
+    state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
+    number, sent = fakes.submit_request(state, 0.0, "draft", tokens=9000)
+    outcomes.record_response(state, 0.1, number, first=True)
     outcomes.end_attempt(state, 0.1, number, outcomes.AttemptEnd.BROKEN)
-    received = waiting.read_service(state.accounts["engine"], 0.1, "mill")
+    received = fair_queue.compute_received(
+        state.accounts["engine"], 0.1, "mill"
+    )
     assert received > 0.9 * sent.cost
--- a/sycamorefall/direct/tests/test_sharing.py
+++ b/sycamorefall/direct/tests/test_sharing.py
@@ -20,18 +20,20 @@
 def tell(told, state, now, sender="front-2", incarnation=1, **fields):
     load = messages.RouterLoad(control="127.0.0.1:2", **fields)
     envelope = messages.Envelope(sender, incarnation, 1, load)
-    exchange.take_load(told, state, now, envelope)
+    exchange.handle_load(told, state, now, envelope)
 
 
 def test_same_shared_part_goes_to_the_same_engine():
     # Each request about one paper reads it anew, and answers come late.
     # Cause: requests with the same part went to different engines.
-    listing = [fakes.list_one(f"e{n}", port=n) for n in range(1, 6)]
+    listing = [
+        fakes.create_upstream_entry(f"e{n}", port=n) for n in range(1, 6)
+    ]
     first, second = (fakes.create_state(listing=listing) for _ in range(2))
     for name in ("paper-a", "paper-b", "paper-c"):
         chosen = set()
         for state, now in itertools.product((first, second), (0.0, 1.0, 2.0)):
-            number, sent = fakes.take(
+            number, sent = fakes.submit_request(
                 state, now, "draft", tokens=8000, parts=((name, 5000),)
             )
             chosen.add(sent.upstream)
@@ -42,13 +44,17 @@
 def test_part_that_many_ask_for_has_several_homes():
     # One paper gets a third of the traffic. Its engine is full, all others
     # idle, and callers are refused. Cause: the part had one home only.
-    listing = [fakes.list_one(f"e{n}", port=n) for n in range(1, 4)]
+    listing = [
+        fakes.create_upstream_entry(f"e{n}", port=n) for n in range(1, 4)
+    ]
     state = fakes.create_state(listing=listing)
     used = set()
     for _ in range(12):
         state.uses.uses["hot"] = (2.0 * homes.USES_PER_HOME, 0.0)
         parts = (("hot", 5000),)
-        _, sent = fakes.take(state, 0.0, "draft", tokens=5200, parts=parts)
+        _, sent = fakes.submit_request(
+            state, 0.0, "draft", tokens=5200, parts=parts
+        )
         used |= {sent.upstream} if sent else set()
     assert len(used) == 3
 
@@ -56,20 +62,20 @@
 def test_others_load_leaves_no_room():
     # Two routers each see a free engine and fill it twice over: its callers
     # wait inside the engine, where no team comes before another.
-    state = fakes.create_state(listing=[fakes.list_one("e1")])
+    state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
     told = fakes.create_exchange()
     load = (messages.UpstreamLoad("e1", 4, 9000, 40_000),)
     tell(told, state, 0.0, sequence=1, upstreams=load)
-    assert fakes.take(state, 0.0, "draft")[1] is None
+    assert fakes.submit_request(state, 0.0, "draft")[1] is None
 
 
 def test_load_of_a_router_that_is_gone_counts_no_more():
     # A router is killed. The places that it held must be used again.
-    state = fakes.create_state(listing=[fakes.list_one("e1")])
+    state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
     told = fakes.create_exchange()
     load = (messages.UpstreamLoad("e1", 4, 9000, 40_000),)
     tell(told, state, 0.0, sequence=1, upstreams=load)
-    exchange.write_load(told, state, peers.PEER_TIMEOUT)
+    exchange.build_load_message(told, state, peers.PEER_TIMEOUT)
     assert state.table.by_name["e1"].running == 0
     assert state.routers == 1
 
@@ -77,7 +83,7 @@
 def test_messages_out_of_order_and_of_an_older_process_are_dropped():
     # Control messages come late and out of order; an old one would bring
     # back load that has ended, or that of a process that is gone.
-    state = fakes.create_state(listing=[fakes.list_one("e1")])
+    state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
     told = fakes.create_exchange()
     old = (messages.UpstreamLoad("e1", 3, 0, 0),)
     tell(told, state, 0.0, incarnation=5, sequence=9)
@@ -110,11 +116,11 @@
     for name in ("e1", "e2"):
         state.table.by_name[name].own.running = 3
     tell(told, state, 0.0, sequence=1, upstreams=waits, services=(demand,))
-    assert fakes.take(state, 0.0, "draft", team="mill")[1] is None
-    assert fakes.take(state, 0.0, "draft", team="trader")[1] is None, (
-        "it waits behind the first, until the next look"
-    )
-    (sent,) = fakes.find_sends(core.run_timers(state, 0.02))
+    assert fakes.submit_request(state, 0.0, "draft", team="mill")[1] is None
+    assert (
+        fakes.submit_request(state, 0.0, "draft", team="trader")[1] is None
+    ), "it waits behind the first, until the next look"
+    (sent,) = fakes.list_sends(core.run_timers(state, 0.02))
     assert sent.team == "trader"
 
 
@@ -126,31 +132,40 @@
     )
     waits = [messages.UpstreamLoad(name, 0, 0, 0, 0) for name in ("e1", "e2")]
     tell(told, state, 0.0, sequence=1, upstreams=waits, services=(demand,))
-    assert fakes.take(state, 0.0, "draft", team="mill")[1]
+    assert fakes.submit_request(state, 0.0, "draft", team="mill")[1]
 
 
 def test_least_served_team_goes_first():
     # One team floods; a small team's request comes last and must not wait
     # behind the flood.
-    state = fakes.create_state(listing=[fakes.list_one("e1")])
-    running = [fakes.take(state, 0.0, "draft", tokens=100)[0] for _ in range(4)]
+    state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
+    running = [
+        fakes.submit_request(state, 0.0, "draft", tokens=100)[0]
+        for _ in range(4)
+    ]
     for _ in range(20):
-        fakes.take(state, 0.0, "draft", tokens=100)
-    small, _ = fakes.take(state, 0.1, "draft", team="trader", tokens=100)
+        fakes.submit_request(state, 0.0, "draft", tokens=100)
+    small, _ = fakes.submit_request(
+        state, 0.1, "draft", team="trader", tokens=100
+    )
     outcomes.end_attempt(state, 0.2, running[0], outcomes.AttemptEnd.COMPLETE)
-    (sent,) = fakes.find_sends(core.run_timers(state, 0.2))
+    (sent,) = fakes.list_sends(core.run_timers(state, 0.2))
     assert sent.request == small
 
 
 def test_request_that_can_be_on_time_goes_before_one_that_comes_back():
     # Callers that were refused come back and take the places of those that
     # could still be answered in time, so nobody is.
-    state = fakes.create_state(listing=[fakes.list_one("e1")])
-    fakes.take(state, 0.0, "draft", time_left=3.0, tokens=20_000)
-    late, sent = fakes.take(state, 0.0, "draft", time_left=1.5, tokens=100)
+    state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
+    fakes.submit_request(state, 0.0, "draft", time_left=3.0, tokens=20_000)
+    late, sent = fakes.submit_request(
+        state, 0.0, "draft", time_left=1.5, tokens=100
+    )
     assert sent is None, "the engine has something to do"
-    prompt, sent = fakes.take(state, 0.0, "draft", time_left=3.0, tokens=100)
-    (first, *_) = fakes.find_sends(core.run_timers(state, 0.02))
+    prompt, sent = fakes.submit_request(
+        state, 0.0, "draft", time_left=3.0, tokens=100
+    )
+    (first, *_) = fakes.list_sends(core.run_timers(state, 0.02))
     assert first.request == prompt
     assert late in state.requests
 
@@ -167,7 +182,7 @@
     # service gets a multiple of its traffic just when it is weak. In every
     # window the second sends of all routers stay within one allowance.
     kept = budget.RetryBudget(ratio=0.2, extra=16, window=10)
-    budget.note_routers(kept, routers)
+    budget.record_routers(kept, routers)
     now, requests, retries = 0.0, [], []
     for pause, again in times:
         now += pause
@@ -179,9 +194,13 @@
             requests.append(now)
     for end in retries:
         span = [at for at in retries if end - 10 < at <= end]
-        asked = [at for at in requests if end - 10 - budget.STEP < at <= end]
+        asked = [
+            at
+            for at in requests
+            if end - 10 - budget.BUCKET_SECONDS < at <= end
+        ]
         assert len(span) <= 0.2 * len(asked) + 16 / max(
-            routers, budget.FEWEST_ROUTERS
+            routers, budget.MIN_ROUTERS
         )
 
 
@@ -191,7 +210,7 @@
     splitter = streams.EventSplitter()
     passed = streams.split_events(splitter, b"id: 1\ndata: a\n\nid: 2\ndat")
     assert passed == b"id: 1\ndata: a\n\n"
-    streams.start_over(splitter)
+    streams.prepare_resume(splitter)
     again = streams.split_events(
         splitter, b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
     )
@@ -226,7 +245,7 @@
     parts = (("dossier", 5000),)
     for most, expected in ((0.0, []), (90_000.0, ["trader"])):
         state = fakes.create_state()
-        number, sent = fakes.take(
+        number, sent = fakes.submit_request(
             state, 0.0, "draft", team="trader", tokens=6000, parts=parts
         )
         core.cancel_request(state, number, 0.0)
@@ -241,9 +260,11 @@
             fakes.create_exchange(), state, 0.0, sequence=1, services=(demand,)
         )
         state.accounts["engine"].most = most
-        fakes.take(state, 0.0, "draft", team="trader", tokens=6000, parts=parts)
+        fakes.submit_request(
+            state, 0.0, "draft", team="trader", tokens=6000, parts=parts
+        )
         early = core.run_timers(state, 0.1)
-        sent = fakes.find_sends(early + core.run_timers(state, 0.25))
+        sent = fakes.list_sends(early + core.run_timers(state, 0.25))
         assert [one.team for one in sent] == expected
 
 
@@ -252,12 +273,12 @@
     # sends its part of the second sends; had this one taken the whole, the
     # failing service would get a multiple of its allowance.
     kept = budget.RetryBudget(ratio=0.2, extra=56, window=10)
-    budget.note_routers(kept, 7)
-    budget.note_routers(kept, 1)
+    budget.record_routers(kept, 7)
+    budget.record_routers(kept, 1)
     taken = sum(budget.take_retry(kept, 1.0) for _ in range(100))
     assert taken <= 56 / 7
     alone = budget.RetryBudget(ratio=0.2, extra=56, window=10)
-    budget.note_routers(alone, 1)
+    budget.record_routers(alone, 1)
     taken = sum(budget.take_retry(alone, 1.0) for _ in range(100))
     assert taken <= 56 / 4
 
@@ -267,7 +288,7 @@
     # out of descriptors after some months.
     state, told = fakes.create_state(), fakes.create_exchange()
     tell(told, state, 0.0, sequence=1)
-    exchange.write_load(told, state, peers.FORGET_AFTER)
+    exchange.build_load_message(told, state, peers.FORGET_AFTER)
     assert "front-2" not in fakes.list_addresses(told)
 
 
@@ -275,12 +296,12 @@
     # Two teams flood one router. One of them gets a third of what the other
     # gets: its requests are sent after half a second, if at all. Cause: only
     # its oldest requests were looked at, which can't be on time any more.
-    state = fakes.create_state(listing=[fakes.list_one("e1")])
+    state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
     engine = state.table.by_name["e1"]
     engine.own.running, engine.own.unread = 3, 30_000
     for _ in range(10):
-        fakes.take(state, 0.0, "draft", tokens=8000)
+        fakes.submit_request(state, 0.0, "draft", tokens=8000)
     engine.own.unread = 20_000
-    newest, _ = fakes.take(state, 0.3, "draft", tokens=100)
-    (sent,) = fakes.find_sends(core.run_timers(state, 0.31))
+    newest, _ = fakes.submit_request(state, 0.3, "draft", tokens=100)
+    (sent,) = fakes.list_sends(core.run_timers(state, 0.31))
     assert sent.request == newest
--- a/sycamorefall/direct/tests/test_stopping.py
+++ b/sycamorefall/direct/tests/test_stopping.py
@@ -20,20 +20,20 @@
     # A caller with 3 s of patience comes 3 s after the signal. Taken, its
     # stream was cut when the process was killed; it is refused as not run.
     state = stop_router(grace=6.0)
-    _, sent = fakes.take(state, 1.0, "draft")
-    assert fakes.find_sends([sent])
-    _, refused = fakes.take(state, 3.0, "draft")
+    _, sent = fakes.submit_request(state, 1.0, "draft")
+    assert fakes.list_sends([sent])
+    _, refused = fakes.submit_request(state, 3.0, "draft")
     assert refused.kind is errors.ErrorKind.STOPPING
-    assert refused.retry_after == core.ELSEWHERE
-    assert core.find_unready(state, 3.0)[0] == "stopping"
+    assert refused.retry_after == core.OTHER_ROUTER_RETRY_AFTER
+    assert core.list_unready_reasons(state, 3.0)[0] == "stopping"
 
 
 def test_stopping_router_serves_what_ends_in_time():
     # A short request that comes at the same moment was turned away too,
     # though it had ended long before the process.
     state = stop_router(grace=6.0)
-    _, sent = fakes.take(state, 3.0, "draft", time_left=1.0)
-    assert fakes.find_sends([sent])
+    _, sent = fakes.submit_request(state, 3.0, "draft", time_left=1.0)
+    assert fakes.list_sends([sent])
 
 
 @pytest.mark.parametrize(
@@ -53,7 +53,7 @@
 def test_process_stays_while_an_answer_is_under_way():
     stop = stopping.Stop(8.0, since=0.0)
     looks = [(3.0, True), (3.2, False), (3.4, True), (3.6, True), (3.75, True)]
-    over = [stopping.is_over(stop, now, quiet) for now, quiet in looks]
+    over = [stopping.may_exit(stop, now, quiet) for now, quiet in looks]
     assert over == [False, False, False, False, True]
 
 
--- a/sycamorefall/direct/tests/test_totals.py
+++ b/sycamorefall/direct/tests/test_totals.py
@@ -81,7 +81,10 @@
     # process, routers fall silent, and engines are listed late.
     draws = random.Random(seed)
     state, told = fakes.create_state(), fakes.create_exchange()
-    listing = [fakes.list_one(name, port=n) for n, name in enumerate(ENGINES)]
+    listing = [
+        fakes.create_upstream_entry(name, port=n)
+        for n, name in enumerate(ENGINES)
+    ]
     core.apply_listing(state, 0.0, listing[:-1])
     now = 0.0
     for number in range(400):
@@ -90,21 +93,21 @@
         sender = f"front-{draws.randrange(2, 8)}"
         born = 1 + number // 150
         envelope = messages.Envelope(sender, born, 1, load)
-        exchange.take_load(told, state, now, envelope)
+        exchange.handle_load(told, state, now, envelope)
         names = {entry.upstream for entry in load.upstreams}
         if told.peers.get(sender) and told.peers[sender].heard_at == now:
             check_totals(told, state, names)
         if draws.random() < 0.05:
             now += draws.choice([0.0, 2.0])
             told.own.due = 0.0
-            exchange.write_load(told, state, now)
+            exchange.build_load_message(told, state, now)
         if number == 200:
             core.apply_listing(state, now, listing)
-            exchange.note_listing(told, state, set(ENGINES[-1:]))
+            exchange.apply_totals_to_listing(told, state, set(ENGINES[-1:]))
             check_totals(told, state, set(ENGINES))
     now += 10.0
     told.own.due = 0.0
-    exchange.write_load(told, state, now)
+    exchange.build_load_message(told, state, now)
     check_totals(told, state, set(ENGINES))
     assert not told.totals.loads
     assert not told.totals.floors
@@ -118,6 +121,6 @@
     entry = messages.UpstreamLoad("e1", 3, 0, 0)
     load = messages.RouterLoad(1, "127.0.0.1:2", upstreams=(entry,))
     envelope = messages.Envelope("front-2", 0, 1, load)
-    exchange.take_load(told, state, 0.0, envelope)
+    exchange.handle_load(told, state, 0.0, envelope)
     assert state.table.by_name["e1"].running == 0
     assert not told.totals.loads
--- a/sycamorefall/direct/tests/test_upstreams.py
+++ b/sycamorefall/direct/tests/test_upstreams.py
@@ -17,7 +17,7 @@
 def read_listing(table, now, listing):
     """Takes over a listing that was read, and the proof that it is."""
     gone = upstreams.replace_listing(table, now, listing)
-    upstreams.note_contact(table, now, now)
+    upstreams.confirm_listing(table, now, now)
     return gone
 
 
@@ -26,7 +26,10 @@
     # entries lapsed meanwhile. Callers must go on being served: the entries
     # are back within two seconds. One that isn't by then is gone.
     table = upstreams.UpstreamTable()
-    both = [fakes.list_one("e1"), fakes.list_one("e2", port=2)]
+    both = [
+        fakes.create_upstream_entry("e1"),
+        fakes.create_upstream_entry("e2", port=2),
+    ]
     read_listing(table, 10.0, both)
     assert read_listing(table, 20.0, []) == []
     assert list_names(table) == {"e1", "e2"}
@@ -40,23 +43,26 @@
     # listing tells that the upstream is gone. It would be sent requests for
     # ever.
     table = upstreams.UpstreamTable()
-    both = [fakes.list_one("e1"), fakes.list_one("e2", port=2)]
+    both = [
+        fakes.create_upstream_entry("e1"),
+        fakes.create_upstream_entry("e2", port=2),
+    ]
     read_listing(table, 10.0, both)
     read_listing(table, 20.0, both[:1])
-    end = upstreams.find_lapse_end(table)
-    assert upstreams.drop_lapsed(table, end - 0.01) == []
+    end = upstreams.find_grace_end(table)
+    assert upstreams.drop_missing(table, end - 0.01) == []
     assert list_names(table) == {"e1", "e2"}
     assert 22.0 < end < 23.0
-    assert upstreams.drop_lapsed(table, end) == ["e2"]
+    assert upstreams.drop_missing(table, end) == ["e2"]
     assert list_names(table) == {"e1"}
-    assert upstreams.find_lapse_end(table) == math.inf
+    assert upstreams.find_grace_end(table) == math.inf
 
 
 def test_missing_entry_means_gone_while_the_platform_is_steady():
     # An upstream leaves without notice: its entry is removed. It must get
     # no new request within two seconds.
     table = upstreams.UpstreamTable()
-    read_listing(table, 10.0, [fakes.list_one("e1")])
+    read_listing(table, 10.0, [fakes.create_upstream_entry("e1")])
     assert read_listing(table, 10.8, []) == ["e1"]
 
 
@@ -65,12 +71,12 @@
     # would be cut off as it exits.
     state = fakes.create_state(
         listing=[
-            fakes.list_one("e1", leaving=True),
-            fakes.list_one("e2", port=2),
+            fakes.create_upstream_entry("e1", leaving=True),
+            fakes.create_upstream_entry("e2", port=2),
         ]
     )
     for _ in range(3):
-        _, sent = fakes.take(state, 0.0, "draft", tokens=100)
+        _, sent = fakes.submit_request(state, 0.0, "draft", tokens=100)
         assert sent.upstream == "e2"
 
 
@@ -79,8 +85,8 @@
     # older one refuses whatever it is sent, at the cost of second sends.
     table = upstreams.UpstreamTable()
     listing = [
-        fakes.list_one("old", listed_at=3),
-        fakes.list_one("new", listed_at=9),
+        fakes.create_upstream_entry("old", listed_revision=3),
+        fakes.create_upstream_entry("new", listed_revision=9),
     ]
     for order in (listing, listing[::-1]):
         upstreams.replace_listing(table, 1.0, order)
@@ -90,11 +96,13 @@
 def test_failures_fade():
     # An upstream failed for a while and is well again: it must get work
     # again without anybody asking it about its health.
-    one = upstreams.Upstream(fakes.list_one("e1"))
+    one = upstreams.Upstream(fakes.create_upstream_entry("e1"))
     for _ in range(10):
-        upstreams.note_failure(one, 1.0)
-    before = upstreams.read_failure_rate(one, 1.0)
-    after = upstreams.read_failure_rate(one, 1.0 + upstreams.FAILURE_MEMORY)
+        upstreams.record_failure(one, 1.0)
+    before = upstreams.compute_failure_rate(one, 1.0)
+    after = upstreams.compute_failure_rate(
+        one, 1.0 + upstreams.FAILURE_HALF_LIFE
+    )
     assert before > 0.9
     assert abs(after - before / 2) < 1e-9
 
@@ -104,30 +112,32 @@
 
 
 def create_entry(name, born=0, leaving=False):
-    return dataclasses.replace(fakes.list_one(name, leaving=leaving), born=born)
+    return dataclasses.replace(
+        fakes.create_upstream_entry(name, leaving=leaving), born=born
+    )
 
 
-def note_leaving(state, name, now=0.0):
+def record_leaving(state, name, now=0.0):
     upstream = find_upstream(state, name)
-    return upstreams.note_leaving(state.table, now, upstream)
+    return upstreams.record_leaving(state.table, now, upstream)
 
 
 def test_stale_listing_does_not_clear_leaving_notice():
     # Guards against new requests to a leaving upstream that the platform still
     # lists as ready.
     state = fakes.create_state(listing=[create_entry("e1")])
-    assert note_leaving(state, "e1")
-    assert not note_leaving(state, "e1"), "a repeated notice is not new"
+    assert record_leaving(state, "e1")
+    assert not record_leaving(state, "e1"), "a repeated notice is not new"
     core.apply_listing(state, 1.0, [create_entry("e1")])
     assert not upstreams.is_usable(find_upstream(state, "e1"), 1.0)
-    assert fakes.take(state, 1.0, "draft")[1] is None
+    assert fakes.submit_request(state, 1.0, "draft")[1] is None
 
 
 def test_relisted_process_keeps_leaving_notice():
     # Guards against requests to a leaving upstream whose entry lapsed while
     # the platform was away and is listed again.
     state = fakes.create_state(listing=[create_entry("e1"), create_entry("e2")])
-    note_leaving(state, "e1")
+    record_leaving(state, "e1")
     core.apply_listing(state, 1.0, [create_entry("e2")])
     assert "e1" not in state.table.by_name
     core.apply_listing(state, 30.0, [create_entry("e1"), create_entry("e2")])
@@ -138,7 +148,7 @@
     # Guards against a restarted upstream that never receives requests because
     # of its predecessor's notice.
     state = fakes.create_state(listing=[create_entry("e1", born=5)])
-    note_leaving(state, "e1")
+    record_leaving(state, "e1")
     core.apply_listing(state, 1.0, [create_entry("e1", born=9)])
     assert upstreams.is_usable(find_upstream(state, "e1"), 1.0)
 
@@ -146,7 +156,7 @@
 def test_notices_of_unlisted_processes_expire():
     # Guards against memory use that grows with each replaced upstream.
     state = fakes.create_state(listing=[create_entry("e1")])
-    note_leaving(state, "e1")
+    record_leaving(state, "e1")
     core.apply_listing(state, 1.0, [])
     assert state.table.notices
     core.apply_listing(state, upstreams.NOTICE_RETENTION, [])
@@ -158,24 +168,24 @@
     # Guards against missing a notice in a refusal or failure, and against
     # attributing one from another process at the address to the upstream.
     state = fakes.create_state()
-    number, sent = fakes.take(state, 0.0, "draft")
+    number, sent = fakes.submit_request(state, 0.0, "draft")
     head = dialects.AnswerHead(verdict, 200, (), leaving=True)
     other_process = verdict is dialects.Verdict.OTHER_INCARNATION
-    assert outcomes.note_leaving(state, 0.1, number, head) != other_process
+    assert outcomes.record_leaving(state, 0.1, number, head) != other_process
     usable = upstreams.is_usable(find_upstream(state, sent.upstream), 0.1)
     assert usable == other_process
 
 
-def note_retry_delay(state, name, seconds, now=0.0):
+def record_retry_delay(state, name, seconds, now=0.0):
     upstream = find_upstream(state, name)
-    return upstreams.note_retry_delay(state.table, now, upstream, seconds)
+    return upstreams.record_retry_delay(state.table, now, upstream, seconds)
 
 
 def test_shorter_retry_delay_does_not_replace_longer_one():
     # Guards against a later, shorter retry delay that ends a longer one early.
     state = fakes.create_state(listing=[create_entry("e1")])
-    assert note_retry_delay(state, "e1", 3.0)
-    assert not note_retry_delay(state, "e1", 1.0, now=1.0)
+    assert record_retry_delay(state, "e1", 3.0)
+    assert not record_retry_delay(state, "e1", 1.0, now=1.0)
     for now, usable in ((2.9, False), (3.0, True)):
         assert upstreams.is_usable(find_upstream(state, "e1"), now) == usable
 
@@ -184,8 +194,8 @@
     # Guards against an upstream that is excluded indefinitely because of an
     # excessive Retry-After.
     state = fakes.create_state(listing=[create_entry("e1")])
-    note_retry_delay(state, "e1", 1e12)
-    end = upstreams.LONGEST_RETRY_DELAY
+    record_retry_delay(state, "e1", 1e12)
+    end = upstreams.MAX_RETRY_DELAY
     assert upstreams.is_usable(find_upstream(state, "e1"), end)
 
 
@@ -193,7 +203,7 @@
     # Guards against a retry delay that is lost while the platform's store is
     # unavailable, and against one that a restarted process inherits.
     state = fakes.create_state(listing=[create_entry("e1", born=5)])
-    note_retry_delay(state, "e1", 60.0)
+    record_retry_delay(state, "e1", 60.0)
     core.apply_listing(state, 1.0, [])
     core.apply_listing(state, 30.0, [create_entry("e1", born=5)])
     assert not upstreams.is_usable(find_upstream(state, "e1"), 30.0)
@@ -204,11 +214,14 @@
 def test_second_send_skips_upstream_with_retry_delay():
     # Guards against second sends to an upstream before its retry delay has
     # elapsed.
-    listing = [fakes.list_one(f"l{n}", "ledger", port=n) for n in (1, 2, 3)]
+    listing = [
+        fakes.create_upstream_entry(f"l{n}", "ledger", port=n)
+        for n in (1, 2, 3)
+    ]
     state = fakes.create_state(listing=listing)
-    number, first = fakes.take(state, 0.0, "look")
+    number, first = fakes.submit_request(state, 0.0, "look")
     others = [one.name for one in listing if one.name != first.upstream]
-    note_retry_delay(state, others[0], 3.0)
+    record_retry_delay(state, others[0], 3.0)
     end = outcomes.AttemptEnd.NOT_RUN
     (again,) = outcomes.end_attempt(state, 0.1, number, end)
     assert again.upstream == others[1]
@@ -218,25 +231,27 @@
     # Guards against a caller that waits until its wait limit and then gets a
     # Retry-After that ends before any upstream accepts requests.
     state = fakes.create_state()
-    note_retry_delay(state, "e1", 9.0)
-    note_retry_delay(state, "e2", 4.0)
-    _, refused = fakes.take(state, 1.0, "draft")
+    record_retry_delay(state, "e1", 9.0)
+    record_retry_delay(state, "e2", 4.0)
+    _, refused = fakes.submit_request(state, 1.0, "draft")
     assert refused.kind is errors.ErrorKind.NO_UPSTREAM
     assert 3.0 <= refused.retry_after <= 3.0 + outcomes.RETRY_JITTER
     assert not state.requests
-    assert fakes.take(state, 1.0, "book")[1].upstream, "unaffected service"
+    assert fakes.submit_request(state, 1.0, "book")[1].upstream, (
+        "unaffected service"
+    )
 
 
 def test_request_waits_for_retry_delay_that_ends_in_time():
     # Guards against refusing a request that an upstream can accept before the
     # request's wait limit.
     state = fakes.create_state()
-    note_retry_delay(state, "e1", 9.0)
-    note_retry_delay(state, "e2", 0.2)
-    number, sent = fakes.take(state, 0.0, "draft")
+    record_retry_delay(state, "e1", 9.0)
+    record_retry_delay(state, "e2", 0.2)
+    number, sent = fakes.submit_request(state, 0.0, "draft")
     assert sent is None
-    assert not fakes.find_sends(core.run_timers(state, 0.1))
-    (sent,) = fakes.find_sends(core.run_timers(state, 0.21))
+    assert not fakes.list_sends(core.run_timers(state, 0.1))
+    (sent,) = fakes.list_sends(core.run_timers(state, 0.21))
     assert (sent.request, sent.upstream) == (number, "e2")
 
 
@@ -244,9 +259,9 @@
     # Guards against callers that wait for a leaving upstream while the retry
     # delays of all others are in effect.
     state = fakes.create_state()
-    note_retry_delay(state, "e1", 9.0)
-    note_leaving(state, "e2")
-    _, refused = fakes.take(state, 0.0, "draft")
+    record_retry_delay(state, "e1", 9.0)
+    record_leaving(state, "e2")
+    _, refused = fakes.submit_request(state, 0.0, "draft")
     assert refused.retry_after >= 9.0
 
 
@@ -254,10 +269,10 @@
     # Guards against requests that wait until their wait limit although no
     # upstream will accept them before it.
     state = fakes.create_state(listing=[create_entry("e1")])
-    numbers = [fakes.take(state, 0.0, "draft")[0] for _ in range(6)]
+    numbers = [fakes.submit_request(state, 0.0, "draft")[0] for _ in range(6)]
     waiting = [one for one in numbers if not state.requests[one].attempt]
     assert waiting
-    note_retry_delay(state, "e1", 5.0)
+    record_retry_delay(state, "e1", 5.0)
     refused = outcomes.refuse_delayed_requests(state, 0.1, "engine")
     assert [one.request for one in refused] == waiting
     assert all(one.retry_after >= 4.9 for one in refused)
@@ -268,9 +283,11 @@
     # Guards against attributing a retry delay from another process at the
     # address to the upstream.
     state = fakes.create_state()
-    number, sent = fakes.take(state, 0.0, "draft")
+    number, sent = fakes.submit_request(state, 0.0, "draft")
     head = dialects.AnswerHead(verdict, 503, (), retry_after=2.0)
     other_process = verdict is dialects.Verdict.OTHER_INCARNATION
-    assert outcomes.note_retry_delay(state, 0.1, number, head) != other_process
+    assert (
+        outcomes.record_retry_delay(state, 0.1, number, head) != other_process
+    )
     usable = upstreams.is_usable(find_upstream(state, sent.upstream), 0.2)
     assert usable == other_process
--- a/sycamorefall/direct/totals.py
+++ b/sycamorefall/direct/totals.py
@@ -5,9 +5,9 @@
     "Key",
     "Source",
     "Totals",
+    "compute_ages",
     "drop_silent",
     "drop_sources",
-    "find_ages",
     "list_keys",
     "list_services",
     "note_totals",
@@ -238,7 +238,7 @@
             given[entry.team] += entry.amount
 
 
-def find_ages(totals: Totals, now: float) -> dict[messages.LoadScope, float]:
+def compute_ages(totals: Totals, now: float) -> dict[messages.LoadScope, float]:
     """Finds how old the oldest load of each scope is, in seconds.
 
     Example:
@@ -246,7 +246,7 @@
         >>> two = Source("front-3", 1, 1, heard_at=1.5)
         >>> scope = messages.LoadScope.ROUTER
         >>> sources = {(scope, "front-2", 0): one, (scope, "front-3", 0): two}
-        >>> find_ages(Totals(sources), 1.75)[scope]
+        >>> compute_ages(Totals(sources), 1.75)[scope]
         0.75
     """
     ages: dict[messages.LoadScope, float] = {}
@@ -369,7 +369,7 @@
     """
     covered = sum(source.covers for source in totals.sources.values())
     state.routers = 1 + covered
-    state.serve = True
+    state.dispatch_needed = True
     for name in names & state.table.by_name.keys():
         upstream = state.table.by_name[name]
         total = totals.loads.get(name, _NOTHING)
@@ -387,4 +387,4 @@
     for accounts in state.accounts.values():
         accounts.others = {}
     for service, given in totals.services.items():
-        state_module.find_accounts(state, service).others = given
+        state_module.get_or_create_accounts(state, service).others = given
--- a/sycamorefall/direct/placing.py
+++ b/sycamorefall/direct/upstream_selection.py
@@ -9,15 +9,15 @@
 __all__ = [
     "choose_upstream",
     "count_obstacles",
-    "list_standings",
-    "list_waited_for",
+    "list_awaited_engines",
+    "list_engine_loads",
 ]
 
 import collections
 from collections.abc import Iterable
 
 from sycamorefall.direct import catalog as catalog_module
-from sycamorefall.direct import fitting, prompts
+from sycamorefall.direct import eligibility, prompts
 from sycamorefall.direct import homes as homes_module
 from sycamorefall.direct import upstreams as upstreams_module
 from sycamorefall.direct.upstreams import Upstream
@@ -46,9 +46,9 @@
     table: upstreams_module.UpstreamTable,
     now: float,
     service: catalog_module.Service,
-    need: fitting.Need,
+    constraints: eligibility.PlacementConstraints,
     failure_domain: str,
-    group: fitting.Group,
+    group: eligibility.EngineGroup,
 ) -> Upstream | None:
     """Chooses the upstream that is to get a request now.
 
@@ -56,41 +56,41 @@
         table: All upstreams.
         now: This process's time.
         service: The request's service.
-        need: What the request needs.
+        constraints: What the request needs.
         failure_domain: Where this router stands.
         group: Engines with a free slot.
 
     Returns:
         The upstream, or None if the request has to wait.
     """
-    if need.prompt is None or service.engine is None:
-        usable = _list_usable(table, now, service, need)
+    if constraints.prompt is None or service.engine is None:
+        usable = _list_usable(table, now, service, constraints)
         return _choose_plain(usable, now, failure_domain)
-    prompt, engine = need.prompt, service.engine
+    prompt, engine = constraints.prompt, service.engine
     uncrowded = [
         one
-        for one in fitting.list_possible(group, need)
-        if one.upstream.listed.name not in need.tried
-        and fitting.find_crowding(one, engine, need) is None
+        for one in eligibility.prefilter_engines(group, constraints)
+        if one.upstream.listed.name not in constraints.tried
+        and eligibility.find_load_obstacle(one, engine, constraints) is None
     ]
     if not uncrowded:
         return None
-    homes = homes_module.list_homes(table, now, service, need)
+    homes = homes_module.list_homes(table, now, service, constraints)
     costs = [
         (_weigh(one.upstream, now, prompt, engine, home), one.upstream)
         for one in uncrowded
         for home in [one.upstream in homes]
-        if fitting.find_obstacle(one, engine, need, home) is None
+        if eligibility.find_obstacle(one, engine, constraints, home) is None
     ]
     return min(costs, key=lambda pair: pair[0], default=(0.0, None))[1]
 
 
-def list_standings(
+def list_engine_loads(
     table: upstreams_module.UpstreamTable,
     now: float,
     service: catalog_module.Service,
     full: bool = False,
-) -> list[fitting.Standing]:
+) -> list[eligibility.EngineLoad]:
     """Lists what the engines that may be used have to do now.
 
     Args:
@@ -106,7 +106,7 @@
     if engine is None:
         return []
     return [
-        fitting.describe_standing(one, engine, now)
+        eligibility.measure_engine_load(one, engine, now)
         for one in upstreams_module.list_upstreams(table, service.name)
         if (full or one.running < engine.slots)
         and upstreams_module.is_usable(one, now)
@@ -117,12 +117,12 @@
     table: upstreams_module.UpstreamTable,
     now: float,
     service: catalog_module.Service,
-    need: fitting.Need,
+    constraints: eligibility.PlacementConstraints,
 ) -> list[Upstream]:
     return [
         one
         for one in upstreams_module.list_upstreams(table, service.name)
-        if one.listed.name not in need.tried
+        if one.listed.name not in constraints.tried
         and upstreams_module.is_usable(one, now)
     ]
 
@@ -131,31 +131,31 @@
     table: upstreams_module.UpstreamTable,
     now: float,
     service: catalog_module.Service,
-    need: fitting.Need,
-) -> dict[fitting.Obstacle, int]:
+    constraints: eligibility.PlacementConstraints,
+) -> dict[eligibility.Obstacle, int]:
     """Counts a service's upstreams by what keeps a request from them.
 
     Args:
         table: All upstreams.
         now: This process's time.
         service: The request's service.
-        need: What the request needs.
+        constraints: What the request needs.
 
     Returns:
         Upstreams by obstacle; those that could take the request are left out.
     """
-    usable = _list_usable(table, now, service, need)
+    usable = _list_usable(table, now, service, constraints)
     group = upstreams_module.list_upstreams(table, service.name)
     counts = collections.Counter(
-        {fitting.Obstacle.UNUSABLE: len(group) - len(usable)}
+        {eligibility.Obstacle.UNUSABLE: len(group) - len(usable)}
     )
-    if need.prompt is None or service.engine is None:
+    if constraints.prompt is None or service.engine is None:
         full = [one for one in usable if not _has_room(one)]
-        counts[fitting.Obstacle.SLOTS] = len(full)
+        counts[eligibility.Obstacle.SLOTS] = len(full)
     else:
-        homes = homes_module.list_homes(table, now, service, need)
+        homes = homes_module.list_homes(table, now, service, constraints)
         counts.update(
-            _find_obstacle(one, now, service.engine, need, one in homes)
+            _find_obstacle(one, now, service.engine, constraints, one in homes)
             for one in usable
         )
         del counts[None]
@@ -166,26 +166,28 @@
     one: Upstream,
     now: float,
     engine: catalog_module.Engine,
-    need: fitting.Need,
+    constraints: eligibility.PlacementConstraints,
     home: bool,
-) -> fitting.Obstacle | None:
+) -> eligibility.Obstacle | None:
     """Finds what keeps a request from an engine.
 
     Most engines of a full service are kept from it by what they hold, for
     which they need not be described.
     """
-    if not need.anywhere_idle and fitting.reads_again(one, need, home):
-        return fitting.Obstacle.READS_AGAIN
-    standing = fitting.describe_standing(one, engine, now)
-    return fitting.find_obstacle(standing, engine, need, home)
+    if not constraints.anywhere_idle and eligibility.exceeds_reread_limit(
+        one, constraints, home
+    ):
+        return eligibility.Obstacle.READS_AGAIN
+    engine_load = eligibility.measure_engine_load(one, engine, now)
+    return eligibility.find_obstacle(engine_load, engine, constraints, home)
 
 
-def list_waited_for(
+def list_awaited_engines(
     table: upstreams_module.UpstreamTable,
     now: float,
     service: catalog_module.Service,
-    need: fitting.Need,
-    standings: Iterable[fitting.Standing],
+    constraints: eligibility.PlacementConstraints,
+    engine_loads: Iterable[eligibility.EngineLoad],
 ) -> list[Upstream]:
     """Lists the engines that a request waits for.
 
@@ -193,28 +195,33 @@
         table: All upstreams.
         now: This process's time.
         service: The request's service.
-        need: What the request needs.
-        standings: Engines of the service that may be used; others aren't
+        constraints: What the request needs.
+        engine_loads: Engines of the service that may be used; others aren't
             looked at.
 
     Returns:
         Those of the engines that would get it if they had room, the one that
         suits it best first.
     """
-    if need.prompt is None or need.time_left < fitting.FIRST_STEP:
+    if (
+        constraints.prompt is None
+        or constraints.time_left < eligibility.FIRST_TOKEN_OVERHEAD
+    ):
         return []
-    homes = homes_module.list_homes(table, now, service, need)
+    homes = homes_module.list_homes(table, now, service, constraints)
     found = [
         one.upstream
-        for one in standings
-        if one.upstream.listed.name not in need.tried
-        and fitting.is_waited_for(
-            one, service.engine, need, one.upstream in homes
+        for one in engine_loads
+        if one.upstream.listed.name not in constraints.tried
+        and eligibility.is_awaited(
+            one, service.engine, constraints, one.upstream in homes
         )
     ]
 
     def weigh(one: Upstream) -> float:
-        return _weigh(one, now, need.prompt, service.engine, one in homes)
+        return _weigh(
+            one, now, constraints.prompt, service.engine, one in homes
+        )
 
     return sorted(found, key=weigh)
 
@@ -229,7 +236,7 @@
     def weigh(one: Upstream) -> float:
         queued = PLAIN_WORK * one.running / max(1, one.listed.slots)
         away = AWAY_COST * (one.listed.failure_domain != failure_domain)
-        failing = upstreams_module.read_failure_rate(one, now)
+        failing = upstreams_module.compute_failure_rate(one, now)
         return queued + away + FAILURE_COST * failing
 
     return min(filter(_has_room, usable), key=weigh, default=None)
@@ -243,8 +250,8 @@
     home: bool,
 ) -> float:
     own = prompt.tokens - prompt.shared
-    again = fitting.count_again(one, prompt, home)
-    reading = (one.unread + own + READ_AGAIN * again) / one.reading_rate
+    again = eligibility.count_reread_tokens(one, prompt, home)
+    reading = (one.unread + own + READ_AGAIN * again) / one.prefill_rate
     crowd = CROWD_COST * one.running / engine.slots
-    failing = upstreams_module.read_failure_rate(one, now)
+    failing = upstreams_module.compute_failure_rate(one, now)
     return reading + crowd + FAILURE_COST * failing
--- a/sycamorefall/direct/upstreams.py
+++ b/sycamorefall/direct/upstreams.py
@@ -1,29 +1,29 @@
 """Upstreams as one router knows them: listing, load and health."""
 
 __all__ = [
-    "Listed",
     "Load",
     "Notice",
     "ProcessKey",
     "Upstream",
+    "UpstreamEntry",
     "UpstreamTable",
-    "bar_upstream",
-    "drop_lapsed",
+    "compute_failure_rate",
+    "confirm_listing",
+    "drop_missing",
     "end_probe",
-    "find_lapse_end",
+    "find_grace_end",
     "find_retry_delay_end",
     "is_leaving",
     "is_usable",
     "list_upstreams",
-    "note_contact",
-    "note_failure",
-    "note_leaving",
-    "note_other_incarnation",
-    "note_retry_delay",
-    "note_sent",
-    "note_success",
-    "read_failure_rate",
+    "record_failure",
+    "record_leaving",
+    "record_other_incarnation",
+    "record_retry_delay",
+    "record_sent",
+    "record_success",
     "replace_listing",
+    "suspend_upstream",
 ]
 
 from collections.abc import Iterable
@@ -35,36 +35,36 @@
 from sycamorefall import settings
 from sycamorefall.direct import caches
 
-LAPSE_GRACE = 2.3
+MISSING_ENTRY_GRACE = 2.3
 """Seconds after the platform's return during which a missing entry may be one
 that lapsed while it was away. Upstreams renew theirs within two seconds; the
 rest covers one read."""
 
-AWAY_GAP = 2.0
+PLATFORM_OUTAGE_THRESHOLD = 2.0
 """Seconds without proof of what is known from which on the platform was away.
 A router that loses both its readers reads for itself within 1.4 seconds;
 entries lapse if the platform was away for 2.4 seconds or longer."""
 
-FIRST_BAR = 0.3
+INITIAL_SUSPENSION = 0.3
 """Seconds that an upstream is left alone after its first failure: about what
 a process takes to start."""
 
-LONGEST_BAR = 4.0
+MAX_SUSPENSION = 4.0
 """Seconds that it is left alone at most, after failures in a row: one lost
 send every four seconds is well within the budget of second sends."""
 
 FAILURE_WEIGHT = 0.25
 """Weight of the last outcome in an upstream's rate of failures."""
 
-FAILURE_MEMORY = 4.0
+FAILURE_HALF_LIFE = 4.0
 """Seconds after which the rate of failures has halved if nothing is sent, so
 that an upstream that recovered is tried again."""
 
-READING_RATE = 80_000.0
+INITIAL_PREFILL_RATE = 80_000.0
 """Prompt tokens an engine reads in a second until it was seen reading: the
 slowest that was met."""
 
-LONGEST_RETRY_DELAY = 300.0
+MAX_RETRY_DELAY = 300.0
 """Most seconds for which an upstream's Retry-After is followed, so that an
 excessive value does not exclude it indefinitely."""
 
@@ -78,7 +78,7 @@
 
     Attributes:
         name: Its incarnation.
-        born: When it started; see `Listed`.
+        born: When it started; see `UpstreamEntry`.
     """
 
     name: str
@@ -109,7 +109,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Listed:
+class UpstreamEntry:
     """An upstream as the platform lists it.
 
     Attributes:
@@ -119,7 +119,7 @@
         failure_domain: Where it stands.
         slots: Requests it runs at once.
         leaving: Whether it is to get no new work.
-        listed_at: Revision at which the entry was made.
+        listed_revision: Revision at which the entry was made.
         born: When its process started, by its own clock; 0 if it doesn't say.
             One that starts again under its name is told apart by this.
     """
@@ -130,7 +130,7 @@
     failure_domain: str
     slots: int
     leaving: bool
-    listed_at: int = 0
+    listed_revision: int = 0
     born: int = 0
 
 
@@ -162,23 +162,25 @@
         short_floor: The same of teams that had a request refused lately.
         idle_since: Since when it has next to nothing to do; infinity while
             it has more.
-        heard_at: When it last sent anything to this router.
-        reading_rate: Prompt tokens it reads in a second.
+        last_byte_at: When it last sent anything to this router.
+        prefill_rate: Prompt tokens it reads in a second.
         cache: What it is taken to hold of prompts.
-        barred_until: When it may be tried again after a failure.
+        suspended_until: When it may be tried again after a failure.
         notice: What its process announced in its answers.
     """
 
-    listed: Listed
+    listed: UpstreamEntry
     own: Load = dataclasses.field(default_factory=Load)
     others: Load = dataclasses.field(default_factory=Load)
     floor: float = math.inf
     short_floor: float = math.inf
     idle_since: float = math.inf
-    heard_at: float = 0.0
-    reading_rate: float = READING_RATE
-    cache: caches.Cache = dataclasses.field(default_factory=caches.Cache)
-    barred_until: float = 0.0
+    last_byte_at: float = 0.0
+    prefill_rate: float = INITIAL_PREFILL_RATE
+    cache: caches.CacheEstimate = dataclasses.field(
+        default_factory=caches.CacheEstimate
+    )
+    suspended_until: float = 0.0
     notice: Notice = dataclasses.field(default_factory=Notice)
     _health: _Health = _Health.USABLE
     _failures: int = 0
@@ -209,8 +211,8 @@
         by_name: By incarnation.
         by_service: The same by service.
         proven_at: When the listing was the newest for certain.
-        settled_at: From when on a missing entry means that it is gone.
-        lapsed: Upstreams that the platform listed and lists no more, and that
+        grace_ends_at: From when on a missing entry means that it is gone.
+        missing: Upstreams that the platform listed and lists no more, and that
             are used until then.
         replaced: Incarnations known to be replaced at their address.
         notices: Notices by process, including processes that are currently
@@ -224,8 +226,8 @@
         default_factory=dict
     )
     proven_at: float | None = None
-    settled_at: float = 0.0
-    lapsed: set[str] = dataclasses.field(default_factory=set)
+    grace_ends_at: float = 0.0
+    missing: set[str] = dataclasses.field(default_factory=set)
     replaced: set[str] = dataclasses.field(default_factory=set)
     notices: dict[ProcessKey, Notice] = dataclasses.field(default_factory=dict)
     rankings: dict[tuple[str, str], list[Upstream]] = dataclasses.field(
@@ -234,7 +236,7 @@
 
 
 def replace_listing(
-    table: UpstreamTable, now: float, listing: Iterable[Listed]
+    table: UpstreamTable, now: float, listing: Iterable[UpstreamEntry]
 ) -> list[str]:
     """Takes over a listing.
 
@@ -255,19 +257,21 @@
     Returns:
         Names of those that are no longer used.
     """
-    note_contact(table, now, table.proven_at)
+    confirm_listing(table, now, table.proven_at)
     listed = {
         entry.name: entry
         for entry in listing
         if not _lacks_birth(table.by_name.get(entry.name), entry)
     }
-    table.lapsed = {name for name in table.by_name if name not in listed}
-    gone = drop_lapsed(table, now)
+    table.missing = {name for name in table.by_name if name not in listed}
+    gone = drop_missing(table, now)
     for name, entry in listed.items():
         known = table.by_name.get(name)
         if known is None or known.listed.born != entry.born:
             notice = table.notices.get(ProcessKey(name, entry.born)) or Notice()
-            table.by_name[name] = Upstream(entry, heard_at=now, notice=notice)
+            table.by_name[name] = Upstream(
+                entry, last_byte_at=now, notice=notice
+            )
             table.replaced.discard(name)
         else:
             known.listed = entry
@@ -289,7 +293,7 @@
     }
 
 
-def note_contact(
+def confirm_listing(
     table: UpstreamTable, now: float, proven_at: float | None
 ) -> None:
     """Takes note of when the listing was the newest for certain.
@@ -300,19 +304,19 @@
         proven_at: That time; None if it is not known.
     """
     known = table.proven_at
-    if known is not None and now - known > AWAY_GAP:
-        table.settled_at = now + LAPSE_GRACE
+    if known is not None and now - known > PLATFORM_OUTAGE_THRESHOLD:
+        table.grace_ends_at = now + MISSING_ENTRY_GRACE
         table.proven_at = now
     if proven_at is not None:
         table.proven_at = max(proven_at, table.proven_at or proven_at)
 
 
-def find_lapse_end(table: UpstreamTable) -> float:
+def find_grace_end(table: UpstreamTable) -> float:
     """Tells when lapsed upstreams are to be dropped; infinity if none is."""
-    return table.settled_at if table.lapsed else math.inf
+    return table.grace_ends_at if table.missing else math.inf
 
 
-def drop_lapsed(table: UpstreamTable, now: float) -> list[str]:
+def drop_missing(table: UpstreamTable, now: float) -> list[str]:
     """Drops upstreams that the platform lists no more.
 
     Args:
@@ -322,9 +326,9 @@
     Returns:
         Names of those dropped; none while they may come back.
     """
-    if not table.lapsed or now < table.settled_at:
+    if not table.missing or now < table.grace_ends_at:
         return []
-    gone, table.lapsed = sorted(table.lapsed), set()
+    gone, table.missing = sorted(table.missing), set()
     for name in gone:
         del table.by_name[name]
     table.replaced &= table.by_name.keys()
@@ -332,7 +336,7 @@
     return gone
 
 
-def _lacks_birth(known: Upstream | None, entry: Listed) -> bool:
+def _lacks_birth(known: Upstream | None, entry: UpstreamEntry) -> bool:
     """Tells whether an entry can't be of the process that had told its birth.
 
     Guards against an entry that somebody else wrote: taken for a restart, it
@@ -351,7 +355,10 @@
     newest: dict[settings.Address, Upstream] = {}
     for upstream in table.by_name.values():
         other = newest.get(upstream.listed.address)
-        if other is None or other.listed.listed_at < upstream.listed.listed_at:
+        if (
+            other is None
+            or other.listed.listed_revision < upstream.listed.listed_revision
+        ):
             newest[upstream.listed.address] = upstream
     table.by_service = {}
     table.rankings.clear()
@@ -376,7 +383,9 @@
         return False
     if upstream._health is _Health.USABLE:
         return True
-    return upstream._health is _Health.BARRED and now >= upstream.barred_until
+    return (
+        upstream._health is _Health.BARRED and now >= upstream.suspended_until
+    )
 
 
 def is_leaving(upstream: Upstream) -> bool:
@@ -384,7 +393,9 @@
     return upstream.listed.leaving or upstream.notice.leaving
 
 
-def note_leaving(table: UpstreamTable, now: float, upstream: Upstream) -> bool:
+def record_leaving(
+    table: UpstreamTable, now: float, upstream: Upstream
+) -> bool:
     """Records that an upstream announced its shutdown in an answer.
 
     Guards against requests sent to a leaving upstream while the listing is
@@ -399,7 +410,7 @@
     return not was_leaving
 
 
-def note_retry_delay(
+def record_retry_delay(
     table: UpstreamTable, now: float, upstream: Upstream, seconds: float
 ) -> bool:
     """Records the retry delay that an upstream announced in an answer.
@@ -410,14 +421,14 @@
         table: The upstreams; changed.
         now: This process's time.
         upstream: The upstream.
-        seconds: The delay; limited to `LONGEST_RETRY_DELAY`.
+        seconds: The delay; limited to `MAX_RETRY_DELAY`.
 
     Returns:
         Whether a retry delay starts; False if one is already in effect.
     """
     notice = _update_notice(table, now, upstream)
     was_delayed = now < notice.delayed_until
-    until = now + min(seconds, LONGEST_RETRY_DELAY)
+    until = now + min(seconds, MAX_RETRY_DELAY)
     notice.delayed_until = max(notice.delayed_until, until)
     return not was_delayed and until > now
 
@@ -449,23 +460,23 @@
     return upstream.notice
 
 
-def note_sent(upstream: Upstream) -> None:
+def record_sent(upstream: Upstream) -> None:
     """Takes note of a request sent; to a barred upstream it is a probe."""
     if upstream._health is _Health.BARRED:
         upstream._health = _Health.PROBING
 
 
-def bar_upstream(upstream: Upstream, now: float) -> None:
+def suspend_upstream(upstream: Upstream, now: float) -> None:
     """Leaves an upstream alone that can't be reached or says nothing.
 
     Guards against many requests lost one after the other at a process that
     is gone: each would be a second send elsewhere, and their budget is small.
     """
-    if upstream._health is _Health.BARRED and now < upstream.barred_until:
+    if upstream._health is _Health.BARRED and now < upstream.suspended_until:
         return
-    pause = min(LONGEST_BAR, FIRST_BAR * 2**upstream._failures)
+    pause = min(MAX_SUSPENSION, INITIAL_SUSPENSION * 2**upstream._failures)
     upstream._failures += 1
-    upstream.barred_until = now + pause
+    upstream.suspended_until = now + pause
     upstream._health = _Health.BARRED
 
 
@@ -475,34 +486,34 @@
         upstream._health = _Health.BARRED
 
 
-def note_other_incarnation(table: UpstreamTable, name: str) -> None:
+def record_other_incarnation(table: UpstreamTable, name: str) -> None:
     """Takes note that another process answers at an upstream's address."""
     if name in table.by_name:
         table.replaced.add(name)
         _index(table)
 
 
-def read_failure_rate(upstream: Upstream, now: float) -> float:
+def compute_failure_rate(upstream: Upstream, now: float) -> float:
     """Reads an upstream's rate of failures, from 0 to 1."""
     age = max(0.0, now - upstream._rated_at)
-    return upstream._failure_rate * 0.5 ** (age / FAILURE_MEMORY)
+    return upstream._failure_rate * 0.5 ** (age / FAILURE_HALF_LIFE)
 
 
 def _rate(upstream: Upstream, now: float, failed: float) -> None:
-    rate = read_failure_rate(upstream, now)
+    rate = compute_failure_rate(upstream, now)
     upstream._failure_rate = rate + FAILURE_WEIGHT * (failed - rate)
     upstream._rated_at = now
 
 
-def note_success(upstream: Upstream, now: float) -> None:
+def record_success(upstream: Upstream, now: float) -> None:
     """Takes note of a good answer, or of the beginning of one."""
     upstream._health = _Health.USABLE
     upstream._failures = 0
     _rate(upstream, now, 0.0)
 
 
-def note_failure(upstream: Upstream, now: float) -> None:
+def record_failure(upstream: Upstream, now: float) -> None:
     """Takes note of an answer that says that the upstream failed."""
     if upstream._health is _Health.PROBING:
-        bar_upstream(upstream, now)
+        suspend_upstream(upstream, now)
     _rate(upstream, now, 1.0)
--- a/sycamorefall/platform/documents.py
+++ b/sycamorefall/platform/documents.py
@@ -222,7 +222,7 @@
 
 def decode_listing(
     records: Iterable[messages.Record], prefix: str
-) -> tuple[dict[str, upstreams.Listed], dict[str, str]]:
+) -> tuple[dict[str, upstreams.UpstreamEntry], dict[str, str]]:
     """Decodes the entries of upstreams.
 
     Args:
@@ -233,7 +233,7 @@
         The upstreams, and a reason for each entry that can't be used, both by
         the record's key.
     """
-    listing: dict[str, upstreams.Listed] = {}
+    listing: dict[str, upstreams.UpstreamEntry] = {}
     refused: dict[str, str] = {}
     for record in records:
         try:
@@ -243,13 +243,15 @@
     return listing, refused
 
 
-def _translate_entry(record: messages.Record, prefix: str) -> upstreams.Listed:
+def _translate_entry(
+    record: messages.Record, prefix: str
+) -> upstreams.UpstreamEntry:
     entry = _decode(record, _Upstream)
     name = record.key.removeprefix(prefix)
     # It stands in a header of each request there.
     if not name.isascii() or not name.isprintable() or not name.strip():
         raise errors.ConfigurationRefused(0, f"{record.key!r}: no name")
-    return upstreams.Listed(
+    return upstreams.UpstreamEntry(
         name,
         entry.service,
         settings.parse_address(entry.address),
--- a/sycamorefall/platform/headers.py
+++ b/sycamorefall/platform/headers.py
@@ -73,7 +73,7 @@
     """Creates the platform's way to put requests and answers in HTTP."""
     return dialects.Dialect(
         read_request=_read_request,
-        read_id=lambda call: call.headers.get(_ID, ""),
+        read_request_id=lambda call: call.headers.get(_ID, ""),
         write_headers=_write_headers,
         is_ours=_is_ours,
         read_answer=_read_answer,
@@ -122,7 +122,7 @@
 
 
 def _write_headers(
-    call: transport.IncomingCall, send: effects.SendTo, last_event: str
+    call: transport.IncomingCall, send: effects.SendRequest, last_event: str
 ) -> tuple[tuple[str, str], ...]:
     dropped = _CONNECTION_HEADERS | _OWN_HEADERS | _list_hop_headers(call)
     if last_event:
--- a/sycamorefall/platform/store.py
+++ b/sycamorefall/platform/store.py
@@ -12,7 +12,7 @@
 from sycamorefall.direct import daemon as daemon_module
 from sycamorefall.direct import records as records_module
 from sycamorefall.direct import upstreams
-from sycamorefall.direct.following import Read
+from sycamorefall.direct.read_schedule import ReadKind
 from sycamorefall.platform import documents
 
 CONFIGURATION_KEY = "op/config"
@@ -46,7 +46,7 @@
             show what changed before a later one was read.
     """
 
-    kind: Read
+    kind: ReadKind
     exchange: transport.Exchange | None = None
     status: int = 0
     parts: list[bytes] = dataclasses.field(default_factory=list)
@@ -69,15 +69,15 @@
         self._daemon = daemon
         self._call: _Call | None = None
         self._decoded: dict[str, int] = {}
-        self._listed: dict[str, upstreams.Listed] = {}
+        self._listed: dict[str, upstreams.UpstreamEntry] = {}
 
-    def start_read(self, kind: Read) -> None:
+    def start_read(self, kind: ReadKind) -> None:
         """Sends a read; its end is told to the daemon's `Replicator`."""
         self._call = _Call(kind)
-        after = BEHIND_ALL if kind is Read.PROBE else ""
+        after = BEHIND_ALL if kind is ReadKind.PROBE else ""
         self._send_page(self._call, after)
 
-    def stop_read(self) -> None:
+    def cancel_read(self) -> None:
         """Gives up the read in progress."""
         call, self._call = self._call, None
         if call is not None:
@@ -126,22 +126,22 @@
             revision = min(revision, call.revision)
         call.revision = revision
         call.items += page.items
-        if call.kind is Read.SNAPSHOT and page.more_pages and page.items:
+        if call.kind is ReadKind.SNAPSHOT and page.more_pages and page.items:
             self._daemon.replicator.extend_read()
             self._send_page(call, after=page.items[-1].key)
             return
         self._call = None
-        if call.kind is Read.PROBE:
-            self._daemon.replicator.take_probe(revision)
+        if call.kind is ReadKind.PROBE:
+            self._daemon.replicator.receive_probe(revision)
         else:
             listed = [documents.translate_item(item) for item in call.items]
-            self._daemon.replicator.take_snapshot(revision, listed)
+            self._daemon.replicator.receive_snapshot(revision, listed)
 
     def _fail(self, reason: str) -> None:
         self._call = None
-        self._daemon.replicator.take_failure(reason)
+        self._daemon.replicator.receive_failure(reason)
 
-    def adopt(self, known: records_module.Records) -> None:
+    def apply_records(self, known: records_module.Records) -> None:
         """Brings records into force, as far as they are new."""
         configuration = known.by_key.get(CONFIGURATION_KEY)
         if configuration is not None and not self._is_decoded(configuration):
@@ -167,7 +167,7 @@
         except errors.ConfigurationRefused as fault:
             _log_refused(str(fault))
         else:
-            self._daemon.take_catalog(new)
+            self._daemon.handle_catalog(new)
 
     def _adopt_entries(
         self,
@@ -188,7 +188,7 @@
             for key, entry in (self._listed | decoded).items()
             if key in entries and key not in refused
         }
-        self._daemon.take_listing(list(self._listed.values()))
+        self._daemon.handle_listing(list(self._listed.values()))
 
 
 def _log_refused(reason: str) -> None:
--- a/sycamorefall/platform/tests/test_translation.py
+++ b/sycamorefall/platform/tests/test_translation.py
@@ -69,7 +69,7 @@
     assert (found.timeout, found.target_latency) == (1.5, 0.4)
     assert catalog.choose_service(found, 0.05) == "new"
     assert read.teams["k"].name == "mill"
-    assert read.keyed and read.tokens_per_second == 5
+    assert read.requires_key and read.tokens_per_second == 5
 
 
 def test_rate_of_fetches_follows_from_the_link():
