--- a/sycamorefall/direct/backlog.py
+++ b/sycamorefall/direct/backlog.py
@@ -1,4 +1,4 @@
-"""What waits at a router, team by team, for its log; no I/O."""
+"""Summarizes a router's waiting requests by team, for the log; no I/O."""
 
 __all__ = [
     "LOG_INTERVAL",
@@ -13,24 +13,25 @@
 from sycamorefall.direct import state as state_module
 
 LOG_INTERVAL = 1.0
-"""Seconds between two lines: operators judge shares second by second."""
+"""Seconds between two log records. Operators judge the shares of teams second
+by second."""
 
 MAX_TEAMS = 4
-"""Teams in a line. A flood of one team and those that it is held against fit;
-all of them wouldn't fit into the log's buffer."""
+"""Maximum number of teams in a log record. It suffices to compare a flooding
+team with others; records of all teams would not fit into the log's buffer."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class TeamBacklog:
-    """Requests of a team that wait for a service.
+    """Waiting requests of one team at one service.
 
     Attributes:
-        service: The service.
-        team: The team.
-        waiting: How many requests wait.
-        oldest: Seconds that the oldest of them has waited.
-        received: Cost units that the team received lately, of all routers.
-        own: Of these, what this router gave it.
+        service: Name of the service.
+        team: Name of the team.
+        waiting: Number of waiting requests.
+        oldest: Seconds since the arrival of the oldest waiting request.
+        received: Cost units that the team received recently of all routers.
+        own: Cost units that the team received recently of this router.
     """
 
     service: str
@@ -44,26 +45,27 @@
 def list_backlogs(
     state: state_module.DirectState, now: float
 ) -> list[TeamBacklog]:
-    """Lists the teams that wait, those with the most requests first.
+    """Lists the backlogs to log: the largest ones and the least served team's.
 
     Args:
-        state: The router.
-        now: This process's time.
+        state: State of the router.
+        now: Current time of this process's clock.
 
     Returns:
-        At most `MAX_TEAMS`; the least served one is always among them.
+        At most `MAX_TEAMS` backlogs by decreasing number of waiting requests,
+        then that of the least served team.
     """
     backlogs = [
         _describe_backlog(state, now, service, team)
-        for service, room in state.service_queues.items()
-        for team in room.by_team
+        for service, service_queue in state.service_queues.items()
+        for team in service_queue.by_team
     ]
     if not backlogs:
         return []
-    least = min(backlogs, key=lambda one: one.received)
-    others = [one for one in backlogs if one is not least]
+    least_served = min(backlogs, key=lambda one: one.received)
+    others = [one for one in backlogs if one is not least_served]
     others.sort(key=lambda one: one.waiting, reverse=True)
-    return [*others[: MAX_TEAMS - 1], least]
+    return [*others[: MAX_TEAMS - 1], least_served]
 
 
 def _describe_backlog(
--- a/sycamorefall/direct/budget.py
+++ b/sycamorefall/direct/budget.py
@@ -1,7 +1,8 @@
-"""Budget of second sends, which all routers share.
+"""Retry budget of a service, shared by all routers without messages.
 
-Each router stays within the part of the allowance that its own requests earn,
-and within an even part of the fixed one, so no message has to be exchanged.
+A retry is any send of a request after its first. Each router may use the part
+of the allowance that its own requests earn and an equal part of the fixed
+allowance.
 """
 
 __all__ = [
@@ -15,29 +16,29 @@
 import dataclasses
 
 BUCKET_SECONDS = 0.5
-"""Seconds of one count; the window slides by this."""
+"""Width in seconds of a bucket of the sliding window."""
 
 MIN_ROUTERS = 4
-"""Routers that share the fixed part until more are heard: after a start, or
-cut off from all others, a router would otherwise take the whole of it."""
+"""Minimum number of routers assumed to share the fixed allowance. A router that
+just started or is partitioned from all others would otherwise use all of it."""
 
-SAFETY = 0.8
-"""Part of the allowance that is used: requests that are counted here as they
-arrive are counted elsewhere as they are sent, and windows there begin at any
-moment, so their edges differ by up to a step at both ends."""
+SAFETY_FACTOR = 0.8
+"""Fraction of the allowance that is used. Requests are counted here when they
+arrive, but elsewhere when they are sent, and windows elsewhere begin at any
+time. The edges of the windows therefore differ by up to a bucket at each
+end."""
 
 
 @dataclasses.dataclass(slots=True)
 class RetryBudget:
-    """Second sends of one service in a sliding window.
+    """Retries of one service in a sliding window.
 
     Attributes:
-        ratio: Second sends allowed for each request.
-        extra: Second sends of all routers that are always allowed.
-        window: Its length in seconds.
-        routers: Most routers that were known to share `extra`. A router that
-            is cut off from the others hears none of them, but they still
-            send; so a number once seen is kept.
+        ratio: Retries allowed per request.
+        extra: Fixed allowance of retries per window for all routers together.
+        window: Length of the window in seconds.
+        routers: Number of routers that share `extra`. It never decreases: the
+            others keep sending while this router is partitioned from them.
     """
 
     ratio: float
@@ -53,48 +54,51 @@
 
 
 def record_routers(budget: RetryBudget, routers: int) -> None:
-    """Takes note of how many routers are heard."""
+    """Raises the number of routers that share the fixed allowance."""
     budget.routers = max(budget.routers, routers)
 
 
-def _count(counts: collections.deque, now: float) -> None:
-    step = int(now / BUCKET_SECONDS)
-    if counts and counts[-1][0] == step:
+def _increment_bucket(counts: collections.deque, now: float) -> None:
+    bucket = int(now / BUCKET_SECONDS)
+    if counts and counts[-1][0] == bucket:
         counts[-1][1] += 1
     else:
-        counts.append([step, 1])
+        counts.append([bucket, 1])
 
 
-def _sum(counts: collections.deque, now: float, window: float) -> int:
-    first = int((now - window) / BUCKET_SECONDS)
-    while counts and counts[0][0] < first:
+def _sum_window(counts: collections.deque, now: float, window: float) -> int:
+    first_bucket = int((now - window) / BUCKET_SECONDS)
+    while counts and counts[0][0] < first_bucket:
         counts.popleft()
     return sum(count for _, count in counts)
 
 
 def count_request(budget: RetryBudget, now: float) -> None:
-    """Counts a request that a caller sent."""
-    _count(budget._requests, now)
+    """Counts a request from a caller, which earns part of a retry."""
+    _increment_bucket(budget._requests, now)
 
 
 def take_retry(budget: RetryBudget, now: float) -> bool:
-    """Takes a second send from the budget, if one is left.
+    """Takes a retry from the budget if one is left.
 
     Args:
         budget: The budget; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
 
     Returns:
-        Whether it may be made.
+        Whether the retry may be sent.
 
     Example:
         >>> budget = RetryBudget(ratio=0.2, extra=20, window=10)
         >>> [take_retry(budget, 1.0) for _ in range(5)]
         [True, True, True, True, False]
     """
-    requests = _sum(budget._requests, now, budget.window)
+    requests = _sum_window(budget._requests, now, budget.window)
     allowed = budget.ratio * requests + budget.extra / budget.routers
-    if _sum(budget._retries, now, budget.window) + 1 > SAFETY * allowed:
+    if (
+        _sum_window(budget._retries, now, budget.window) + 1
+        > SAFETY_FACTOR * allowed
+    ):
         return False
-    _count(budget._retries, now)
+    _increment_bucket(budget._retries, now)
     return True
--- a/sycamorefall/direct/caches.py
+++ b/sycamorefall/direct/caches.py
@@ -1,4 +1,4 @@
-"""What an engine's cache is taken to hold of prompts."""
+"""Estimates which prompt parts an engine holds in its KV cache."""
 
 __all__ = [
     "CacheEstimate",
@@ -14,41 +14,45 @@
 
 @dataclasses.dataclass(slots=True)
 class CacheEstimate:
-    """Parts that an engine was sent, the least recently used first.
+    """LRU model of an engine's KV cache, built from the prompts sent to it.
 
     Attributes:
-        parts: Their tokens by digest.
-        tokens: The tokens of all.
+        parts: Token counts of the parts by digest, least recently used first.
+        tokens: Total tokens of the parts.
     """
 
     parts: collections.OrderedDict[int, int] = dataclasses.field(
         default_factory=collections.OrderedDict
     )
     tokens: int = 0
-    _nameless: int = 0
+    _last_unidentified: int = 0
 
 
 def record_parts(
-    cache: CacheEstimate, parts: prompts.Digests, limit: int, nameless: int = 0
+    cache: CacheEstimate,
+    parts: prompts.Digests,
+    limit: int,
+    unidentified: int = 0,
 ) -> None:
-    """Takes note that an engine reads a prompt.
+    """Adds the parts of a prompt that an engine was sent and evicts the oldest.
 
     Args:
-        cache: What it is taken to hold; changed.
-        parts: The prompt's parts.
-        limit: Tokens that the engine's cache holds.
-        nameless: Tokens of parts that are not known, but push others out.
+        cache: Estimate of the engine's cache; changed.
+        parts: Parts of the prompt.
+        limit: Capacity of the engine's cache in tokens.
+        unidentified: Tokens of parts whose digests are unknown. No prompt can
+            reuse them, but they take up capacity.
 
     Example:
         >>> cache = CacheEstimate()
-        >>> record_parts(cache, ((7, 600),), 1000, nameless=100)
-        >>> record_parts(cache, ((8, 200),), 1000, nameless=150)
-        >>> record_parts(cache, ((7, 600),), 1000, nameless=150)
+        >>> record_parts(cache, ((7, 600),), 1000, unidentified=100)
+        >>> record_parts(cache, ((8, 200),), 1000, unidentified=150)
+        >>> record_parts(cache, ((7, 600),), 1000, unidentified=150)
         >>> 7 in cache.parts, 8 in cache.parts, cache.tokens
         (True, False, 900)
     """
-    cache._nameless -= 1
-    for digest, tokens in (*parts, (cache._nameless, nameless)):
+    cache._last_unidentified -= 1
+    for digest, tokens in (*parts, (cache._last_unidentified, unidentified)):
         cache.tokens += tokens - cache.parts.pop(digest, 0)
         cache.parts[digest] = tokens
     while cache.tokens > limit and cache.parts:
@@ -56,15 +60,15 @@
 
 
 def count_cached_tokens(cache: CacheEstimate, prompt: prompts.Prompt) -> int:
-    """Counts the tokens of a prompt that an engine is known to hold.
+    """Counts the leading tokens of a prompt that a cache is estimated to hold.
 
-    A part counts only if all parts before it are held too. One that has grown
-    since counts as long as it was.
+    A part counts only if all parts before it are cached as well. A part that
+    has grown since it was cached counts with its cached length.
     """
-    held = 0
+    cached = 0
     for digest, tokens in prompt.digests:
-        known = cache.parts.get(digest, 0)
-        if known < tokens:
-            return held + known
-        held += tokens
-    return held
+        cached_part = cache.parts.get(digest, 0)
+        if cached_part < tokens:
+            return cached + cached_part
+        cached += tokens
+    return cached
--- a/sycamorefall/direct/dispatching.py
+++ b/sycamorefall/direct/dispatching.py
@@ -1,4 +1,4 @@
-"""Sends requests to upstreams, at once or from the waiting rooms."""
+"""Sends requests to upstreams, on arrival or from the service queues."""
 
 __all__ = [
     "MAX_WAIT_SHARE",
@@ -37,32 +37,38 @@
 )
 
 MAX_WAIT_SHARE = 0.8
-"""Part of its target latency that a request waits at most for its first send;
-after that it would be late, and is refused with a time to come back."""
-
-CHECK_TIME = 0.7e-6
-"""Seconds that it takes to check whether an engine can take a request: 0.2 to
-0.7 us were measured with 26 engines, 30 teams waiting."""
-
-LOOK_SHARE = 0.1
-"""Part of a process's time that looks at waiting requests may take. Without a
-bound, a flood at one router of a large fleet had it look without pause: its
-callers got no answer, also those of plain services."""
-
-KEPT_SHARE = 0.5
-"""Part of the connections that an upstream takes of all callers which routers
-may keep idle, together. Without a bound, 28 routers that kept 32 each filled
-the 230 of a plain service: it reset a third of the new connections, and 40% of
-the requests that may not be sent twice ended with an unknown outcome."""
+"""Maximum wait of a request for its first send, as a fraction of its target
+latency. A request that waited longer would be late, so it is refused with a
+Retry-After."""
+
+CHECK_SECONDS = 0.7e-6
+"""Seconds that a check whether an engine can take a request takes: 0.2 to 0.7
+us were measured with 26 engines and 30 waiting teams."""
+
+MAX_DISPATCH_SHARE = 0.1
+"""Largest fraction of a process's time that dispatch passes over waiting
+requests may take. Without a limit, a router of a large fleet that received a
+flood ran them without pause, and its callers, including those of plain
+services, got no response."""
+
+IDLE_CONNECTION_SHARE = 0.5
+"""Largest fraction of an upstream's connection limit that idle connections of
+all routers together may use. Without a limit, 28 routers with 32 idle
+connections each filled the 230 of a plain service. It reset a third of the new
+connections, and 40% of the requests that must not be sent twice ended with an
+unknown outcome."""
 
 MIN_TIME_LEFT = 0.01
-"""Seconds that must be left of a request's time for a send to make sense."""
+"""Minimum number of seconds before a request's deadline for a send."""
 
 
 def get_or_create_budget(
     state: state_module.DirectState, service: str
 ) -> budget.RetryBudget:
-    """Finds the budget of second sends of a service."""
+    """Looks up a service's retry budget, creating it if missing.
+
+    The budget's number of routers is raised to the current one.
+    """
     known = state.budgets.get(service)
     if known is None:
         bounds = state.bounds
@@ -76,21 +82,21 @@
 def enqueue_request(
     state: state_module.DirectState, request: state_module.Request
 ) -> None:
-    """Has a request wait."""
-    room = state.service_queues.setdefault(
+    """Adds a request to the queue of its service."""
+    service_queue = state.service_queues.setdefault(
         request.service, fair_queue.ServiceQueue()
     )
     target = request.route.target_latency
-    fair_queue.add_request(room, request.team, request.number, target)
+    fair_queue.add_request(service_queue, request.team, request.number, target)
 
 
 def dequeue_request(
     state: state_module.DirectState, request: state_module.Request
 ) -> None:
-    """Ends a request's wait, if it waits."""
-    room = state.service_queues.get(request.service)
-    if room is not None:
-        fair_queue.remove_request(room, request.team, request.number)
+    """Removes a request from the queue of its service, if it is queued."""
+    service_queue = state.service_queues.get(request.service)
+    if service_queue is not None:
+        fair_queue.remove_request(service_queue, request.team, request.number)
 
 
 def try_send(
@@ -99,17 +105,17 @@
     request: state_module.Request,
     group: eligibility.EngineGroup | None = None,
 ) -> list[effects.Effect]:
-    """Sends a request if an upstream has room for it.
+    """Sends a request if an upstream can take it now.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
-        request: A request that is nowhere.
-        group: Engines of its service with a free slot, if they were listed
-            since the last send.
+        state: State of the router; changed.
+        now: Current time of this process's clock.
+        request: A request without an attempt in progress.
+        group: Engines of the service with a free slot, if they were measured
+            since the last send; measured here otherwise.
 
     Returns:
-        The send, or nothing if it has to wait.
+        The effect that sends the request; empty if it is not sent now.
     """
     service = state.catalog.services.get(request.service)
     if service is None or request.answer_by - now < MIN_TIME_LEFT:
@@ -161,15 +167,15 @@
     now: float,
     request: state_module.Request,
 ) -> effects.Refusal:
-    """Tells what decides that a request is refused.
+    """Collects the data behind a refusal, for its log record.
 
     Args:
-        state: The router.
-        now: This process's time.
-        request: A request that is nowhere.
+        state: State of the router.
+        now: Current time of this process's clock.
+        request: A request without an attempt in progress.
 
     Returns:
-        What its log line is to say.
+        The obstacles at the service's upstreams and the accounts of its teams.
     """
     service = state.catalog.services.get(request.service)
     obstacles = {}
@@ -186,10 +192,10 @@
     proven_at = state.table.proven_at
     return effects.Refusal(
         {obstacle.value: count for obstacle, count in obstacles.items()},
-        _reckon_cost(request),
+        _compute_cost(request),
         int(fair_queue.compute_received(accounts, now, request.team)),
         int(accounts.most),
-        _describe_floor(floor),
+        _encode_floor(floor),
         state.routers,
         state.catalog.version,
         None if proven_at is None else round(now - proven_at, 3),
@@ -203,6 +209,7 @@
     chosen: upstreams.Upstream,
     service: catalog.Service,
 ) -> effects.SendRequest:
+    """Starts an attempt at an upstream; updates its load and the accounts."""
     idle = service.engine is not None and (
         eligibility.measure_engine_load(chosen, service.engine, now).idle
     )
@@ -214,18 +221,18 @@
     request.attempt = attempt
     state.running += 1
     if not chosen.own.running:
-        # Its silence so far meant nothing.
+        # The upstream had nothing to send, so it was not stalled.
         chosen.last_byte_at = now
     chosen.own.running += 1
     upstreams.record_sent(chosen)
     prompt, begins_in, fetch = request.new.prompt, None, None
-    cost, received = _reckon_cost(request), 0.0
+    cost, received = _compute_cost(request), 0.0
     if prompt is not None and service.engine is not None:
         fetch = fetching.choose_source(
             state.table, now, service, prompt, chosen
         )
         attempt.unread = eligibility.count_uncached_tokens(
-            chosen, prompt, home=False
+            chosen, prompt, is_home=False
         )
         if fetch is not None:
             attempt.unread -= fetching.count_saved_tokens(
@@ -240,7 +247,7 @@
         )
         attempt.memory = prompt.tokens + prompt.output
         chosen.own.memory += attempt.memory
-        _note_placement(state, chosen, prompt, service.engine)
+        _record_placement(state, chosen, prompt, service.engine)
         attempt.cost, attempt.charged_at = cost, now
         accounts = state_module.get_or_create_accounts(state, request.service)
         received = fair_queue.compute_received(accounts, now, request.team)
@@ -252,11 +259,12 @@
         chosen.listed.address,
         request.answer_by - now,
         request.team,
-        # A kept connection may be closed as the request is on its way, which
-        # leaves open whether it ran; one that may not be repeated is then
-        # lost. The new connection costs a millisecond.
+        # The upstream may close an idle connection while the request is in
+        # transit, which leaves unknown whether the request ran. A request that
+        # must not be repeated would then be lost. A new connection takes a
+        # millisecond.
         fresh=request.route.kind is catalog.RouteKind.AT_MOST_ONCE,
-        keep=_count_kept(service, state.routers),
+        keep=_limit_idle_connections(service, state.routers),
         running=chosen.running,
         reads=attempt.unread,
         unread=chosen.unread,
@@ -265,40 +273,46 @@
         fetches=fetch.tokens if fetch else 0,
         cost=cost,
         received=int(received),
-        floor=_describe_floor(chosen.floor),
+        floor=_encode_floor(chosen.floor),
         idle=idle,
     )
 
 
-def _reckon_cost(request: state_module.Request) -> int:
-    """Reckons the cost units of a request; 0 of one that asks no engine."""
+def _compute_cost(request: state_module.Request) -> int:
+    """Computes the cost units of a request; 0 if it is not for an engine."""
     prompt = request.new.prompt
     if prompt is None:
         return 0
     return prompt.tokens + prompts.OUTPUT_WEIGHT * prompt.output
 
 
-def _describe_floor(floor: float) -> int | None:
+def _encode_floor(floor: float) -> int | None:
     return None if floor == math.inf else int(floor)
 
 
-def _count_kept(service: catalog.Service, routers: int) -> int | None:
-    """Counts the idle connections that this router may keep to an upstream."""
+def _limit_idle_connections(
+    service: catalog.Service, routers: int
+) -> int | None:
+    """Limits this router's idle connections to an upstream; None: no limit."""
     if not service.max_connections:
         return None
-    return int(KEPT_SHARE * service.max_connections / routers)
+    return int(IDLE_CONNECTION_SHARE * service.max_connections / routers)
 
 
-def _note_placement(
+def _record_placement(
     state: state_module.DirectState,
     chosen: upstreams.Upstream,
     prompt: prompts.Prompt,
     engine: catalog.Engine,
 ) -> None:
-    """Takes note of what an engine will hold, for the other routers too."""
+    """Adds a prompt to the engine's cache estimate.
+
+    Prompts whose shared parts are worth fetching are also queued for the
+    reports to the other routers.
+    """
     if engine.fetch_rate and prompt.shared >= fetching.MIN_FETCH_TOKENS:
-        held = caches.count_cached_tokens(chosen.cache, prompt)
-        new_tokens = max(0, prompt.shared - held)
+        cached = caches.count_cached_tokens(chosen.cache, prompt)
+        new_tokens = max(0, prompt.shared - cached)
         placement = state_module.Placement(
             chosen.listed.name, prompt, new_tokens
         )
@@ -309,55 +323,63 @@
 def send_waiting_requests(
     state: state_module.DirectState, now: float
 ) -> list[effects.Effect]:
-    """Sends waiting requests while there is room, least served team first.
+    """Runs a dispatch pass: sends waiting requests, least served team first.
+
+    The interval until the next pass is set in proportion to the checks made,
+    see `MAX_DISPATCH_SHARE`.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
+        state: State of the router; changed.
+        now: Current time of this process's clock.
 
     Returns:
-        What is to be done.
+        The effects that send requests.
     """
     sent: list[effects.Effect] = []
     checks = 0
-    for service, room in state.service_queues.items():
-        tries, effects_of_room = _serve_room(state, now, service, room)
-        sent += effects_of_room
+    for service, service_queue in state.service_queues.items():
+        tries, queue_effects = _send_from_queue(
+            state, now, service, service_queue
+        )
+        sent += queue_effects
         group = upstreams.list_upstreams(state.table, service)
         checks += tries * len(group)
-    state.min_dispatch_interval = checks * CHECK_TIME / LOOK_SHARE
+    state.min_dispatch_interval = checks * CHECK_SECONDS / MAX_DISPATCH_SHARE
     return sent
 
 
-def _serve_room(
+def _send_from_queue(
     state: state_module.DirectState,
     now: float,
     service: str,
-    room: fair_queue.ServiceQueue,
+    service_queue: fair_queue.ServiceQueue,
 ) -> tuple[int, list[effects.Effect]]:
-    """Serves one room; returns the requests tried and what is to be done.
+    """Sends requests from one queue while the service's upstreams take any.
 
-    Room at the engines only shrinks while requests are sent, so a team for
-    which there is none is not tried again.
+    The free capacity only shrinks during a pass, so a team none of whose
+    candidates could be sent is not tried again.
+
+    Returns:
+        Number of tried requests, and the effects that send requests.
     """
     accounts = state_module.get_or_create_accounts(state, service)
     sent: list[effects.Effect] = []
     tries = 0
     teams = [
         (fair_queue.compute_received(accounts, now, team), team)
-        for team in room.by_team
+        for team in service_queue.by_team
     ]
     heapq.heapify(teams)
     group = _list_group(state, now, service)
     while teams:
         _, team = heapq.heappop(teams)
-        for number in fair_queue.list_candidates(room, team):
+        for number in fair_queue.list_candidates(service_queue, team):
             tries += 1
             request = state.requests[number]
             done = try_send(state, now, request, group)
             if done:
                 group = _list_group(state, now, service)
-                fair_queue.remove_request(room, team, number)
+                fair_queue.remove_request(service_queue, team, number)
                 sent += done
                 received = fair_queue.compute_received(accounts, now, team)
                 heapq.heappush(teams, (received, team))
@@ -368,7 +390,7 @@
 def _list_group(
     state: state_module.DirectState, now: float, service: str
 ) -> eligibility.EngineGroup:
-    """Lists the engines of a service that have a free slot."""
+    """Measures the engines of a service that have a free slot."""
     known = state.catalog.services.get(service)
     engine_loads = (
         upstream_selection.list_engine_loads(state.table, now, known)
--- a/sycamorefall/direct/eligibility.py
+++ b/sycamorefall/direct/eligibility.py
@@ -1,4 +1,4 @@
-"""Whether an engine can take a request now, and what is in the way if not."""
+"""Checks whether an engine can take a request now, and finds the obstacle."""
 
 __all__ = [
     "EngineGroup",
@@ -24,56 +24,62 @@
 from sycamorefall.direct import caches, catalog, prompts
 from sycamorefall.direct.upstreams import Upstream
 
-AGAIN_SHARE = 0.2
-"""Reading again that a request may cause away from the engines that have its
-shared part, as a part of its own work (tokens read and twice those made). A
-request that would cause more is better told to come back: the work could
-serve another one."""
+MAX_REREAD_SHARE = 0.2
+"""Maximum number of shared tokens that a request may have computed again on an
+engine that is not a home of its prompt, as a fraction of `Prompt.own_work`. A
+request beyond the limit waits or is refused with a Retry-After, as the repeated
+prefill could serve another request instead."""
 
-HOME_TRUST = 0.6
-"""Part of a shared prompt that its home is taken to hold if this router did
-not send it there: others may have, or it may have been pushed out."""
+ASSUMED_HOME_SHARE = 0.6
+"""Fraction of the shared tokens of a prompt that its home is assumed to have
+cached if this router did not send them there. Another router may have sent
+them, or the home may have evicted them."""
 
 FIRST_TOKEN_OVERHEAD = 0.06
-"""Seconds to the first event besides reading: the way there and back, and the
-engine's first steps with a full batch."""
+"""Seconds until the first event of a response, besides queueing and prefill:
+the network round trip and the engine's first decoding steps with a full
+batch."""
 
 QUEUE_SHARE = 0.42
-"""Part of the shortest target latency of a service that less urgent prompts
-may wait for others at an engine. It reads in order of arrival, so a queue as
-long as patient callers allow leaves no room for urgent ones: on a full day
-0.67 of what long prompts due in 0.6 s are worth was earned without the bound
-and 0.74 with it. Of 0.25, 0.42 and 0.58 the middle one earned most."""
+"""Maximum prefill queue of an engine for less urgent requests, as a fraction of
+the shortest target latency of the service. Engines process prompts in order of
+arrival, so a queue as long as patient requests tolerate would make urgent ones
+late. On a day of full load, long prompts due in 0.6 s earned 0.67 of their
+value without the bound and 0.74 with it. Of 0.25, 0.42 and 0.58, the middle
+value earned most."""
 
 IDLE_QUEUE_SECONDS = 0.02
-"""Seconds of reading up to which an engine has next to nothing to do."""
+"""Longest prefill queue in seconds with which an engine counts as idle."""
 
-IDLE_BATCH = 0.7
-"""Part of the slots up to which the same holds."""
+IDLE_SLOT_SHARE = 0.7
+"""Largest fraction of occupied slots with which an engine counts as idle."""
 
-SPARE_BATCH = 0.25
-"""Part of the slots up to which an engine's room is for any team at once."""
+SPARE_SLOT_SHARE = 0.25
+"""Largest fraction of occupied slots with which an idle engine accepts any team
+at once, without a reservation for teams that wait at other routers."""
 
-LEFT_FOR = 0.25
-"""Seconds for which the room of an idle engine is left to a team that waits for
-it elsewhere: its router hears of the room within them and looks again at what
-waits. After that nobody there can use it, and any team may."""
+RESERVATION_SECONDS = 0.25
+"""Seconds for which an idle engine is reserved for a team that waits for it at
+another router. Within this time that router learns of the free slots and tries
+its waiting requests. If the slots are still free afterwards, no request there
+can use them, and any team may."""
 
-MEMORY_SHARE = 0.9
-"""Part of an engine's cache that running requests may fill. Beyond it the
-engine throws running requests out and reads them again."""
+MAX_MEMORY_SHARE = 0.9
+"""Largest fraction of an engine's KV cache that running requests may occupy.
+Beyond it, the engine preempts running requests and computes them again."""
 
 
 class Obstacle(enum.Enum):
-    """What keeps a request from an engine.
-
-    UNUSABLE: it is leaving, was found failing, or had the request already.
-    READS_AGAIN: it would have to read a shared part that another one holds.
-    SLOTS: it runs as many requests as it can at once.
-    MEMORY: its cache is full of running requests.
-    YIELDS: it has work, and a team that received less waits for its room.
-    QUEUE: it has so much to read that urgent requests could not be on time.
-    LATE: the answer would begin after it is due.
+    """Why an upstream can't take a request now.
+
+    UNUSABLE: The upstream is leaving or suspended, or was already tried.
+    READS_AGAIN: Too many shared tokens that other engines hold would be
+        computed again.
+    SLOTS: All slots of the upstream are occupied.
+    MEMORY: Running requests fill the engine's KV cache.
+    YIELDS: The engine is left to a waiting team that received less service.
+    QUEUE: The prefill queue is so long that urgent requests would be late.
+    LATE: The response would start after its target latency.
     """
 
     UNUSABLE = "unusable"
@@ -87,58 +93,61 @@
 
 @dataclasses.dataclass(slots=True)
 class PlacementConstraints:
-    """What a request needs of an upstream now.
+    """Conditions under which a request may be sent to an upstream now.
 
-    Not frozen, as that makes it a quarter slower to describe, and each look at
-    waiting requests describes hundreds.
+    Not frozen: a frozen dataclass takes a quarter longer to create, and each
+    dispatch pass creates hundreds.
 
     Attributes:
-        prompt: What it asks of an engine, if it is for one.
-        time_left: Seconds until its answer is to begin. One that can't be on
-            time anywhere goes to an engine that has little to do.
-        tried: Upstreams that had it before.
-        yields_to: An engine with work is left to a team that waits for it
-            elsewhere and received less than this, in cost units.
-        leaves_idle_to: An idle engine is left for a moment to a team that
-            waits for it elsewhere, is short of service, and received less
-            than this.
-        uses: How often its last shared part was asked for lately, at all
-            routers.
-        anywhere: Whether that part may be read again at any engine.
-        anywhere_idle: Whether it may be at an idle one.
-        most_queue: Seconds that it may wait for other prompts to be read.
+        prompt: Prompt of the request; None if it is not for an engine.
+        time_left: Seconds until the response is due to start. A request that
+            would be late at every engine goes to an idle one.
+        tried: Names of the upstreams that the request was sent to before.
+        yield_below: Cost units. An engine that is not idle is left to a team
+            that waits for it at another router and received less than this.
+        yield_idle_below: Cost units. An idle engine is reserved for
+            `RESERVATION_SECONDS` for a team that waits for it at another
+            router, had a request refused recently and received less than this.
+        recent_part_uses: Estimated recent uses of the prompt's last shared
+            part at all routers.
+        allow_reread: Whether any engine may compute the shared parts again,
+            regardless of `MAX_REREAD_SHARE`.
+        allow_reread_if_idle: The same, for idle engines only.
+        max_queue_seconds: Longest acceptable prefill queue of an engine.
     """
 
     prompt: prompts.Prompt | None
     time_left: float
     tried: Collection[str] = ()
-    yields_to: float = 0.0
-    leaves_idle_to: float = 0.0
-    uses: float = 0.0
-    anywhere: bool = False
-    anywhere_idle: bool = False
-    most_queue: float = float("inf")
+    yield_below: float = 0.0
+    yield_idle_below: float = 0.0
+    recent_part_uses: float = 0.0
+    allow_reread: bool = False
+    allow_reread_if_idle: bool = False
+    max_queue_seconds: float = float("inf")
 
 
 @dataclasses.dataclass(slots=True)
 class EngineLoad:
-    """What an engine has to do now, whatever the request.
+    """Snapshot of an engine's load, independent of any request.
 
-    One look at waiting requests holds hundreds against each engine, between
-    which it changes only if one is sent there. Adding up its load for each of
-    them took most of the look: with 30 teams that wait with three target
-    latencies for 26 full engines it took 15 to 17 ms, and 5 ms with this
+    A dispatch pass checks hundreds of requests against each engine, whose load
+    changes only when a request is sent there. Summing up the load for each
+    check took most of the pass: with 26 full engines and 30 teams waiting with
+    three target latencies it took 15 to 17 ms, and takes 5 ms with snapshots
     (`benchmarks.direct`).
 
     Attributes:
         upstream: The engine.
-        running: Requests at it, of all routers.
-        unread: Prompt tokens it has not read yet.
-        memory: Tokens of running requests.
-        floor: Least that a team received that waits for it elsewhere.
-        queue: Seconds of reading.
-        idle: Whether it has next to nothing to do.
-        free: Whether its room is for any team, whoever waits for it elsewhere.
+        running: Running requests of all routers.
+        unread: Prompt tokens whose prefill is pending.
+        memory: Tokens of running requests, including expected output.
+        floor: Least service in cost units that any team received which waits
+            for the engine at another router; infinity if none does.
+        queue_seconds: Seconds that the pending prefill takes.
+        idle: Whether the prefill queue and the batch are below the idle limits.
+        unreserved: Whether the engine is idle and open to any team, even if
+            another team waits for it at another router.
     """
 
     upstream: Upstream
@@ -146,83 +155,85 @@
     unread: int
     memory: int
     floor: float
-    queue: float
+    queue_seconds: float
     idle: bool
-    free: bool
+    unreserved: bool
 
 
 @dataclasses.dataclass(slots=True)
 class EngineGroup:
-    """Engines with a free slot, and what is true of all that have work.
+    """Loads of the engines with a free slot, with bounds for the busy ones.
 
     Attributes:
-        engine_loads: The engines.
-        idle: Those that have next to nothing to do.
-        most_floor: The highest floor of the others.
-        least_queue: Their shortest queue, in seconds of reading.
+        engine_loads: Loads of all engines of the group.
+        idle: Loads of the idle engines.
+        max_floor: Highest floor of the engines that are not idle.
+        min_queue_seconds: Shortest prefill queue of the engines that are not
+            idle.
     """
 
     engine_loads: list[EngineLoad]
     idle: list[EngineLoad]
-    most_floor: float
-    least_queue: float
+    max_floor: float
+    min_queue_seconds: float
 
 
 def summarize_group(engine_loads: list[EngineLoad]) -> EngineGroup:
-    """Describes engines with a free slot as a whole."""
+    """Groups engine loads and computes the bounds of those that are busy."""
     working = [one for one in engine_loads if not one.idle]
     return EngineGroup(
         engine_loads,
         [one for one in engine_loads if one.idle],
         max((one.floor for one in working), default=-math.inf),
-        min((one.queue for one in working), default=math.inf),
+        min((one.queue_seconds for one in working), default=math.inf),
     )
 
 
 def prefilter_engines(
     group: EngineGroup, constraints: PlacementConstraints
 ) -> list[EngineLoad]:
-    """Lists the engines of a group that are worth a look for a request.
+    """Skips the busy engines if the group's bounds rule out all of them.
 
-    A full service has long queues everywhere, so hundreds of requests would be
-    held against each engine: with 450 requests that wait for 26 engines that
-    took 10 ms a look, and takes 1.7 ms with this (`benchmarks.direct`).
+    At a full service every queue is long, and hundreds of requests would each
+    be checked against every engine. With 450 requests waiting for 26 engines,
+    a dispatch pass took 10 ms without this filter and takes 1.7 ms with it
+    (`benchmarks.direct`).
 
     Args:
-        group: The engines.
-        constraints: What the request needs; it has a prompt.
+        group: Engines with a free slot.
+        constraints: Placement constraints of the request, with a prompt.
 
     Returns:
-        The idle ones alone if `find_load_obstacle` finds something in the way
-        at
-        all others.
+        The idle engines if the bounds show that `find_load_obstacle` finds an
+        obstacle at every other engine; all engines otherwise.
     """
-    hopeless = (
-        group.most_floor < constraints.yields_to
-        or group.least_queue > constraints.most_queue
-        or FIRST_TOKEN_OVERHEAD + group.least_queue > constraints.time_left
+    all_blocked = (
+        group.max_floor < constraints.yield_below
+        or group.min_queue_seconds > constraints.max_queue_seconds
+        or FIRST_TOKEN_OVERHEAD + group.min_queue_seconds
+        > constraints.time_left
     )
-    return group.idle if hopeless else group.engine_loads
+    return group.idle if all_blocked else group.engine_loads
 
 
 def measure_engine_load(
     upstream: Upstream, engine: catalog.Engine, now: float
 ) -> EngineLoad:
-    """Describes what an engine has to do now.
+    """Sums up the load of an engine from this and the other routers.
 
     Args:
-        upstream: The engine; since when it is idle is noted there.
-        engine: What is known of such engines.
-        now: This process's time.
+        upstream: The engine; its `idle_since` is updated.
+        engine: Engine parameters of its service.
+        now: Current time of this process's clock.
     """
-    # Added up here, as three calls of its properties would double the time.
+    # Not by the properties of Upstream: three calls would double the time.
     own, others = upstream.own, upstream.others
     running = own.running + others.running
     unread = own.unread + others.unread
-    has_read = unread <= IDLE_QUEUE_SECONDS * upstream.prefill_rate
-    idle = has_read and running <= IDLE_BATCH * engine.slots
+    has_short_queue = unread <= IDLE_QUEUE_SECONDS * upstream.prefill_rate
+    idle = has_short_queue and running <= IDLE_SLOT_SHARE * engine.slots
     upstream.idle_since = min(upstream.idle_since, now) if idle else math.inf
-    left = now - upstream.idle_since < LEFT_FOR
+    reserved = now - upstream.idle_since < RESERVATION_SECONDS
     return EngineLoad(
         upstream,
         running,
@@ -231,89 +242,99 @@
         upstream.floor,
         unread / upstream.prefill_rate,
         idle,
-        idle and (not left or running <= SPARE_BATCH * engine.slots),
+        idle and (not reserved or running <= SPARE_SLOT_SHARE * engine.slots),
     )
 
 
 def count_uncached_tokens(
-    upstream: Upstream, prompt: prompts.Prompt, home: bool
+    upstream: Upstream, prompt: prompts.Prompt, is_home: bool
 ) -> int:
-    """Counts the tokens that an engine will have to read.
+    """Estimates how many tokens of a prompt an engine has to process.
 
     Args:
         upstream: The engine.
         prompt: The prompt.
-        home: Whether all routers send this prompt's shared part to it.
+        is_home: Whether the engine is a home of the prompt's last shared part.
 
     Returns:
-        Tokens, as far as this router can tell.
+        Prompt tokens that are not cached, by this router's estimate.
     """
-    return prompt.tokens - _count_held(upstream, prompt, home)
+    return prompt.tokens - _estimate_cached_tokens(upstream, prompt, is_home)
 
 
-def _count_held(upstream: Upstream, prompt: prompts.Prompt, home: bool) -> int:
-    held = caches.count_cached_tokens(upstream.cache, prompt)
-    return max(held, int(HOME_TRUST * prompt.shared)) if home else held
+def _estimate_cached_tokens(
+    upstream: Upstream, prompt: prompts.Prompt, is_home: bool
+) -> int:
+    """Estimates the cached tokens; at a home, at least the assumed share."""
+    cached = caches.count_cached_tokens(upstream.cache, prompt)
+    return (
+        max(cached, int(ASSUMED_HOME_SHARE * prompt.shared))
+        if is_home
+        else cached
+    )
 
 
 def count_reread_tokens(
-    upstream: Upstream, prompt: prompts.Prompt, home: bool
+    upstream: Upstream, prompt: prompts.Prompt, is_home: bool
 ) -> int:
-    """Counts the tokens of shared parts that an engine would read again."""
-    return max(0, prompt.shared - _count_held(upstream, prompt, home))
+    """Estimates the shared tokens that an engine would have to process."""
+    return max(
+        0, prompt.shared - _estimate_cached_tokens(upstream, prompt, is_home)
+    )
 
 
 def exceeds_reread_limit(
-    upstream: Upstream, constraints: PlacementConstraints, home: bool
+    upstream: Upstream, constraints: PlacementConstraints, is_home: bool
 ) -> bool:
-    """Tells whether an engine would read too much of shared parts again.
+    """Tells whether a request would repeat too much prefill at an engine.
 
     Args:
         upstream: The engine.
-        constraints: What the request needs; it has a prompt.
-        home: Whether the engine is to hold the prompt's shared part.
+        constraints: Placement constraints of the request, with a prompt.
+        is_home: Whether the engine is a home of the prompt's last shared part.
 
     Returns:
-        Whether the request is better kept from it, whatever it has to do.
+        Whether the shared tokens to process exceed `MAX_REREAD_SHARE`; never
+        at a home or if the constraints allow it.
     """
-    if home or constraints.anywhere:
+    if is_home or constraints.allow_reread:
         return False
     prompt = constraints.prompt
-    again = prompt.shared - caches.count_cached_tokens(upstream.cache, prompt)
-    return max(0, again) > AGAIN_SHARE * prompt.own_work
+    reread = prompt.shared - caches.count_cached_tokens(upstream.cache, prompt)
+    return max(0, reread) > MAX_REREAD_SHARE * prompt.own_work
 
 
 def find_obstacle(
     engine_load: EngineLoad,
     engine: catalog.Engine,
     constraints: PlacementConstraints,
-    home: bool,
+    is_home: bool,
 ) -> Obstacle | None:
-    """Finds what keeps a request from an engine that may be used.
+    """Finds the obstacle to a request at a usable engine.
 
-    Engines take whatever they are sent and know no order but that of
-    arrival, so what waits must wait at the router, where teams are told
-    apart.
+    Engines accept every request and process them in order of arrival.
+    Requests therefore have to wait at the router, which schedules them by
+    team.
 
     Args:
-        engine_load: The engine.
-        engine: What is known of such engines.
-        constraints: What the request needs; it has a prompt.
-        home: Whether the engine is to hold the prompt's shared part.
+        engine_load: Load of the engine.
+        engine: Engine parameters of the service.
+        constraints: Placement constraints of the request, with a prompt.
+        is_home: Whether the engine is a home of the prompt's last shared part.
 
     Returns:
-        What is in the way; None if the request can go there.
+        The obstacle; None if the request can be sent to the engine.
     """
-    spared = engine_load.idle and constraints.anywhere_idle
-    if not spared and exceeds_reread_limit(
-        engine_load.upstream, constraints, home
+    reread_allowed = engine_load.idle and constraints.allow_reread_if_idle
+    if not reread_allowed and exceeds_reread_limit(
+        engine_load.upstream, constraints, is_home
     ):
         return Obstacle.READS_AGAIN
     obstacle = find_load_obstacle(engine_load, engine, constraints)
     if obstacle is not None or engine_load.idle:
         return obstacle
-    begins_in = _estimate_begin(
-        engine_load.upstream, constraints.prompt, home, engine_load.unread
+    begins_in = _estimate_response_start(
+        engine_load.upstream, constraints.prompt, is_home, engine_load.unread
     )
     return Obstacle.LATE if begins_in > constraints.time_left else None
 
@@ -323,19 +344,19 @@
     engine: catalog.Engine,
     constraints: PlacementConstraints,
 ) -> Obstacle | None:
-    """Finds what keeps a request from an engine whatever that holds.
+    """Finds the obstacle in an engine's load, regardless of its cache.
 
-    A quick look that leaves out most engines of a full service before the
-    prompt's parts are compared with what each holds.
+    This fast check rules out most engines of a full service before the parts
+    of the prompt are looked up in their caches.
 
     Args:
-        engine_load: An engine that may be used.
-        engine: What is known of such engines.
-        constraints: What the request needs; it has a prompt.
+        engine_load: Load of a usable engine.
+        engine: Engine parameters of the service.
+        constraints: Placement constraints of the request, with a prompt.
 
     Returns:
-        What is in the way; None if there is room for a request that has
-        nothing to read.
+        The obstacle; None if the engine could take the request with the whole
+        prompt cached.
     """
     if engine_load.running >= engine.slots:
         return Obstacle.SLOTS
@@ -346,20 +367,22 @@
     )
     if (
         engine_load.running
-        and memory > MEMORY_SHARE * engine.kv_capacity_tokens
+        and memory > MAX_MEMORY_SHARE * engine.kv_capacity_tokens
     ):
         return Obstacle.MEMORY
     if engine_load.idle:
-        left = not engine_load.free and (
-            engine_load.upstream.short_floor < constraints.leaves_idle_to
+        reserved = not engine_load.unreserved and (
+            engine_load.upstream.short_floor < constraints.yield_idle_below
         )
-        return Obstacle.YIELDS if left else None
-    if engine_load.floor < constraints.yields_to:
+        return Obstacle.YIELDS if reserved else None
+    if engine_load.floor < constraints.yield_below:
         return Obstacle.YIELDS
-    if FIRST_TOKEN_OVERHEAD + engine_load.queue > constraints.time_left:
+    if FIRST_TOKEN_OVERHEAD + engine_load.queue_seconds > constraints.time_left:
         return Obstacle.LATE
     return (
-        Obstacle.QUEUE if engine_load.queue > constraints.most_queue else None
+        Obstacle.QUEUE
+        if engine_load.queue_seconds > constraints.max_queue_seconds
+        else None
     )
 
 
@@ -367,35 +390,39 @@
     engine_load: EngineLoad,
     engine: catalog.Engine,
     constraints: PlacementConstraints,
-    home: bool,
+    is_home: bool,
 ) -> bool:
-    """Tells whether room at an engine would let a request go there.
+    """Tells whether a request could be sent to an engine with a lower load.
 
-    Guards against room that is kept for nobody: a request that another
-    engine is to serve, or that is too late even for an idle one, would have
-    the other routers leave an engine half empty.
+    The other routers leave awaited engines to the request's team. A request
+    that belongs at another engine, or that would be late even at an idle one,
+    must not count, or engines would stay half empty for nobody.
 
     Args:
-        engine_load: An engine that may be used.
-        engine: What is known of such engines.
-        constraints: What the request needs; it has a prompt.
-        home: Whether the engine is to hold the prompt's shared part.
+        engine_load: Load of a usable engine.
+        engine: Engine parameters of the service.
+        constraints: Placement constraints of the request, with a prompt.
+        is_home: Whether the engine is a home of the prompt's last shared part.
 
     Returns:
-        Whether it waits for this engine.
+        Whether only the engine's load keeps the request from starting there in
+        time.
     """
-    obstacle = find_obstacle(engine_load, engine, constraints, home)
+    obstacle = find_obstacle(engine_load, engine, constraints, is_home)
     if obstacle is None or obstacle is Obstacle.READS_AGAIN:
         return False
-    begins_in = _estimate_begin(
-        engine_load.upstream, constraints.prompt, home, 0
+    begins_in = _estimate_response_start(
+        engine_load.upstream, constraints.prompt, is_home, 0
     )
     return begins_in <= constraints.time_left
 
 
-def _estimate_begin(
-    upstream: Upstream, prompt: prompts.Prompt, home: bool, ahead: int
+def _estimate_response_start(
+    upstream: Upstream,
+    prompt: prompts.Prompt,
+    is_home: bool,
+    queued_tokens: int,
 ) -> float:
-    """Estimates in how many seconds an answer begins behind other prompts."""
-    unread = ahead + count_uncached_tokens(upstream, prompt, home)
+    """Estimates the seconds until a response starts, behind queued tokens."""
+    unread = queued_tokens + count_uncached_tokens(upstream, prompt, is_home)
     return FIRST_TOKEN_OVERHEAD + unread / upstream.prefill_rate
--- a/sycamorefall/direct/fair_queue.py
+++ b/sycamorefall/direct/fair_queue.py
@@ -1,4 +1,8 @@
-"""Requests that wait at a router, by team, and which team is next."""
+"""Queues waiting requests by team and tracks the service each team received.
+
+Teams are served in order of the service that they received recently, the least
+served first. Service is measured in cost units, see `prompts.OUTPUT_WEIGHT`.
+"""
 
 __all__ = [
     "ServiceQueue",
@@ -23,37 +27,41 @@
 import dataclasses
 import itertools
 
-ACCOUNT_MEMORY = 1.5
-"""Seconds after which a team's past service counts half: about as long as a
-burst lasts, so that a team pays for a burst and not for its whole day."""
+ACCOUNT_HALF_LIFE = 1.5
+"""Half-life in seconds of the service charged to a team: about the length of a
+burst, so that a team is held back for its burst but not for the whole day."""
 
 UNDERSERVED_SHARE = 0.5
-"""Part of what the best served team received below which a team is behind:
-operators take less than half of it, over seconds, for unfair."""
+"""Fraction of the best served team's service below which a team is
+underserved. Operators consider less than half, over seconds, unfair."""
 
 IDLE_UNDERSERVED_SHARE = 0.6
-"""The same part from which on it is let to idle engines: a team that is kept
-from engines settles where it is let to them, so that has to lie above the
-limit."""
+"""The same limit for the use of idle engines. A team that is kept from engines
+settles at the share at which it is admitted to them, so this limit has to be
+above `UNDERSERVED_SHARE`."""
 
 REFUSAL_RETENTION = 1.0
-"""Seconds for which a team counts as short of service after a refusal."""
+"""Seconds for which a team's refused request counts as recent."""
 
-NEWEST_TRIES = 2
-"""Requests of one team and target latency, the newest, that are looked at in
-one pass besides the oldest: that one may be too long for the room there is, or
-have too little time left, while a newer one can still be on time."""
+NEWEST_CANDIDATES = 2
+"""Number of newest requests per team and target latency that a dispatch pass
+tries besides the oldest one. The oldest may be too long for the free capacity
+or have too little time left, while a newer one can still be on time."""
 
 
 @dataclasses.dataclass(slots=True)
 class TeamAccounts:
-    """What teams received lately, in tokens read plus twice those made.
+    """Recent service of each team at one service, in decaying cost units.
 
     Attributes:
-        own: Sent by this router, and when it was last brought up to date.
-        others: Sent by the other routers, as they last told.
-        most: Most that any team received of all routers, as last added up.
-        refused_at: When this router last refused a team for want of room.
+        own: Service given by this router and the time of its last update, by
+            team.
+        others: Service given by the other routers, as they last reported, by
+            team.
+        most: Most service that any team received from all routers, as last
+            computed.
+        refused_at: When this router last refused a request for lack of
+            capacity, by team.
     """
 
     own: dict[str, tuple[float, float]] = dataclasses.field(
@@ -66,10 +74,11 @@
 
 @dataclasses.dataclass(slots=True)
 class ServiceQueue:
-    """Numbers of the requests that wait for one service.
+    """Queues of the requests that wait for one service.
 
     Attributes:
-        by_team: By team, then by target latency in seconds, oldest first.
+        by_team: Request numbers by team, then by target latency in seconds,
+            oldest first.
     """
 
     by_team: dict[str, dict[float, dict[int, None]]] = dataclasses.field(
@@ -80,66 +89,86 @@
 def charge_team(
     accounts: TeamAccounts, now: float, team: str, cost: float
 ) -> None:
-    """Charges a team for what it received."""
-    accounts.own[team] = (_read_own(accounts, now, team) + cost, now)
+    """Adds the cost units of a request to a team's service."""
+    accounts.own[team] = (
+        _compute_own_received(accounts, now, team) + cost,
+        now,
+    )
 
 
 def refund_team(
-    accounts: TeamAccounts, now: float, team: str, cost: float, since: float
+    accounts: TeamAccounts,
+    now: float,
+    team: str,
+    cost: float,
+    charged_at: float,
 ) -> None:
-    """Takes back what is left of a charge.
+    """Removes a charge from a team's service, as far as it has not decayed.
 
     Args:
-        accounts: What teams received; changed.
-        now: This process's time.
+        accounts: Service of the teams; changed.
+        now: Current time of this process's clock.
         team: The team.
-        cost: What it was charged, in cost units.
-        since: When that was.
+        cost: Charged cost units.
+        charged_at: When the team was charged.
 
     Example:
         >>> accounts = TeamAccounts()
         >>> charge_team(accounts, 0.0, "mill", 60.0)
-        >>> refund_team(accounts, 2.0, "mill", 60.0, since=0.0)
+        >>> refund_team(accounts, 2.0, "mill", 60.0, charged_at=0.0)
         >>> compute_received(accounts, 2.0, "mill")
         0.0
     """
-    left = _read_own(accounts, now, team) - _decay(cost, now - since)
-    accounts.own[team] = (max(0.0, left), now)
+    remaining = _compute_own_received(accounts, now, team) - _decay(
+        cost, now - charged_at
+    )
+    accounts.own[team] = (max(0.0, remaining), now)
 
 
-def _read_own(accounts: TeamAccounts, now: float, team: str) -> float:
-    amount, since = accounts.own.get(team, (0.0, now))
-    return _decay(amount, now - since)
+def _compute_own_received(
+    accounts: TeamAccounts, now: float, team: str
+) -> float:
+    amount, updated_at = accounts.own.get(team, (0.0, now))
+    return _decay(amount, now - updated_at)
 
 
 def _decay(amount: float, seconds: float) -> float:
-    return amount * 0.5 ** (max(0.0, seconds) / ACCOUNT_MEMORY)
+    return amount * 0.5 ** (max(0.0, seconds) / ACCOUNT_HALF_LIFE)
 
 
 def compute_received(accounts: TeamAccounts, now: float, team: str) -> float:
-    """Reads what a team received lately from all routers."""
-    return _read_own(accounts, now, team) + accounts.others.get(team, 0.0)
+    """Computes the cost units that a team received recently of all routers."""
+    return _compute_own_received(accounts, now, team) + accounts.others.get(
+        team, 0.0
+    )
 
 
 def collect_own_received(
     accounts: TeamAccounts, now: float
 ) -> dict[str, float]:
-    """Lists what this router gave each team lately; forgets the idle ones."""
-    amounts = {team: _read_own(accounts, now, team) for team in accounts.own}
+    """Computes the recent service by this router, in cost units by team.
+
+    Teams with less than one cost unit are dropped from the accounts; the result
+    still includes them.
+    """
+    amounts = {
+        team: _compute_own_received(accounts, now, team)
+        for team in accounts.own
+    }
     for team in [team for team, amount in amounts.items() if amount < 1.0]:
         del accounts.own[team]
     return amounts
 
 
 def find_max_received(accounts: TeamAccounts, own: dict[str, float]) -> float:
-    """Finds the most that any team received lately of all routers.
+    """Finds the most service that any team received recently of all routers.
 
     Args:
-        accounts: What teams received.
-        own: What this router gave each, as `collect_own_received` lists it.
+        accounts: Service of the teams.
+        own: Service by this router, from `collect_own_received`.
 
     Returns:
-        Cost units; 0 if no team received anything.
+        Cost units; 0 if no team received service.
     """
     return max(
         (
@@ -151,14 +180,14 @@
 
 
 def compute_relative_share(accounts: TeamAccounts, received: float) -> float:
-    """Finds which part of what the best served team received a team did.
+    """Computes a team's service as a fraction of the best served team's.
 
     Args:
-        accounts: What teams received.
-        received: What the team received, as `compute_received` reads it.
+        accounts: Service of the teams.
+        received: Cost units of the team, from `compute_received`.
 
     Returns:
-        0 to 1; 1 if no team received anything.
+        A fraction from 0 to 1; 1 if no team received service.
 
     Example:
         >>> compute_relative_share(TeamAccounts(most=100.0), 60.0)
@@ -168,12 +197,12 @@
 
 
 def record_refusal(accounts: TeamAccounts, now: float, team: str) -> None:
-    """Takes note that a team's request is refused for want of room."""
+    """Records that a request of a team was refused for lack of capacity."""
     accounts.refused_at[team] = now
 
 
 def drop_expired_refusals(accounts: TeamAccounts, now: float) -> None:
-    """Forgets refusals after which no team counts as short any more."""
+    """Removes refusals that are no longer recent."""
     teams = list(accounts.refused_at)
     for team in itertools.filterfalse(
         lambda team: was_refused_recently(accounts, now, team), teams
@@ -182,7 +211,7 @@
 
 
 def was_refused_recently(accounts: TeamAccounts, now: float, team: str) -> bool:
-    """Tells whether a team had a request refused here lately.
+    """Tells whether this router refused a team within `REFUSAL_RETENTION`.
 
     Example:
         >>> accounts = TeamAccounts()
@@ -197,75 +226,77 @@
 
 
 def add_request(
-    room: ServiceQueue, team: str, number: int, target: float = 0.0
+    service_queue: ServiceQueue, team: str, number: int, target: float = 0.0
 ) -> None:
-    """Adds a request behind its team's others of the same target latency."""
-    queues = room.by_team.setdefault(team, {})
+    """Appends a request to its team's queue for the target latency."""
+    queues = service_queue.by_team.setdefault(team, {})
     queues.setdefault(target, {})[number] = None
 
 
-def remove_request(room: ServiceQueue, team: str, number: int) -> None:
-    """Removes a request; one that does not wait is none."""
-    queues = room.by_team.get(team, {})
+def remove_request(service_queue: ServiceQueue, team: str, number: int) -> None:
+    """Removes a request; does nothing if it is not queued."""
+    queues = service_queue.by_team.get(team, {})
     found = [target for target, queue in queues.items() if number in queue]
     for target in found:
         del queues[target][number]
         if not queues[target]:
             del queues[target]
     if found and not queues:
-        del room.by_team[team]
+        del service_queue.by_team[team]
 
 
 def order_teams(
-    room: ServiceQueue, accounts: TeamAccounts, now: float
+    service_queue: ServiceQueue, accounts: TeamAccounts, now: float
 ) -> list[str]:
-    """Orders the teams that wait, the least served first.
+    """Lists the teams with waiting requests, the least served first.
 
     Example:
-        >>> room, accounts = ServiceQueue(), TeamAccounts()
+        >>> queue, accounts = ServiceQueue(), TeamAccounts()
         >>> for number, team in enumerate(["mill", "trader"]):
-        ...     add_request(room, team, number)
+        ...     add_request(queue, team, number)
         >>> charge_team(accounts, 0.0, "mill", 100.0)
-        >>> order_teams(room, accounts, 0.0)
+        >>> order_teams(queue, accounts, 0.0)
         ['trader', 'mill']
     """
     return sorted(
-        room.by_team, key=lambda team: compute_received(accounts, now, team)
+        service_queue.by_team,
+        key=lambda team: compute_received(accounts, now, team),
     )
 
 
-def count_waiting(room: ServiceQueue, team: str) -> int:
-    """Counts the requests of a team that wait."""
-    return sum(len(queue) for queue in room.by_team.get(team, {}).values())
-
+def count_waiting(service_queue: ServiceQueue, team: str) -> int:
+    """Counts the waiting requests of a team."""
+    return sum(
+        len(queue) for queue in service_queue.by_team.get(team, {}).values()
+    )
 
-def list_candidates(room: ServiceQueue, team: str) -> Iterator[int]:
-    """Lists the requests of a team that one pass looks at.
 
-    Guards against a flood that stands in its own way: the oldest requests are
-    those that can hardly be on time any more. With them alone, a team that
-    sent 200 requests a second to one router had them sent after half a second
-    on average, and got a third of what the next one did.
+def list_candidates(service_queue: ServiceQueue, team: str) -> Iterator[int]:
+    """Lists the requests of a team that one dispatch pass tries.
 
-    Guards also against patient requests that hide urgent ones: those of each
-    target latency stand in a queue of their own, the most urgent first.
+    The candidates are the oldest request and the newest ones of each target
+    latency, the shortest target first. During a flood, the oldest requests can
+    hardly be on time any more. With these alone, the requests of a team that
+    sent 200 a second to one router were sent after half a second on average,
+    and the team received a third of another team's service. The queues per
+    target latency keep urgent requests from being hidden behind patient ones.
 
     Example:
-        >>> room = ServiceQueue()
+        >>> queue = ServiceQueue()
         >>> for number in range(9):
-        ...     add_request(room, "mill", number, 1.2)
-        >>> add_request(room, "mill", 9, 0.6)
-        >>> add_request(room, "mill", 10, 1.2)
-        >>> list(list_candidates(room, "mill"))
+        ...     add_request(queue, "mill", number, 1.2)
+        >>> add_request(queue, "mill", 9, 0.6)
+        >>> add_request(queue, "mill", 10, 1.2)
+        >>> list(list_candidates(queue, "mill"))
         [9, 0, 10, 8]
     """
-    queues = room.by_team.get(team, {})
-    picked = (_pick(queues[target]) for target in sorted(queues))
+    queues = service_queue.by_team.get(team, {})
+    picked = (_pick_candidates(queues[target]) for target in sorted(queues))
     return itertools.chain.from_iterable(picked)
 
 
-def _pick(queue: dict[int, None]) -> list[int]:
-    """Picks the oldest request of a queue and the newest ones."""
-    newest = itertools.islice(reversed(queue), NEWEST_TRIES)
+def _pick_candidates(queue: dict[int, None]) -> list[int]:
+    """Lists the oldest request of a queue and the newest ones."""
+    newest = itertools.islice(reversed(queue), NEWEST_CANDIDATES)
     oldest = itertools.islice(queue, 1)
     return list(dict.fromkeys([*oldest, *newest]))
--- a/sycamorefall/direct/fetching.py
+++ b/sycamorefall/direct/fetching.py
@@ -1,8 +1,7 @@
-"""Where an engine is to fetch what it lacks of a prompt's shared parts.
+"""Selects the engine from whose KV cache another engine copies prompt parts.
 
-Copying a part from another engine's cache takes a seventh of the time that
-reading it takes, reckoned from the slowest link and the reading rates that
-were met.
+Copying a shared part takes a seventh of the time that its prefill takes,
+calculated from the slowest link and the prefill rates that were seen.
 """
 
 __all__ = [
@@ -19,17 +18,18 @@
 from sycamorefall.direct.upstreams import Upstream
 
 MIN_FETCH_TOKENS = 500
-"""Tokens below which a part is read rather than fetched: 5 ms of reading. Not
-tuned; a transfer that saves less isn't worth a place in the links' queues."""
+"""Minimum number of missing shared tokens for a fetch: 5 ms of prefill. A
+transfer that saves less would only delay others in the queues of the links."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Fetch:
-    """A copy from one engine to another.
+    """A copy of cached prompt parts from one engine to another.
 
     Attributes:
-        source: The engine that is asked.
-        tokens: What it is known to hold beyond what the other one holds.
+        source: The engine that provides the parts.
+        tokens: Estimated number of leading prompt tokens that the source has
+            cached and the target has not; 0 if none are known.
     """
 
     source: Upstream
@@ -43,26 +43,28 @@
     prompt: prompts.Prompt,
     target: Upstream,
 ) -> Fetch | None:
-    """Chooses where an engine fetches what it lacks of shared parts.
+    """Chooses the engine from which a target fetches missing shared parts.
 
-    One that was sent the prompt's parts is the best; where none is known, the
-    part's home is asked, to which all routers send it. If that turns out to
-    hold nothing, the target reads the part as it would have without.
+    The engine with the most cached tokens of the prompt is chosen. If no
+    engine is known to hold more than the target, it is the home of the last
+    shared part, as all routers send the part there. If the home does not hold
+    the part, the target computes it as it would without the fetch.
 
     Args:
         table: All upstreams.
-        now: This process's time.
-        service: The request's service.
-        prompt: The request's prompt.
+        now: Current time of this process's clock.
+        service: Service of the request.
+        prompt: Prompt of the request.
         target: The engine that gets the request.
 
     Returns:
-        The source; None if there is nothing worth fetching, or nowhere.
+        The fetch; None if the engines can't fetch, the target lacks fewer than
+        `MIN_FETCH_TOKENS` shared tokens, or no other engine is usable.
     """
     if not service.engine.fetch_rate:
         return None
-    held = caches.count_cached_tokens(target.cache, prompt)
-    if prompt.shared - held < MIN_FETCH_TOKENS:
+    cached = caches.count_cached_tokens(target.cache, prompt)
+    if prompt.shared - cached < MIN_FETCH_TOKENS:
         return None
     others = [
         one
@@ -74,22 +76,22 @@
     source = max(
         others, key=lambda one: caches.count_cached_tokens(one.cache, prompt)
     )
-    gain = caches.count_cached_tokens(source.cache, prompt) - held
+    gain = caches.count_cached_tokens(source.cache, prompt) - cached
     return Fetch(source, gain) if gain > 0 else Fetch(others[0], 0)
 
 
 def count_saved_tokens(
     fetch: Fetch, target: Upstream, service: catalog_module.Service
 ) -> int:
-    """Counts the tokens that a fetch spares an engine's time.
+    """Converts the time that a fetch saves into prompt tokens.
 
     Args:
         fetch: The fetch.
         target: The engine that gets the request.
-        service: Its service.
+        service: Service of the request.
 
     Returns:
-        Prompt tokens that it could read in the time that fetching is faster.
+        Prompt tokens that the target could process in the saved time.
     """
-    as_read = target.prefill_rate / service.engine.fetch_rate
-    return max(0, int(fetch.tokens * (1 - as_read)))
+    rate_ratio = target.prefill_rate / service.engine.fetch_rate
+    return max(0, int(fetch.tokens * (1 - rate_ratio)))
--- a/sycamorefall/direct/homes.py
+++ b/sycamorefall/direct/homes.py
@@ -1,7 +1,7 @@
-"""Which engines are to hold a shared part of prompts.
+"""Assigns shared prompt parts to home engines by rendezvous hashing.
 
-All routers find the same ones by rendezvous hashing over the part, without a
-word between them.
+The homes of a part are the engines that should keep it in their KV caches. All
+routers compute the same ranking of engines for a part, without messages.
 """
 
 __all__ = ["USES_PER_HOME", "list_homes", "rank_engines"]
@@ -15,8 +15,8 @@
 from sycamorefall.direct.upstreams import Upstream
 
 USES_PER_HOME = 30
-"""Uses of a shared part in the last seconds from which on another engine is
-to hold it too: about a sixth of what one engine can serve of long prompts."""
+"""Recent uses of a shared part (see `prompts.record_use`) for each home beyond
+the first: about a sixth of the long prompts that one engine can serve."""
 
 
 def list_homes(
@@ -25,22 +25,23 @@
     service: catalog_module.Service,
     constraints: eligibility.PlacementConstraints,
 ) -> list[Upstream]:
-    """Lists the engines that are to hold a part, the first choice first.
+    """Lists the homes of a prompt's last shared part, highest rank first.
 
-    A part that is asked for often has several. Engines that can't be used or
-    had the request already are passed over.
+    The number of homes grows with the recent uses of the part. Engines that
+    are not usable or were already tried are skipped in favor of the next in
+    rank.
 
     Args:
         table: All upstreams.
-        now: This process's time.
-        service: The request's service.
-        constraints: What the request needs; it has a prompt.
+        now: Current time of this process's clock.
+        service: Service of the request.
+        constraints: Placement constraints of the request, with a prompt.
 
     Returns:
-        The engines; none if it shares no part with others.
+        The homes; empty if the prompt has no shared part.
     """
     ranked = rank_engines(table, service, constraints.prompt.home_key)
-    count = 1 + int(constraints.uses / USES_PER_HOME)
+    count = 1 + int(constraints.recent_part_uses / USES_PER_HOME)
     usable = (
         one
         for one in ranked
@@ -55,15 +56,16 @@
     service: catalog_module.Service,
     key: str,
 ) -> list[Upstream]:
-    """Ranks a service's engines in the order in which they hold a part.
+    """Ranks a service's engines by their rendezvous score for a part.
 
     Args:
-        table: All upstreams; the ranking is kept there.
+        table: All upstreams; caches the ranking.
         service: The service.
-        key: The part; for an empty one there is no ranking.
+        key: Key of the part.
 
     Returns:
-        The engines, also those that can't be used now.
+        All engines of the service, usable or not, highest score first; empty
+        if the key is empty.
     """
     if not key:
         return []
@@ -72,11 +74,13 @@
         if len(table.rankings) >= prompts.MAX_PARTS:
             table.rankings.clear()
         group = upstreams_module.list_upstreams(table, service.name)
-        ranked = sorted(group, key=lambda one: _draw(key, one), reverse=True)
+        ranked = sorted(
+            group, key=lambda one: _compute_score(key, one), reverse=True
+        )
         table.rankings[service.name, key] = ranked
     return ranked
 
 
-def _draw(key: str, upstream: Upstream) -> bytes:
+def _compute_score(key: str, upstream: Upstream) -> bytes:
     text = f"{key} {upstream.listed.address}".encode()
     return hashlib.blake2b(text, digest_size=8).digest()
--- a/sycamorefall/direct/latency_targets.py
+++ b/sycamorefall/direct/latency_targets.py
@@ -1,4 +1,4 @@
-"""The shortest target latency among the requests that a service gets."""
+"""Tracks the target latencies of the requests that a service receives."""
 
 __all__ = [
     "RecentTargets",
@@ -9,53 +9,58 @@
 import dataclasses
 import math
 
-MEMORY = 10.0
-"""Seconds for which a target counts after a request had it: the routes that a
-configuration lists and nobody calls don't count."""
+TARGET_RETENTION = 10.0
+"""Seconds for which a target counts after its last request, so that configured
+routes without traffic have no effect."""
 
 
 @dataclasses.dataclass(slots=True)
 class RecentTargets:
-    """When requests of each target latency last came.
+    """Target latencies of a service's recent requests.
 
     Attributes:
-        asked_at: The last time, by target latency in seconds.
+        last_requested_at: Arrival time of the last request, by target latency
+            in seconds.
     """
 
-    asked_at: dict[float, float] = dataclasses.field(default_factory=dict)
+    last_requested_at: dict[float, float] = dataclasses.field(
+        default_factory=dict
+    )
 
 
-def record_target(urgency: RecentTargets, now: float, target: float) -> None:
-    """Takes note of a request.
+def record_target(
+    recent_targets: RecentTargets, now: float, target: float
+) -> None:
+    """Records the target latency of a request.
 
     Args:
-        urgency: What is known of the service; changed.
-        now: This process's time.
-        target: Its target latency in seconds.
+        recent_targets: Targets of the request's service; changed.
+        now: Current time of this process's clock.
+        target: Target latency of the request in seconds.
     """
-    urgency.asked_at[target] = now
+    recent_targets.last_requested_at[target] = now
 
 
-def find_shortest_target(urgency: RecentTargets, now: float) -> float:
-    """Finds the shortest target latency that was asked for lately.
+def find_shortest_target(recent_targets: RecentTargets, now: float) -> float:
+    """Finds the shortest target latency of the recent requests.
 
     Args:
-        urgency: What is known of the service.
-        now: This process's time.
+        recent_targets: Targets of the service.
+        now: Current time of this process's clock.
 
     Returns:
-        Seconds; infinity if nothing was asked for.
+        Seconds; infinity if there were no recent requests.
 
     Example:
-        >>> urgency = RecentTargets()
-        >>> record_target(urgency, 0.0, 0.3)
-        >>> record_target(urgency, 9.0, 1.2)
-        >>> [find_shortest_target(urgency, now) for now in (9.0, 11.0)]
+        >>> recent_targets = RecentTargets()
+        >>> record_target(recent_targets, 0.0, 0.3)
+        >>> record_target(recent_targets, 9.0, 1.2)
+        >>> [find_shortest_target(recent_targets, now) for now in (9.0, 11.0)]
         [0.3, 1.2]
     """
-    lately = [
+    targets = [
         target
-        for target, asked_at in urgency.asked_at.items()
-        if now - asked_at <= MEMORY
+        for target, requested_at in recent_targets.last_requested_at.items()
+        if now - requested_at <= TARGET_RETENTION
     ]
-    return min(lately, default=math.inf)
+    return min(targets, default=math.inf)
--- a/sycamorefall/direct/patience.py
+++ b/sycamorefall/direct/patience.py
@@ -1,10 +1,10 @@
-"""How long a caller has been asking already, from the time it has left.
+"""Estimates from a caller's remaining time how long it has been retrying.
 
-A caller that was refused and comes back says the same as a new one, but has
-less time left. Its answer will be late wherever it comes from, so those that
-can still be on time go first. But callers of one route also differ in how long
-they are ready to wait, and a new caller of little patience must not pass for
-one that has come back: its answer would be held to a target that is over.
+A caller that repeats a refused request sends it unchanged, but with less time
+left. Its response will be late anyway, so requests that can still be on time go
+first. Callers of one route also differ in their patience, the total time that
+they are ready to wait. An impatient new caller must not be mistaken for one
+that retries: its request would be treated as past its target latency.
 """
 
 __all__ = ["Patience", "read_elapsed"]
@@ -13,54 +13,57 @@
 import dataclasses
 import statistics
 
-SAMPLES = 300
-"""Callers from whose times left the spread of a route is learned: the standard
-error of their median is 0.03 of the spread."""
+SAMPLE_SIZE = 300
+"""Number of callers from whose remaining times the spread of a route is
+estimated: the standard error of their median is 0.03 of the spread."""
 
-LEARN_AFTER = 100
-"""Callers after which it is learned, and learned anew; that takes 10 us."""
+UPDATE_INTERVAL = 100
+"""Number of callers after which the spread is first estimated and after which
+it is updated; each update takes 10 us."""
 
-FIRST_SPREAD = 0.25
-"""Spread that is assumed until `LEARN_AFTER` callers were seen, as a part of
-the longest time: more than the 0.15 that was met."""
+INITIAL_SPREAD = 0.25
+"""Spread assumed for the first `UPDATE_INTERVAL` callers, as a fraction of the
+longest remaining time: more than the 0.15 that was seen."""
 
-SPREAD_OF_MEDIAN = 3.0
-"""Spread as a multiple of what the middle caller lacks of the longest time: 2
-if callers lie evenly, and the rest for the error of the median, four times the
-standard error after `LEARN_AFTER` callers."""
+SPREAD_PER_MEDIAN = 3.0
+"""Spread as a multiple of the median shortfall from the longest remaining time:
+2 for uniformly distributed callers, and 1 for the error of the median, which is
+four times the standard error after `UPDATE_INTERVAL` callers."""
 
 
 @dataclasses.dataclass(slots=True)
 class Patience:
-    """How long the callers of a route are ready to wait.
+    """Estimated distribution of the patience of a route's callers.
 
     Attributes:
-        longest: Most seconds that one had left.
-        spread: Part of that by which new callers differ.
+        longest: Longest remaining time of any caller, in seconds.
+        spread: Fraction of `longest` by which the remaining times of new
+            callers differ.
     """
 
     longest: float = 0.0
-    spread: float = FIRST_SPREAD
-    _shares: collections.deque[float] = dataclasses.field(
-        default_factory=lambda: collections.deque(maxlen=SAMPLES)
+    spread: float = INITIAL_SPREAD
+    _shortfalls: collections.deque[float] = dataclasses.field(
+        default_factory=lambda: collections.deque(maxlen=SAMPLE_SIZE)
     )
-    _unlearned: int = 0
+    _samples_since_update: int = 0
 
 
 def read_elapsed(patience: Patience, time_left: float) -> float:
-    """Reads how long a caller has been asking at least; learns from it.
+    """Estimates how long a caller has been retrying, and updates the estimates.
 
-    Most callers ask for the first time, so the middle one of the times left is
-    that of a new caller, and new callers lie about evenly around it. Only what
-    is missing of the longest time beyond their spread is time that has passed.
+    Most callers are new, so the median remaining time is that of a new caller,
+    and the remaining times of new callers are about evenly distributed around
+    it. Only the shortfall from the longest remaining time that exceeds the
+    spread is counted as time that has passed.
 
     Args:
-        patience: What is known of the route's callers; changed.
-        time_left: Seconds that the caller will wait.
+        patience: Estimates for the route; changed.
+        time_left: Seconds that the caller is still ready to wait.
 
     Returns:
-        Seconds; 0 for a new caller, and less than the truth for one that was
-        more patient than others.
+        Lower bound in seconds; 0 for a new caller. It is below the actual time
+        for a caller that was more patient than others.
 
     Example:
         >>> patience = Patience()
@@ -68,10 +71,12 @@
         [0.0, 0.0, 1.0]
     """
     patience.longest = max(patience.longest, time_left)
-    share = 1 - time_left / patience.longest if patience.longest else 0.0
-    patience._shares.append(share)
-    patience._unlearned += 1
-    if patience._unlearned >= LEARN_AFTER:
-        patience._unlearned = 0
-        patience.spread = SPREAD_OF_MEDIAN * statistics.median(patience._shares)
-    return max(0.0, share - patience.spread) * patience.longest
+    shortfall = 1 - time_left / patience.longest if patience.longest else 0.0
+    patience._shortfalls.append(shortfall)
+    patience._samples_since_update += 1
+    if patience._samples_since_update >= UPDATE_INTERVAL:
+        patience._samples_since_update = 0
+        patience.spread = SPREAD_PER_MEDIAN * statistics.median(
+            patience._shortfalls
+        )
+    return max(0.0, shortfall - patience.spread) * patience.longest
--- a/sycamorefall/direct/placement_constraints.py
+++ b/sycamorefall/direct/placement_constraints.py
@@ -1,4 +1,4 @@
-"""What a request asks of an engine at a moment; no I/O."""
+"""Computes the current placement constraints of a request; no I/O."""
 
 __all__ = [
     "compute_constraints",
@@ -12,13 +12,15 @@
 )
 
 FAIRNESS_SLACK = 0.1
-"""Lead in service that a team may have over one that waits elsewhere, in
-seconds of what all engines serve: less than one exchange of accounts can
-tell apart would make teams wait for each other in turn."""
+"""Lead in received service up to which a team need not yield to a team that
+waits at another router, in seconds of the throughput of all engines. A lead
+smaller than the accounts exchanged between routers can resolve would make teams
+yield to each other in turn."""
 
-DEPRIVED_AFTER = 0.5
-"""Part of its patience after which a request of a team that is behind goes to
-any engine; the other half is left for that engine to be on time."""
+REREAD_WAIT_SHARE = 0.5
+"""Fraction of its maximum wait after which a request of an underserved team may
+use any engine. The other half of the wait is left for that engine to respond in
+time."""
 
 
 def compute_constraints(
@@ -26,57 +28,60 @@
     now: float,
     request: state_module.Request,
 ) -> eligibility.PlacementConstraints:
-    """Describes what a request asks of an upstream now.
+    """Computes under which conditions a request may be sent now.
 
     Args:
-        state: The router.
-        now: This process's time.
-        request: A request that is nowhere.
+        state: State of the router.
+        now: Current time of this process's clock.
+        request: A request without an attempt in progress.
     """
     accounts = state_module.get_or_create_accounts(state, request.service)
     received = fair_queue.compute_received(accounts, now, request.team)
     share = fair_queue.compute_relative_share(accounts, received)
     slack = FAIRNESS_SLACK * state.catalog.tokens_per_second
-    has_waited = _has_waited(request, now)
+    has_waited_long = _has_waited_long(request, now)
     return eligibility.PlacementConstraints(
         request.new.prompt,
         request.target_at - now,
         request.tried,
-        yields_to=received - slack,
-        leaves_idle_to=fair_queue.IDLE_UNDERSERVED_SHARE * received,
-        uses=request.part_uses * state.routers,
-        anywhere=has_waited and share < fair_queue.UNDERSERVED_SHARE,
-        anywhere_idle=has_waited and share < fair_queue.IDLE_UNDERSERVED_SHARE,
-        most_queue=_find_most_queue(state, now, request),
+        yield_below=received - slack,
+        yield_idle_below=fair_queue.IDLE_UNDERSERVED_SHARE * received,
+        recent_part_uses=request.part_uses * state.routers,
+        allow_reread=has_waited_long and share < fair_queue.UNDERSERVED_SHARE,
+        allow_reread_if_idle=has_waited_long
+        and share < fair_queue.IDLE_UNDERSERVED_SHARE,
+        max_queue_seconds=_compute_max_queue_seconds(state, now, request),
     )
 
 
-def _find_most_queue(
+def _compute_max_queue_seconds(
     state: state_module.DirectState,
     now: float,
     request: state_module.Request,
 ) -> float:
-    """Finds how long a request may wait for others inside an engine.
+    """Computes the longest acceptable prefill queue of an engine, in seconds.
 
-    A request is urgent once it has no more time left than those of the
-    shortest target had when they came. It may wait until it would be late;
-    what is left of the engine's queue is all that the others may fill, which
-    have time to wait here.
+    A request is urgent once its time left is within the shortest target
+    latency that its service was recently asked for. The queue is not limited
+    for urgent requests, except that the response must start in time. Others,
+    which have time to wait at the router, may use only a part of the queue.
     """
-    known = state_module.get_or_create_recent_targets(state, request.service)
-    shortest = latency_targets.find_shortest_target(known, now)
+    recent_targets = state_module.get_or_create_recent_targets(
+        state, request.service
+    )
+    shortest = latency_targets.find_shortest_target(recent_targets, now)
     if request.target_at - now <= shortest:
         return math.inf
     return eligibility.QUEUE_SHARE * shortest
 
 
-def _has_waited(request: state_module.Request, now: float) -> bool:
-    """Tells whether a request may have its shared part read elsewhere now.
+def _has_waited_long(request: state_module.Request, now: float) -> bool:
+    """Tells whether a request has waited long enough to leave its homes.
 
-    If its team is behind, too. Guards against a team whose parts all lie with
-    full engines: it would get nothing while others are served next door. A
-    small team that received little because it asks for little has its request
-    served at home before half of its patience is over.
+    It may then have its shared parts computed again on another engine if its
+    team is underserved. Otherwise a team whose homes are all full would get
+    nothing while other engines have free slots. A small team that received
+    little because it asks for little is usually served by a home earlier.
     """
-    patience = request.give_up_at - request.arrived_at
-    return now - request.arrived_at >= DEPRIVED_AFTER * patience
+    max_wait = request.give_up_at - request.arrived_at
+    return now - request.arrived_at >= REREAD_WAIT_SHARE * max_wait
--- a/sycamorefall/direct/prompts.py
+++ b/sycamorefall/direct/prompts.py
@@ -1,4 +1,4 @@
-"""What requests ask of engines, and how often their shared parts are used."""
+"""Describes the prompts of requests and counts uses of their shared parts."""
 
 __all__ = [
     "MAX_PARTS",
@@ -15,50 +15,50 @@
 import zlib
 
 MAX_PARTS = 20_000
-"""Parts whose uses are counted: 4 MB."""
+"""Maximum number of parts whose uses are counted; they take 4 MB."""
 
 OUTPUT_WEIGHT = 2
-"""What a token that is made costs, in tokens that are read."""
+"""Cost units of an output token; a prompt token costs one unit."""
 
-USE_MEMORY = 10.0
-"""Seconds over which the uses of a part are counted."""
+USE_DECAY_SECONDS = 10.0
+"""Time constant in seconds of the exponential decay of a part's use count."""
 
 
 Digests = tuple[tuple[int, int], ...]
-"""Digests of a prompt's parts in order, with their tokens."""
+"""The (digest, token count) pairs of a prompt's parts, in order."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Prompt:
-    """What a request asks of an engine.
+    """The prompt of a request and its expected output.
 
     Attributes:
         tokens: Tokens of the whole prompt.
-        output: Tokens it is expected to make.
-        parts: Parts of the prompt in order, with their tokens; the last one
-            is the request's own.
-        digests: The same, by digest: four bytes in place of the key, half of
-            what that takes in a message. Two of 1,000 parts share one in one
-            of 10,000 fleets; an engine is then taken to hold what it has to
-            read.
-        home_key: The last part that other requests share; empty if there is
-            none.
-        shared: Tokens of the parts that other requests share.
-        own_work: Cost units of what no other request shares.
+        output: Expected number of output tokens.
+        parts: The (key, token count) pairs of the prompt's parts, in order.
+            The last part belongs to this request alone, the others are shared.
+        digests: The parts with a four-byte digest in place of the key, which
+            halves their size in messages. In one of 10,000 fleets, two of
+            1,000 parts have the same digest. An engine is then wrongly
+            estimated to hold one of them in its cache.
+        home_key: Key of the last shared part, which determines the homes of
+            the prompt; empty if there is none.
+        shared: Tokens of the shared parts.
+        own_work: Cost units of the request's own part and its output.
     """
 
     tokens: int
     output: int
     parts: tuple[tuple[str, int], ...] = ()
-    # Reckoned once: each look at a waiting request reads them for each
-    # engine, which took a third of the look's time.
+    # Derived once, as each dispatch pass reads them for each pair of waiting
+    # request and engine. Deriving them there took a third of the pass.
     digests: Digests = dataclasses.field(init=False)
     home_key: str = dataclasses.field(init=False)
     shared: int = dataclasses.field(init=False)
     own_work: int = dataclasses.field(init=False)
 
     def __post_init__(self):
-        """Reckons what follows from the parts."""
+        """Derives the fields that depend on the parts."""
         home_key = self.parts[-2][0] if len(self.parts) > 1 else ""
         shared = sum(tokens for _, tokens in self.parts[:-1])
         own_work = self.tokens - shared + OUTPUT_WEIGHT * self.output
@@ -73,11 +73,11 @@
 
 @dataclasses.dataclass(slots=True)
 class PartUsage:
-    """How often shared parts were asked for lately at this router.
+    """Recent uses of shared parts at this router.
 
     Attributes:
-        uses: By part: a count that decays, and when it was last brought up
-            to date. The least recently used come first.
+        uses: Decaying use count and the time of its last update, by key of
+            the part, least recently used first.
     """
 
     uses: collections.OrderedDict[str, tuple[float, float]] = dataclasses.field(
@@ -86,20 +86,21 @@
 
 
 def record_use(uses: PartUsage, now: float, key: str) -> float:
-    """Counts a use of a part.
+    """Counts a use of a shared part.
 
     Args:
-        uses: The counts; changed.
-        now: This process's time.
-        key: The part; an empty one is not counted.
+        uses: Use counts; changed.
+        now: Current time of this process's clock.
+        key: Key of the part; an empty key is not counted.
 
     Returns:
-        Uses of the part over about `USE_MEMORY` seconds, this one included.
+        Uses of the part over about `USE_DECAY_SECONDS`, including this one; 0
+        for an empty key.
     """
     if not key:
         return 0.0
-    count, since = uses.uses.get(key, (0.0, now))
-    count = count * math.exp((since - now) / USE_MEMORY) + 1.0
+    count, updated_at = uses.uses.get(key, (0.0, now))
+    count = count * math.exp((updated_at - now) / USE_DECAY_SECONDS) + 1.0
     uses.uses[key] = (count, now)
     uses.uses.move_to_end(key)
     while len(uses.uses) > MAX_PARTS:
--- a/sycamorefall/direct/tests/test_urgency.py
+++ b/sycamorefall/direct/tests/test_urgency.py
@@ -95,7 +95,7 @@
     # If it bounded the queues, engines would stand half empty for it.
     state = create_state()
     fakes.submit_request(state, 0.0, URGENT, tokens=100)
-    later = latency_targets.MEMORY + 1.0
+    later = latency_targets.TARGET_RETENTION + 1.0
     freshness_module.record_proof(state.freshness, later)
     fill(state, 0.6)
     assert (
--- a/sycamorefall/direct/upstream_selection.py
+++ b/sycamorefall/direct/upstream_selection.py
@@ -1,9 +1,10 @@
-"""Which upstream gets a request.
+"""Selects the upstream that a request is sent to.
 
-An engine that has read the shared part of a prompt before need not read it
-again, which is most of a long prompt's work. So requests with the same last
-shared part go to the same engine, found by rendezvous hashing that all routers
-compute alike, unless waiting there costs more than reading anew elsewhere.
+An engine that has the shared parts of a prompt in its KV cache skips most of
+the prefill of a long prompt. Requests with the same last shared part are
+therefore routed to the same engines, the homes of the part (see `homes`). A
+request goes elsewhere if the queue at its homes costs more than computing the
+part again on another engine.
 """
 
 __all__ = [
@@ -22,24 +23,28 @@
 from sycamorefall.direct import upstreams as upstreams_module
 from sycamorefall.direct.upstreams import Upstream
 
-READ_AGAIN = 3.0
-"""Weight of reading a shared part again, against waiting as long: it delays
-all that runs at the engine too, and pushes another part out of its cache."""
+REREAD_WEIGHT = 3.0
+"""Weight of a second of prefill that repeats a shared part, relative to a
+second in the queue. Repeated prefill also delays all requests that run on the
+engine and evicts other parts from its cache."""
 
 FAILURE_COST = 0.6
-"""Seconds that a certain failure counts like."""
+"""Cost in seconds of a failure, multiplied by the upstream's failure rate."""
 
-CROWD_COST = 0.04
-"""Seconds that a full batch counts like: tokens come slower in it."""
+BATCH_COST = 0.04
+"""Cost in seconds of a full batch, in which each token takes longer to
+generate. A partly filled batch costs a proportional part."""
 
-PLAIN_WORK = 0.045
-"""Seconds that a plain service's request takes, about."""
+PLAIN_REQUEST_SECONDS = 0.045
+"""Approximate duration in seconds of a request of a plain service."""
 
-PLAIN_QUEUE = 2
-"""Requests at a plain upstream at a time, as a multiple of its slots."""
+PLAIN_QUEUE_FACTOR = 2
+"""Maximum number of concurrent requests at an upstream of a plain service, as
+a multiple of its slots."""
 
-AWAY_COST = 0.004
-"""Seconds that another failure domain counts like, for plain services."""
+REMOTE_DOMAIN_COST = 0.004
+"""Cost in seconds of an upstream in another failure domain; applies to plain
+services only."""
 
 
 def choose_upstream(
@@ -50,37 +55,40 @@
     failure_domain: str,
     group: eligibility.EngineGroup,
 ) -> Upstream | None:
-    """Chooses the upstream that is to get a request now.
+    """Chooses the upstream with the lowest estimated cost for a request.
 
     Args:
         table: All upstreams.
-        now: This process's time.
-        service: The request's service.
-        constraints: What the request needs.
-        failure_domain: Where this router stands.
-        group: Engines with a free slot.
+        now: Current time of this process's clock.
+        service: Service of the request.
+        constraints: Placement constraints of the request.
+        failure_domain: Failure domain of this router.
+        group: Engines of the service with a free slot.
 
     Returns:
-        The upstream, or None if the request has to wait.
+        The upstream; None if no upstream can take the request now.
     """
     if constraints.prompt is None or service.engine is None:
         usable = _list_usable(table, now, service, constraints)
-        return _choose_plain(usable, now, failure_domain)
+        return _choose_plain_upstream(usable, now, failure_domain)
     prompt, engine = constraints.prompt, service.engine
-    uncrowded = [
+    candidates = [
         one
         for one in eligibility.prefilter_engines(group, constraints)
         if one.upstream.listed.name not in constraints.tried
         and eligibility.find_load_obstacle(one, engine, constraints) is None
     ]
-    if not uncrowded:
+    if not candidates:
         return None
     homes = homes_module.list_homes(table, now, service, constraints)
     costs = [
-        (_weigh(one.upstream, now, prompt, engine, home), one.upstream)
-        for one in uncrowded
-        for home in [one.upstream in homes]
-        if eligibility.find_obstacle(one, engine, constraints, home) is None
+        (
+            _estimate_cost(one.upstream, now, prompt, engine, is_home),
+            one.upstream,
+        )
+        for one in candidates
+        for is_home in [one.upstream in homes]
+        if eligibility.find_obstacle(one, engine, constraints, is_home) is None
     ]
     return min(costs, key=lambda pair: pair[0], default=(0.0, None))[1]
 
@@ -91,16 +99,16 @@
     service: catalog_module.Service,
     full: bool = False,
 ) -> list[eligibility.EngineLoad]:
-    """Lists what the engines that may be used have to do now.
+    """Measures the loads of a service's usable engines.
 
     Args:
         table: All upstreams.
-        now: This process's time.
+        now: Current time of this process's clock.
         service: The service.
-        full: Whether engines without a free slot are listed too.
+        full: Whether to include engines without a free slot.
 
     Returns:
-        One for each engine; none if the service has no engines.
+        The load of each engine; empty for a plain service.
     """
     engine = service.engine
     if engine is None:
@@ -133,16 +141,17 @@
     service: catalog_module.Service,
     constraints: eligibility.PlacementConstraints,
 ) -> dict[eligibility.Obstacle, int]:
-    """Counts a service's upstreams by what keeps a request from them.
+    """Counts a service's upstreams by the obstacle to a request.
 
     Args:
         table: All upstreams.
-        now: This process's time.
-        service: The request's service.
-        constraints: What the request needs.
+        now: Current time of this process's clock.
+        service: Service of the request.
+        constraints: Placement constraints of the request.
 
     Returns:
-        Upstreams by obstacle; those that could take the request are left out.
+        Number of upstreams by obstacle, without those that could take the
+        request.
     """
     usable = _list_usable(table, now, service, constraints)
     group = upstreams_module.list_upstreams(table, service.name)
@@ -167,19 +176,20 @@
     now: float,
     engine: catalog_module.Engine,
     constraints: eligibility.PlacementConstraints,
-    home: bool,
+    is_home: bool,
 ) -> eligibility.Obstacle | None:
-    """Finds what keeps a request from an engine.
+    """Finds the obstacle to a request at a usable engine.
 
-    Most engines of a full service are kept from it by what they hold, for
-    which they need not be described.
+    At a full service the reread limit rules out most engines. It depends on
+    the cache only, so it is checked before the engine's load is measured.
     """
-    if not constraints.anywhere_idle and eligibility.exceeds_reread_limit(
-        one, constraints, home
+    if (
+        not constraints.allow_reread_if_idle
+        and eligibility.exceeds_reread_limit(one, constraints, is_home)
     ):
         return eligibility.Obstacle.READS_AGAIN
     engine_load = eligibility.measure_engine_load(one, engine, now)
-    return eligibility.find_obstacle(engine_load, engine, constraints, home)
+    return eligibility.find_obstacle(engine_load, engine, constraints, is_home)
 
 
 def list_awaited_engines(
@@ -189,19 +199,18 @@
     constraints: eligibility.PlacementConstraints,
     engine_loads: Iterable[eligibility.EngineLoad],
 ) -> list[Upstream]:
-    """Lists the engines that a request waits for.
+    """Lists the engines that could take a request if their load were lower.
 
     Args:
         table: All upstreams.
-        now: This process's time.
-        service: The request's service.
-        constraints: What the request needs.
-        engine_loads: Engines of the service that may be used; others aren't
-            looked at.
+        now: Current time of this process's clock.
+        service: Service of the request.
+        constraints: Placement constraints of the request.
+        engine_loads: Loads of the usable engines to consider.
 
     Returns:
-        Those of the engines that would get it if they had room, the one that
-        suits it best first.
+        The engines by increasing estimated cost; empty if the request is not
+        for an engine or its response can no longer start in time.
     """
     if (
         constraints.prompt is None
@@ -218,40 +227,47 @@
         )
     ]
 
-    def weigh(one: Upstream) -> float:
-        return _weigh(
+    def estimate_cost(one: Upstream) -> float:
+        return _estimate_cost(
             one, now, constraints.prompt, service.engine, one in homes
         )
 
-    return sorted(found, key=weigh)
+    return sorted(found, key=estimate_cost)
 
 
 def _has_room(one: Upstream) -> bool:
-    return one.running < PLAIN_QUEUE * one.listed.slots
+    return one.running < PLAIN_QUEUE_FACTOR * one.listed.slots
 
 
-def _choose_plain(
+def _choose_plain_upstream(
     usable: list[Upstream], now: float, failure_domain: str
 ) -> Upstream | None:
-    def weigh(one: Upstream) -> float:
-        queued = PLAIN_WORK * one.running / max(1, one.listed.slots)
-        away = AWAY_COST * (one.listed.failure_domain != failure_domain)
+    """Chooses the upstream of a plain service with the lowest cost."""
+
+    def estimate_cost(one: Upstream) -> float:
+        queued = PLAIN_REQUEST_SECONDS * one.running / max(1, one.listed.slots)
+        remote = REMOTE_DOMAIN_COST * (
+            one.listed.failure_domain != failure_domain
+        )
         failing = upstreams_module.compute_failure_rate(one, now)
-        return queued + away + FAILURE_COST * failing
+        return queued + remote + FAILURE_COST * failing
 
-    return min(filter(_has_room, usable), key=weigh, default=None)
+    return min(filter(_has_room, usable), key=estimate_cost, default=None)
 
 
-def _weigh(
+def _estimate_cost(
     one: Upstream,
     now: float,
     prompt: prompts.Prompt,
     engine: catalog_module.Engine,
-    home: bool,
+    is_home: bool,
 ) -> float:
-    own = prompt.tokens - prompt.shared
-    again = eligibility.count_reread_tokens(one, prompt, home)
-    reading = (one.unread + own + READ_AGAIN * again) / one.prefill_rate
-    crowd = CROWD_COST * one.running / engine.slots
+    """Estimates the cost in seconds of sending a prompt to an engine."""
+    own_tokens = prompt.tokens - prompt.shared
+    reread = eligibility.count_reread_tokens(one, prompt, is_home)
+    prefill = (
+        one.unread + own_tokens + REREAD_WEIGHT * reread
+    ) / one.prefill_rate
+    batch = BATCH_COST * one.running / engine.slots
     failing = upstreams_module.compute_failure_rate(one, now)
-    return reading + crowd + FAILURE_COST * failing
+    return prefill + batch + FAILURE_COST * failing
