--- a/sycamorefall/direct/backlog.py
+++ b/sycamorefall/direct/backlog.py
@@ -30,8 +30,8 @@
         team: Name of the team.
         waiting: Number of waiting requests.
         oldest: Seconds since the arrival of the oldest waiting request.
-        received: Cost units that the team received recently of all routers.
-        own: Cost units that the team received recently of this router.
+        received: Cost units that the team received recently from all routers.
+        own: Cost units that the team received recently from this router.
     """
 
     service: str
--- a/sycamorefall/direct/fair_queue.py
+++ b/sycamorefall/direct/fair_queue.py
@@ -137,7 +137,7 @@
 
 
 def compute_received(accounts: TeamAccounts, now: float, team: str) -> float:
-    """Computes the cost units that a team received recently of all routers."""
+    """Computes a team's recent service from all routers, in cost units."""
     return _compute_own_received(accounts, now, team) + accounts.others.get(
         team, 0.0
     )
@@ -161,7 +161,7 @@
 
 
 def find_max_received(accounts: TeamAccounts, own: dict[str, float]) -> float:
-    """Finds the most service that any team received recently of all routers.
+    """Finds the most service that any team received recently from all routers.
 
     Args:
         accounts: Service of the teams.
--- a/sycamorefall/direct/placement_constraints.py
+++ b/sycamorefall/direct/placement_constraints.py
@@ -81,7 +81,7 @@
     It may then have its shared parts computed again on another engine if its
     team is underserved. Otherwise a team whose homes are all full would get
     nothing while other engines have free slots. A small team that received
-    little because it asks for little is usually served by a home earlier.
+    little because it asks for little is usually served by a home before that.
     """
     max_wait = request.give_up_at - request.arrived_at
     return now - request.arrived_at >= REREAD_WAIT_SHARE * max_wait
--- a/sycamorefall/direct/tests/test_backlog.py
+++ b/sycamorefall/direct/tests/test_backlog.py
@@ -1,4 +1,4 @@
-"""What a router's log says of requests that wait."""
+"""Tests of the log records about waiting requests and their teams."""
 
 from sycamorefall import messages
 from sycamorefall.direct import backlog, dispatching, exchange
@@ -14,8 +14,8 @@
 
 
 def test_line_names_the_least_served_team_beside_a_flood():
-    # Guards against logs that can't tell why a small team is not served, as
-    # only the flood that it is held against is in them.
+    # Guards against log records that contain only the flooding team, which
+    # don't explain why a small team is not served.
     state = create_full_state()
     for _ in range(5):
         fakes.submit_request(state, 0.0, "draft", team="mill")
@@ -33,7 +33,7 @@
 
 
 def test_line_is_bounded_however_many_teams_wait():
-    # Guards against a log whose lines grow with the teams.
+    # Guards against log records that grow with the number of teams.
     keys = tuple(f"team-{n}" for n in range(40))
     state = create_full_state()
     state.catalog = fakes.create_catalog(version=2, keys=keys)
@@ -43,12 +43,12 @@
 
 
 def test_no_line_while_nothing_waits():
-    # Guards against lines of idle routers, which would fill the log.
+    # Guards against records of idle routers, which would fill the log.
     assert backlog.list_backlogs(fakes.create_state(), 0.0) == []
 
 
 def test_send_says_what_its_team_had_received():
-    # Guards against a team's share that can't be reckoned from the logs.
+    # Guards against logs from which a team's share can't be calculated.
     state = fakes.create_state()
     _, first = fakes.submit_request(state, 0.0, "draft", tokens=1000)
     _, second = fakes.submit_request(state, 0.0, "draft", tokens=500)
@@ -58,7 +58,7 @@
 
 
 def test_refusal_says_what_the_best_served_team_received():
-    # Guards against refusals that don't tell whether their team was behind.
+    # Guards against refusals that don't tell whether the team was underserved.
     state = create_full_state()
     accounts = state_module.get_or_create_accounts(state, "engine")
     accounts.most = 70_000.0
--- a/sycamorefall/direct/tests/test_patience.py
+++ b/sycamorefall/direct/tests/test_patience.py
@@ -1,4 +1,4 @@
-"""Callers of unequal patience: who counts as late, and who does not."""
+"""Tests that tell retrying callers from impatient new ones."""
 
 import random
 
@@ -13,13 +13,13 @@
 
 
 def draw_callers(seed, spread, returning, count=400, longest=8.0):
-    """Draws (seconds left, seconds asked already) of callers of one route."""
+    """Draws (remaining, elapsed) seconds of callers of one route."""
     draws = random.Random(seed)
     callers = []
     for _ in range(count):
-        ready = longest * (1 - spread * draws.random())
+        patience_seconds = longest * (1 - spread * draws.random())
         asked = 1.5 if draws.random() < returning else 0.0
-        callers.append((ready - asked, asked))
+        callers.append((patience_seconds - asked, asked))
     return callers
 
 
@@ -32,27 +32,27 @@
 def test_new_caller_is_not_taken_for_one_that_came_back(
     seed, spread, returning
 ):
-    # Callers of one route are ready to wait for 4 to 8 seconds. Those with
-    # little patience are treated as if they had been asking for long: their
-    # requests wait for an idle engine, and are late. Cause: all that a caller
-    # had less than the most patient one was taken for time that had passed.
+    # Guards against counting all that a caller has less time left than the most
+    # patient one as elapsed time. Callers of a route may be ready to wait for 4
+    # to 8 seconds. Requests of impatient new callers would then wait for an
+    # idle engine and be late.
     known = patience.Patience()
-    read = [
+    estimates = [
         (patience.read_elapsed(known, left), asked)
         for left, asked in draw_callers(seed, spread, returning)
     ]
-    wrong = [elapsed for elapsed, asked in read[100:] if not asked]
+    overestimates = [elapsed for elapsed, asked in estimates[100:] if not asked]
     bound = 0.1 * spread * known.longest
-    assert all(elapsed <= bound for elapsed in wrong)
+    assert all(elapsed <= bound for elapsed in overestimates)
 
 
 @given(seed=strategies.integers(0, 1000), returning=strategies.floats(0, 0.4))
 def test_caller_that_came_back_is_told_apart_where_all_are_alike(
     seed, returning
 ):
-    # Refused callers come back in crowds, and those that could still be on
-    # time wait behind them. Where all are equally patient, the time that has
-    # passed is known exactly.
+    # Guards against many retrying callers that go before those that can still
+    # be on time. If all callers are equally patient, the elapsed time is known
+    # exactly.
     known = patience.Patience()
     for left, asked in draw_callers(seed, 0.0, returning)[:300]:
         elapsed = patience.read_elapsed(known, left)
@@ -62,8 +62,9 @@
 
 
 def test_caller_is_never_taken_to_have_asked_longer_than_it_may_have():
-    # The time left of a caller that came back after 3 s proves no more than
-    # what the least patient new caller would not explain.
+    # Guards against an overestimate for a caller that retries after 3 s. Its
+    # remaining time proves only the part of the shortfall that the patience of
+    # the least patient new caller does not explain.
     known = patience.Patience()
     for left, _ in draw_callers(1, 0.15, 0.0):
         patience.read_elapsed(known, left)
@@ -72,9 +73,10 @@
 
 
 def test_long_prompt_of_an_impatient_caller_goes_to_an_engine_with_work():
-    # A quarter of the long prompts of a calm day wait a quarter of a second
-    # for an idle engine while others, whose callers are more patient, go to
-    # engines with a short queue at once, and are on time.
+    # Guards against long prompts of impatient callers that wait for an idle
+    # engine, while those of patient callers go to engines with a short queue
+    # at once and are on time. On a day of low load, a quarter of the long
+    # prompts waited a quarter of a second.
     state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
     for left, _ in draw_callers(2, 0.15, 0.0, count=100, longest=3.0):
         number, _ = fakes.submit_request(
--- a/sycamorefall/direct/tests/test_shares.py
+++ b/sycamorefall/direct/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""A team that waits gets its share while others are served."""
+"""Tests that a waiting team gets its share while other teams are served."""
 
 import pytest
 
@@ -18,8 +18,17 @@
 PARTS = (("dossier", 5000),)
 
 
-def tell(state, now, sequence=1, claimed=(), **received):
-    """Has another router tell of a team that it refused and what it gave."""
+def deliver_load(state, now, sequence=1, claimed=(), **received):
+    """Delivers a load message of another router.
+
+    Args:
+        state: Router that receives the message.
+        now: Time of the delivery.
+        sequence: Sequence number of the message.
+        claimed: Names of the engines awaited at the other router by a team that
+            was refused there and received no service.
+        **received: Cost units that the other router gave each team.
+    """
     loads = tuple(
         messages.UpstreamLoad(name, 0, 0, 0, floor=0, short_floor=0)
         for name in claimed
@@ -36,7 +45,7 @@
 
 
 def run(state, start, seconds):
-    """Runs a router's timers; gives the sends and when they were."""
+    """Runs a router's timers; returns (time, effect) of each send."""
     sends = []
     for step in range(round(seconds / 0.01) + 1):
         now = start + step * 0.01
@@ -47,7 +56,7 @@
 
 
 def create_state_with_running(running):
-    """Creates a router whose engines run some requests and read nothing."""
+    """Creates a router whose engines run requests without pending prefill."""
     state = fakes.create_state()
     for name in ENGINES:
         state.table.by_name[name].own.running = running
@@ -55,10 +64,10 @@
 
 
 def test_flood_leaves_idle_engines_to_a_team_that_waits_elsewhere():
-    # Guards against a flood that takes each engine as soon as that has little
-    # to do: it waits at all routers, so one of them is always the first.
+    # Guards against a flood that takes each engine as soon as it is idle: the
+    # flooding team waits at all routers, so one of them always comes first.
     state = create_state_with_running(2)
-    tell(state, 0.0, claimed=ENGINES, mill=30_000)
+    deliver_load(state, 0.0, claimed=ENGINES, mill=30_000)
     _, sent = fakes.submit_request(state, 0.0, "draft", team="mill")
     assert sent is None
     _, sent = fakes.submit_request(state, 0.0, "draft", team="trader")
@@ -67,9 +76,10 @@
 
 
 def test_idle_engine_is_left_for_a_moment_only():
-    # Guards against capacity that idles for a request that doesn't use it.
+    # Guards against capacity that stays reserved for a request that does not
+    # use it.
     state = create_state_with_running(2)
-    tell(state, 0.0, claimed=ENGINES, mill=30_000)
+    deliver_load(state, 0.0, claimed=ENGINES, mill=30_000)
     fakes.submit_request(state, 0.0, "draft", team="mill")
     ((at, sent),) = run(state, 0.0, 0.39)
     assert sent.team == "mill"
@@ -77,7 +87,8 @@
 
 
 def test_idle_engine_is_not_left_to_a_team_that_lacks_nothing():
-    # Guards against engines that idle for small teams that get all they ask.
+    # Guards against engines that are reserved for small teams whose requests
+    # are all served.
     state = create_state_with_running(2)
     loads = tuple(
         messages.UpstreamLoad(name, 0, 0, 0, floor=0) for name in ENGINES
@@ -94,30 +105,34 @@
 
 
 def test_router_tells_which_engines_a_refused_team_waits_for():
-    # Guards against a team that is refused and that no other router leaves an
-    # idle engine to.
-    state, told = create_state_with_running(4), fakes.create_exchange()
+    # Guards against a refused team that no other router reserves an idle engine
+    # for.
+    state, load_exchange = create_state_with_running(4), fakes.create_exchange()
     fakes.submit_request(state, 0.0, "draft", team="trader")
-    first = exchange.build_load_message(told, state, 0.0)
+    first = exchange.build_load_message(load_exchange, state, 0.0)
     assert {one.short_floor for one in first.upstreams} == {-1}
     run(state, 0.0, 0.45)
     fakes.submit_request(state, 0.46, "draft", team="trader")
-    later = exchange.build_load_message(told, state, told.own.due)
+    later = exchange.build_load_message(
+        load_exchange, state, load_exchange.own.due
+    )
     assert {one.short_floor for one in later.upstreams} == {0}
 
 
 def test_refusals_are_forgotten():
-    # Guards against memory that grows with the teams that were ever refused.
-    state, told = create_state_with_running(4), fakes.create_exchange()
+    # Guards against memory that grows with the number of teams ever refused.
+    state, load_exchange = create_state_with_running(4), fakes.create_exchange()
     fakes.submit_request(state, 0.0, "draft")
     run(state, 0.0, 0.45)
     assert state.accounts["engine"].refused_at
-    exchange.build_load_message(told, state, 0.5 + fair_queue.REFUSAL_RETENTION)
+    exchange.build_load_message(
+        load_exchange, state, 0.5 + fair_queue.REFUSAL_RETENTION
+    )
     assert not state.accounts["engine"].refused_at
 
 
 def test_plain_services_keep_no_account_of_teams():
-    # Guards against messages that tell of teams at services without engines.
+    # Guards against messages with accounts of services without engines.
     state = fakes.create_state()
     number, _ = fakes.submit_request(state, 0.0, "look", team="")
     end = outcomes.AttemptEnd.NOT_RUN
@@ -128,8 +143,8 @@
 
 
 def test_team_that_is_behind_is_served_away_from_its_home():
-    # Guards against a team that settles at half of what the best served one
-    # gets: above that, it was kept from all engines but its full home.
+    # Guards against a team that settles at half of the best served team's
+    # service: above that share, it could use no engine but its full home.
     for share in (0.0, 0.4, 0.5, 0.55):
         state = fakes.create_state()
         asked = {"team": "trader", "tokens": 6000, "parts": PARTS}
@@ -144,7 +159,7 @@
         )
         other.own.running = 2
         state.accounts["engine"].own.clear()
-        tell(state, 0.0, trader=int(share * 100_000), mill=100_000)
+        deliver_load(state, 0.0, trader=int(share * 100_000), mill=100_000)
         state.accounts["engine"].most = 100_000
         fakes.submit_request(state, 0.0, "draft", **asked)
         ((at, sent),) = run(state, 0.0, 0.39)
@@ -154,21 +169,21 @@
 
 
 def test_best_served_team_keeps_to_the_homes_of_its_parts():
-    # Guards against parts that are read everywhere once a service is full.
+    # Guards against parts that every engine computes once a service is full.
     state = fakes.create_state()
     asked = {"team": "mill", "tokens": 6000, "parts": PARTS}
     number, sent = fakes.submit_request(state, 0.0, "draft", **asked)
     core.cancel_request(state, number, 0.0)
     state.table.by_name[sent.upstream].own.running = 4
-    tell(state, 0.0, trader=10_000, mill=100_000)
+    deliver_load(state, 0.0, trader=10_000, mill=100_000)
     state.accounts["engine"].most = 100_000
     fakes.submit_request(state, 0.0, "draft", **asked)
     assert run(state, 0.0, 0.39) == []
 
 
 def test_team_is_not_charged_for_what_no_engine_began():
-    # Guards against a team that waits behind others for service that it never
-    # got: while engines are down its requests are sent up to a dozen times.
+    # Guards against a team that is charged for service it never received: while
+    # engines are down, its requests are sent up to a dozen times.
     for end in (
         outcomes.AttemptEnd.NOT_SENT,
         outcomes.AttemptEnd.NOT_RUN,
@@ -185,7 +200,7 @@
 
 
 def test_team_is_charged_once_for_a_request_that_moves_from_a_silent_engine():
-    # Guards against the same while an engine hangs and says nothing.
+    # Guards against the same while an engine is stalled.
     state = fakes.create_state()
     number, first = fakes.submit_request(state, 0.0, "answer", tokens=9000)
     now = 0.0
@@ -200,7 +215,7 @@
 
 
 def test_team_is_charged_for_an_answer_that_broke_off():
-    # Guards against free service for a team whose answers break off.
+    # Guards against free service for a team whose responses break off.
     state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
     number, sent = fakes.submit_request(state, 0.0, "draft", tokens=9000)
     outcomes.record_response(state, 0.1, number, first=True)
--- a/sycamorefall/direct/tests/test_sharing.py
+++ b/sycamorefall/direct/tests/test_sharing.py
@@ -1,4 +1,7 @@
-"""Placing, and teams that share engines through several routers."""
+"""Tests of upstream selection, and of teams that share engines across routers.
+
+They also cover retry budgets, links between routers and resumed streams.
+"""
 
 import itertools
 
@@ -17,15 +20,17 @@
 from sycamorefall.direct.tests import fakes
 
 
-def tell(told, state, now, sender="front-2", incarnation=1, **fields):
+def deliver_load(
+    load_exchange, state, now, sender="front-2", incarnation=1, **fields
+):
     load = messages.RouterLoad(control="127.0.0.1:2", **fields)
     envelope = messages.Envelope(sender, incarnation, 1, load)
-    exchange.handle_load(told, state, now, envelope)
+    exchange.handle_load(load_exchange, state, now, envelope)
 
 
 def test_same_shared_part_goes_to_the_same_engine():
-    # Each request about one paper reads it anew, and answers come late.
-    # Cause: requests with the same part went to different engines.
+    # Guards against requests with the same shared part that go to different
+    # engines: each engine computes the part again, and responses are late.
     listing = [
         fakes.create_upstream_entry(f"e{n}", port=n) for n in range(1, 6)
     ]
@@ -42,8 +47,9 @@
 
 
 def test_part_that_many_ask_for_has_several_homes():
-    # One paper gets a third of the traffic. Its engine is full, all others
-    # idle, and callers are refused. Cause: the part had one home only.
+    # Guards against a single home for a popular part. If one paper gets a third
+    # of the traffic, its engine is full and callers are refused while all other
+    # engines are idle.
     listing = [
         fakes.create_upstream_entry(f"e{n}", port=n) for n in range(1, 4)
     ]
@@ -60,84 +66,102 @@
 
 
 def test_others_load_leaves_no_room():
-    # Two routers each see a free engine and fill it twice over: its callers
-    # wait inside the engine, where no team comes before another.
+    # Guards against routers that ignore each other's load. Two of them fill an
+    # engine twice, and requests wait inside it, where no team has priority.
     state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
-    told = fakes.create_exchange()
+    load_exchange = fakes.create_exchange()
     load = (messages.UpstreamLoad("e1", 4, 9000, 40_000),)
-    tell(told, state, 0.0, sequence=1, upstreams=load)
+    deliver_load(load_exchange, state, 0.0, sequence=1, upstreams=load)
     assert fakes.submit_request(state, 0.0, "draft")[1] is None
 
 
 def test_load_of_a_router_that_is_gone_counts_no_more():
-    # A router is killed. The places that it held must be used again.
+    # Guards against slots that stay occupied after their router was killed.
     state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
-    told = fakes.create_exchange()
+    load_exchange = fakes.create_exchange()
     load = (messages.UpstreamLoad("e1", 4, 9000, 40_000),)
-    tell(told, state, 0.0, sequence=1, upstreams=load)
-    exchange.build_load_message(told, state, peers.PEER_TIMEOUT)
+    deliver_load(load_exchange, state, 0.0, sequence=1, upstreams=load)
+    exchange.build_load_message(load_exchange, state, peers.PEER_TIMEOUT)
     assert state.table.by_name["e1"].running == 0
     assert state.routers == 1
 
 
 def test_messages_out_of_order_and_of_an_older_process_are_dropped():
-    # Control messages come late and out of order; an old one would bring
-    # back load that has ended, or that of a process that is gone.
+    # Guards against delayed and reordered control messages, which would restore
+    # load that has ended, or that of a process that no longer exists.
     state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
-    told = fakes.create_exchange()
+    load_exchange = fakes.create_exchange()
     old = (messages.UpstreamLoad("e1", 3, 0, 0),)
-    tell(told, state, 0.0, incarnation=5, sequence=9)
-    tell(told, state, 0.0, incarnation=5, sequence=8, upstreams=old)
-    tell(told, state, 0.0, incarnation=4, sequence=99, upstreams=old)
+    deliver_load(load_exchange, state, 0.0, incarnation=5, sequence=9)
+    deliver_load(
+        load_exchange, state, 0.0, incarnation=5, sequence=8, upstreams=old
+    )
+    deliver_load(
+        load_exchange, state, 0.0, incarnation=4, sequence=99, upstreams=old
+    )
     assert state.table.by_name["e1"].running == 0
 
 
 def test_routers_find_each_other_by_seeds_and_by_hearsay():
-    # A router that no seed names must be found too, or it overfills engines
-    # that all others know to be full.
-    state, told = fakes.create_state(), fakes.create_exchange()
-    assert fakes.list_addresses(told) == {"127.0.0.1:2": "127.0.0.1:2"}
+    # Guards against a router that no seed lists and that stays unknown: it
+    # would overload engines that all other routers know to be full.
+    state, load_exchange = fakes.create_state(), fakes.create_exchange()
+    assert fakes.list_addresses(load_exchange) == {"127.0.0.1:2": "127.0.0.1:2"}
     third = (messages.RouterAddress("front-3", "127.0.0.1:3"),)
-    tell(told, state, 0.0, sequence=1, routers=third)
-    assert fakes.list_addresses(told) == {
+    deliver_load(load_exchange, state, 0.0, sequence=1, routers=third)
+    assert fakes.list_addresses(load_exchange) == {
         "front-2": "127.0.0.1:2",
         "front-3": "127.0.0.1:3",
     }
 
 
 def test_team_ahead_leaves_room_to_one_that_waits_elsewhere():
-    # A large team sits on one router and is served there at once, while a
-    # small team's requests wait at another, fuller router.
-    state, told = fakes.create_state(), fakes.create_exchange()
+    # Guards against a large team that one router serves at once while requests
+    # of a small team wait at another, busier router.
+    state, load_exchange = fakes.create_state(), fakes.create_exchange()
     demand = messages.ServiceDemand(
         "engine", (messages.TeamService("mill", 30_000),)
     )
     waits = [messages.UpstreamLoad(name, 0, 0, 0, 0) for name in ("e1", "e2")]
     for name in ("e1", "e2"):
         state.table.by_name[name].own.running = 3
-    tell(told, state, 0.0, sequence=1, upstreams=waits, services=(demand,))
+    deliver_load(
+        load_exchange,
+        state,
+        0.0,
+        sequence=1,
+        upstreams=waits,
+        services=(demand,),
+    )
     assert fakes.submit_request(state, 0.0, "draft", team="mill")[1] is None
     assert (
         fakes.submit_request(state, 0.0, "draft", team="trader")[1] is None
-    ), "it waits behind the first, until the next look"
+    ), "the request waits behind the first one until the next dispatch pass"
     (sent,) = fakes.list_sends(core.run_timers(state, 0.02))
     assert sent.team == "trader"
 
 
 def test_idle_engine_takes_also_a_team_that_is_ahead():
-    # No engine may idle while any team's work waits.
-    state, told = fakes.create_state(), fakes.create_exchange()
+    # Guards against engines that stay idle while requests of any team wait.
+    state, load_exchange = fakes.create_state(), fakes.create_exchange()
     demand = messages.ServiceDemand(
         "engine", (messages.TeamService("mill", 30_000),)
     )
     waits = [messages.UpstreamLoad(name, 0, 0, 0, 0) for name in ("e1", "e2")]
-    tell(told, state, 0.0, sequence=1, upstreams=waits, services=(demand,))
+    deliver_load(
+        load_exchange,
+        state,
+        0.0,
+        sequence=1,
+        upstreams=waits,
+        services=(demand,),
+    )
     assert fakes.submit_request(state, 0.0, "draft", team="mill")[1]
 
 
 def test_least_served_team_goes_first():
-    # One team floods; a small team's request comes last and must not wait
-    # behind the flood.
+    # Guards against a small team's request that arrives last and waits behind
+    # the flood of another team.
     state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
     running = [
         fakes.submit_request(state, 0.0, "draft", tokens=100)[0]
@@ -154,14 +178,14 @@
 
 
 def test_request_that_can_be_on_time_goes_before_one_that_comes_back():
-    # Callers that were refused come back and take the places of those that
-    # could still be answered in time, so nobody is.
+    # Guards against retrying callers that take the slots of requests that could
+    # still be on time, so that no response is on time.
     state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
     fakes.submit_request(state, 0.0, "draft", time_left=3.0, tokens=20_000)
     late, sent = fakes.submit_request(
         state, 0.0, "draft", time_left=1.5, tokens=100
     )
-    assert sent is None, "the engine has something to do"
+    assert sent is None, "the engine is not idle"
     prompt, sent = fakes.submit_request(
         state, 0.0, "draft", time_left=3.0, tokens=100
     )
@@ -178,19 +202,19 @@
     routers=strategies.integers(1, 12),
 )
 def test_second_sends_stay_within_the_budget_of_all_routers(times, routers):
-    # An upstream fails, every router tries its requests again, and the
-    # service gets a multiple of its traffic just when it is weak. In every
-    # window the second sends of all routers stay within one allowance.
-    kept = budget.RetryBudget(ratio=0.2, extra=16, window=10)
-    budget.record_routers(kept, routers)
+    # Guards against a multiple of a service's traffic while an upstream fails
+    # and every router retries its requests. In every window, the retries of all
+    # routers together must stay within one allowance.
+    retry_budget = budget.RetryBudget(ratio=0.2, extra=16, window=10)
+    budget.record_routers(retry_budget, routers)
     now, requests, retries = 0.0, [], []
     for pause, again in times:
         now += pause
         if again:
-            if budget.take_retry(kept, now):
+            if budget.take_retry(retry_budget, now):
                 retries.append(now)
         else:
-            budget.count_request(kept, now)
+            budget.count_request(retry_budget, now)
             requests.append(now)
     for end in retries:
         span = [at for at in retries if end - 10 < at <= end]
@@ -205,8 +229,8 @@
 
 
 def test_broken_stream_ends_with_a_whole_event_and_goes_on_after_it():
-    # An engine stops inside an event; the caller would read the next
-    # engine's first event as the rest of it.
+    # Guards against an engine that stops within an event: the caller would read
+    # the first event of the next engine as the rest of the broken one.
     splitter = streams.EventSplitter()
     passed = streams.split_events(splitter, b"id: 1\ndata: a\n\nid: 2\ndat")
     assert passed == b"id: 1\ndata: a\n\n"
@@ -222,7 +246,8 @@
     ending=strategies.sampled_from(["\n\n", "\r\n\r\n"]),
 )
 def test_events_are_the_same_however_they_are_cut(cuts, ending):
-    # Packets end anywhere; a caller must get every event once, to the letter.
+    # Guards against events that are lost, repeated or changed depending on
+    # where packets end.
     text = "".join(
         f"id: {n}{ending[: len(ending) // 2]}data: {n * 'x'}{ending}"
         for n in range(1, 9)
@@ -238,10 +263,10 @@
 
 
 def test_deprived_team_is_served_away_from_its_home():
-    # All parts of a small team lie with one engine that other teams keep
-    # full; the other engine has room. Refused again and again, the team gets
-    # nothing for seconds while others are served next door. A team that
-    # lacks nothing keeps to its homes, or every part is read everywhere.
+    # Guards against a small team whose parts all have the same home, which
+    # other teams keep full. Its requests are refused for seconds although the
+    # other engine has free slots. A team that is not underserved must stay at
+    # its homes, or every engine would compute every part.
     parts = (("dossier", 5000),)
     for most, expected in ((0.0, []), (90_000.0, ["trader"])):
         state = fakes.create_state()
@@ -256,7 +281,7 @@
         ]
         other.own.running, other.own.unread = 3, 3000
         demand = messages.ServiceDemand("engine", ())
-        tell(
+        deliver_load(
             fakes.create_exchange(), state, 0.0, sequence=1, services=(demand,)
         )
         state.accounts["engine"].most = most
@@ -269,33 +294,34 @@
 
 
 def test_router_that_hears_nobody_does_not_take_the_whole_budget():
-    # A router is cut off from the others while a service fails. Each of them
-    # sends its part of the second sends; had this one taken the whole, the
-    # failing service would get a multiple of its allowance.
-    kept = budget.RetryBudget(ratio=0.2, extra=56, window=10)
-    budget.record_routers(kept, 7)
-    budget.record_routers(kept, 1)
-    taken = sum(budget.take_retry(kept, 1.0) for _ in range(100))
+    # Guards against a partitioned router that uses the retry allowance of all
+    # routers while a service fails. As the others use their parts, the failing
+    # service would get a multiple of its allowance.
+    retry_budget = budget.RetryBudget(ratio=0.2, extra=56, window=10)
+    budget.record_routers(retry_budget, 7)
+    budget.record_routers(retry_budget, 1)
+    taken = sum(budget.take_retry(retry_budget, 1.0) for _ in range(100))
     assert taken <= 56 / 7
-    alone = budget.RetryBudget(ratio=0.2, extra=56, window=10)
-    budget.record_routers(alone, 1)
-    taken = sum(budget.take_retry(alone, 1.0) for _ in range(100))
+    isolated_budget = budget.RetryBudget(ratio=0.2, extra=56, window=10)
+    budget.record_routers(isolated_budget, 1)
+    taken = sum(budget.take_retry(isolated_budget, 1.0) for _ in range(100))
     assert taken <= 56 / 4
 
 
 def test_router_that_was_replaced_is_forgotten():
-    # VMs are replaced all day. A router that kept a link to each would run
-    # out of descriptors after some months.
-    state, told = fakes.create_state(), fakes.create_exchange()
-    tell(told, state, 0.0, sequence=1)
-    exchange.build_load_message(told, state, peers.FORGET_AFTER)
-    assert "front-2" not in fakes.list_addresses(told)
+    # Guards against a router that keeps a link to every VM that was replaced.
+    # It would run out of file descriptors after some months.
+    state, load_exchange = fakes.create_state(), fakes.create_exchange()
+    deliver_load(load_exchange, state, 0.0, sequence=1)
+    exchange.build_load_message(load_exchange, state, peers.FORGET_AFTER)
+    assert "front-2" not in fakes.list_addresses(load_exchange)
 
 
 def test_flood_of_a_team_does_not_stand_in_its_own_way():
-    # Two teams flood one router. One of them gets a third of what the other
-    # gets: its requests are sent after half a second, if at all. Cause: only
-    # its oldest requests were looked at, which can't be on time any more.
+    # Guards against a dispatch pass that tries only the oldest requests of a
+    # team, which can't be on time any more. If two teams flood one router, one
+    # of them gets a third of the other's service, as its requests are sent
+    # after half a second, if at all.
     state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
     engine = state.table.by_name["e1"]
     engine.own.running, engine.own.unread = 3, 30_000
--- a/sycamorefall/direct/tests/test_urgency.py
+++ b/sycamorefall/direct/tests/test_urgency.py
@@ -1,4 +1,4 @@
-"""Urgent and patient requests that share engines."""
+"""Tests of requests with short and long target latencies on the same engine."""
 
 import dataclasses
 
@@ -16,7 +16,7 @@
 
 
 def create_state(patient_target=1.2):
-    """Creates a router of one engine whose two kinds of stream differ."""
+    """Creates a router with one engine and two routes of different targets."""
     state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
     routes = state.catalog.routes[fakes.HOST]
     slow = dataclasses.replace(
@@ -28,46 +28,47 @@
     return state
 
 
-def fill(state, seconds):
-    """Gives the engine prompts of other routers to read."""
+def queue_prefill(state, seconds):
+    """Sets the prefill queue that other routers have at the engine."""
     engine = state.table.by_name["e1"]
     engine.others.unread = int(seconds * engine.prefill_rate)
 
 
 def test_patient_requests_leave_urgent_ones_room_in_the_queue():
-    # Short questions that may take 1.2 s fill each engine's queue with 1 s of
-    # reading. Long reports due in 0.5 s then fit nowhere and are refused, all
-    # through a burst, though engines do nothing that is more urgent.
+    # Guards against patient requests that fill the prefill queues. If requests
+    # due in 1.2 s queue 1 s of prefill at each engine, long prompts due in
+    # 0.5 s are refused during the whole burst, though no work is more urgent.
     state = create_state()
     _, sent = fakes.submit_request(state, 0.0, URGENT, tokens=100)
     assert sent is not None
-    fill(state, 0.5 * eligibility.QUEUE_SHARE + 0.02)
+    queue_prefill(state, 0.5 * eligibility.QUEUE_SHARE + 0.02)
     assert fakes.submit_request(state, 0.1, PATIENT, tokens=100)[1] is None
     assert fakes.submit_request(state, 0.1, URGENT, tokens=100)[1] is None, (
-        "it waits behind the first until the next look"
+        "the request waits behind the first one until the next dispatch pass"
     )
     (sent,) = fakes.list_sends(core.run_timers(state, 0.12))
     assert sent.request == 3
 
 
 def test_patient_request_is_sent_once_the_queue_is_short():
-    # Holding requests back must not leave an engine idle while they wait.
+    # Guards against a queue limit that leaves an engine idle while patient
+    # requests wait.
     state = create_state()
     fakes.submit_request(state, 0.0, URGENT, tokens=100)
-    fill(state, 0.4)
+    queue_prefill(state, 0.4)
     number, sent = fakes.submit_request(state, 0.1, PATIENT, tokens=100)
     assert sent is None
-    fill(state, 0.5 * eligibility.QUEUE_SHARE - 0.05)
+    queue_prefill(state, 0.5 * eligibility.QUEUE_SHARE - 0.05)
     (sent,) = fakes.list_sends(core.run_timers(state, 0.12))
     assert sent.request == number
 
 
 def test_patient_request_becomes_urgent_as_its_time_runs_out():
-    # A patient request waits for a short queue all its time and is refused,
-    # though an engine could have answered it by then.
+    # Guards against a patient request that waits for a short queue until it is
+    # refused, although an engine could have served it in time.
     state = create_state()
     fakes.submit_request(state, 0.0, URGENT, tokens=100)
-    fill(state, 0.3)
+    queue_prefill(state, 0.3)
     number, sent = fakes.submit_request(state, 0.0, PATIENT, tokens=100)
     assert sent is None
     assert core.run_timers(state, 0.6) == []
@@ -76,11 +77,11 @@
 
 
 def test_urgent_request_of_a_team_with_many_patient_ones_is_sent():
-    # The same from the caller's side: the urgent request came between the
-    # patient ones, and is neither the oldest nor one of the newest.
+    # Guards against an urgent request that is not tried since it arrived among
+    # patient ones and is neither the oldest nor one of the newest.
     state = create_state()
     fakes.submit_request(state, 0.0, URGENT, tokens=100)
-    fill(state, 0.3)
+    queue_prefill(state, 0.3)
     for _ in range(8):
         fakes.submit_request(state, 0.1, PATIENT, tokens=100)
     urgent, _ = fakes.submit_request(state, 0.1, URGENT, tokens=100)
@@ -91,29 +92,34 @@
 
 
 def test_routes_that_nobody_calls_reserve_nothing():
-    # Operators publish a route with a target of 20 ms that nobody uses yet.
-    # If it bounded the queues, engines would stand half empty for it.
+    # Guards against a published route without traffic that limits the queues.
+    # A target of 20 ms would leave engines half empty.
     state = create_state()
     fakes.submit_request(state, 0.0, URGENT, tokens=100)
     later = latency_targets.TARGET_RETENTION + 1.0
     freshness_module.record_proof(state.freshness, later)
-    fill(state, 0.6)
+    queue_prefill(state, 0.6)
     assert (
         fakes.submit_request(state, later, PATIENT, tokens=100)[1] is not None
     )
 
 
 def test_urgent_request_is_not_hidden_behind_patient_ones():
-    # A team has dozens of patient requests waiting. One pass looks at three
-    # of them, none of which can go, and its urgent ones are refused unseen.
-    room = fair_queue.ServiceQueue()
+    # Guards against a dispatch pass that tries only patient requests. A team
+    # has dozens of them, and a pass tries three. If none of these can be sent,
+    # the team's urgent requests are refused without having been tried.
+    service_queue = fair_queue.ServiceQueue()
     for number in range(40):
-        fair_queue.add_request(room, "mill", number, 1.2)
+        fair_queue.add_request(service_queue, "mill", number, 1.2)
         if number == 20:
-            fair_queue.add_request(room, "mill", 100, 0.6)
-    assert next(fair_queue.list_candidates(room, "mill")) == 100
-    fair_queue.remove_request(room, "mill", 100)
-    assert list(fair_queue.list_candidates(room, "mill")) == [0, 39, 38]
+            fair_queue.add_request(service_queue, "mill", 100, 0.6)
+    assert next(fair_queue.list_candidates(service_queue, "mill")) == 100
+    fair_queue.remove_request(service_queue, "mill", 100)
+    assert list(fair_queue.list_candidates(service_queue, "mill")) == [
+        0,
+        39,
+        38,
+    ]
     for number in range(40):
-        fair_queue.remove_request(room, "mill", number)
-    assert not room.by_team
+        fair_queue.remove_request(service_queue, "mill", number)
+    assert not service_queue.by_team
