--- a/sycamorefall/direct/eligibility.py
+++ b/sycamorefall/direct/eligibility.py
@@ -72,7 +72,8 @@
 class Obstacle(enum.Enum):
     """Why an upstream can't take a request now.
 
-    UNUSABLE: The upstream is leaving or suspended, or was already tried.
+    UNUSABLE: The upstream is leaving, suspended or in a retry delay, or was
+        already tried.
     READS_AGAIN: Too many shared tokens that other engines hold would be
         computed again.
     SLOTS: All slots of the upstream are occupied.
