--- a/sycamorefall/direct/exchange.py
+++ b/sycamorefall/direct/exchange.py
@@ -1,15 +1,17 @@
-"""Loads and team accounts that routers tell each other.
-
-Engines take whatever they are sent. A router that knew only its own requests
-would find room where the others' requests already are, and would serve its own
-teams while another router's teams wait. So each router tells the others, a few
-times a second, what it has at each upstream, what it gave each team, and how
-little the least served team got whose request waits with it for an upstream.
-
-Only the routers of a failure domain tell each other of themselves. Two of them,
-its delegates, add up what they hear, tell it to the delegates of the other
-failure domains, and tell their own what these told. So what a router hears
-grows with the routers of one failure domain, and little crosses between them.
+"""Exchange of load and team usage between routers.
+
+Engines accept every request that they are sent. A router that knew only its own
+requests would overload engines that other routers use, and would serve its own
+teams ahead of less served teams that wait at other routers. Each router
+therefore reports several times a second: its load at each upstream, the service
+that each team received, and the floor of each upstream, which is the service
+received by the least served team that waits for the upstream.
+
+Routers report their own load only within their failure domain. Two routers of
+each domain, its delegates, sum up the loads of the domain, send the sum to the
+delegates of the other domains, and forward the sum of the other domains to
+their own. The messages that a router receives thus grow with the size of one
+failure domain, and little traffic crosses between domains.
 """
 
 __all__ = [
@@ -52,95 +54,112 @@
 from sycamorefall.direct import totals as totals_module
 from sycamorefall.messages import LoadScope
 
-INTERVAL = 0.15
-"""Seconds between two whole messages to each peer while requests run: about
+FULL_UPDATE_INTERVAL = 0.15
+"""Seconds between two full updates to each receiver while requests run: about
 half of the shortest target latency."""
 
 IDLE_INTERVAL = 1.0
-"""Seconds between two messages while nothing runs: enough to be known."""
+"""Seconds between two messages of an idle router, so that peers count it as
+live."""
 
-WHOLE_PACE = 0.0125
-"""Seconds between two whole messages for each router that is heard, up to
-`IDLE_INTERVAL`: all together then reach a router 80 times a second, or once a
-second each where there are more of them. Taking one over takes 0.11 ms with
-27 other routers, 26 upstreams and 30 teams."""
+FULL_UPDATE_SPACING = 0.0125
+"""Seconds between two full updates, multiplied by the number of sources that
+this router receives; at most `IDLE_INTERVAL`. A router then receives at most 80
+full updates a second, or one a second per source if there are more sources.
+Applying one takes 0.11 ms with 27 other routers, 26 upstreams and 30 teams."""
 
-FAR_PACE = 0.04
-"""Seconds of the same for each delegate of another failure domain: bytes
-between failure domains are paid for, and large sends are told at once."""
+REMOTE_UPDATE_SPACING = 0.04
+"""Seconds between two full updates to other failure domains, multiplied by the
+number of their delegates. Longer than `FULL_UPDATE_SPACING` because traffic
+between failure domains is billed, and deltas report large prompts in time."""
 
 ELSEWHERE_INTERVAL = 0.2
-"""Seconds between two whole messages about the other failure domains."""
+"""Seconds between two full updates about the other failure domains."""
 
-CHANGE_PACE = 0.004
-"""Seconds between two messages for each router that is heard, when they are
-told at once: all together then reach a router 250 times a second at most.
-Taking one over takes 0.012 ms with three upstreams, so 0.3% of its time."""
+DELTA_SPACING = 0.004
+"""Minimum seconds between two messages, if a delta is sent ahead of the next
+full update. Multiplied by the number of sources that this router receives, or,
+for sums that it sends as a delegate, by the number of receivers. A router then
+receives at most 250 messages a second. Applying one takes 0.012 ms with three
+upstreams, so at most 0.3% of the router's time."""
 
 MAX_PROMPTS_PER_SECOND = 110.0
-"""Messages in a second that tell of one prompt each, to all the others and
-from all of them: at 16 to 25 bytes each 2 to 3 KB/s in and out, of the 7 KB/s
-that control may take. Of five routers each may tell 27 a second. On a full day
-one sent 48 long prompts or more in one of 20 such seconds, 70 at most; of
-those only the part with the most news is told."""
+"""Prompts that a router reports per second, counted once for each receiver. At
+16 to 25 bytes each, this is 2 to 3 KB/s sent and as much received, out of the
+7 KB/s allowed for control traffic. Each of five routers may report 27 prompts a
+second. On a day at full load, one of the five sent 48 or more long prompts in
+one of 20 seconds, and never more than 70. Above the limit, only the prompts
+with the most newly cached tokens are reported."""
 
-SETTLE_TIME = 1.2
-"""Seconds after its start in which a router hears all that live: they say
-something each second."""
+DISCOVERY_TIME = 1.2
+"""Seconds after its start within which a router has heard from every live
+router: idle routers send a message each second."""
 
-REFERRAL_PAUSE = 1.0
-"""Seconds after which a router is told again whom it is to speak to."""
+REFERRAL_INTERVAL = 1.0
+"""Minimum seconds between two referrals to the same router."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class OutboundMessage:
-    """A message, and who is to get it."""
+    """A message to be sent.
+
+    Attributes:
+        receivers: VM names of the receivers, or addresses of seeds whose VM
+            name is unknown.
+        message: The message.
+    """
 
     receivers: tuple[str, ...]
     message: messages.Message
 
 
 @dataclasses.dataclass(slots=True)
-class Role:
-    """What this router does for others, as it was last worked out.
+class DelegateRole:
+    """Duties of this router as a delegate, as last computed.
 
     Attributes:
-        part: Which part of its failure domain's load it tells the others, as
-            a delegate; None if it isn't one.
-        parts: In how many it is told.
-        covers: The other routers whose load is in that part.
-        far: Delegates of the other failure domains.
-        near: Routers that it tells of the other failure domains.
+        part: Index of the part of its failure domain's load that this router
+            reports; None if it isn't a delegate.
+        parts: Number of parts in which the domain's load is reported.
+        covered_routers: Other routers whose load is included in this part.
+        remote_delegates: Delegates of the other failure domains, which receive
+            the part.
+        local_receivers: Routers of this domain that receive the load of the
+            other failure domains from this router.
     """
 
     part: int | None = None
     parts: int = 1
-    covers: tuple[str, ...] = ()
-    far: tuple[str, ...] = ()
-    near: tuple[str, ...] = ()
+    covered_routers: tuple[str, ...] = ()
+    remote_delegates: tuple[str, ...] = ()
+    local_receivers: tuple[str, ...] = ()
 
 
 @dataclasses.dataclass(slots=True)
 class Exchange:
-    """What a router tells others and knows of them.
+    """A router's knowledge of the other routers, and its reports to them.
 
     Attributes:
-        vm: This router.
-        control: Where its control messages go.
-        seeds: Addresses to begin with.
-        capacity: Tenths of a processor core that it has.
-        started_at: When its process started.
+        vm: VM name of this router.
+        control: Address at which this router receives control messages.
+        seeds: Control addresses of the routers that are contacted first.
+        capacity: Processor capacity of this router in tenths of a core.
+        started_at: When this process started.
         peers: Other routers by VM name.
-        totals: What all of them have together.
-        role: What this router does for others.
-        sequence: Number of the last message.
-        own: What was told of this router.
-        domain: What was told of its failure domain, as a delegate.
-        elsewhere: What was told of the others, as a delegate.
-        unread_near: Prompt tokens that covered routers sent to be read.
-        unread_far: The same of other failure domains.
-        prompts_left: Prompts that may be told at once.
-        prompts_at: When that was last brought up to date.
+        totals: Sums of the load and team usage of all other routers.
+        role: Duties of this router as a delegate.
+        sequence: Sequence number of the last message sent.
+        own: Receivers of this router's own load.
+        domain: Receivers of the load of its failure domain, if this router is
+            a delegate.
+        elsewhere: Receivers of the load of the other failure domains, if this
+            router is a delegate.
+        unread_covered: Total increase so far of the unread prompt tokens that
+            covered routers reported.
+        unread_remote: The same for the other failure domains.
+        prompt_budget: Prompts that could be reported when the budget was last
+            updated.
+        budget_updated_at: When `prompt_budget` was last updated.
     """
 
     vm: str
@@ -154,7 +173,7 @@
     totals: totals_module.Totals = dataclasses.field(
         default_factory=totals_module.Totals
     )
-    role: Role = dataclasses.field(default_factory=Role)
+    role: DelegateRole = dataclasses.field(default_factory=DelegateRole)
     sequence: int = 0
     own: receiver_groups.ReceiverGroup = dataclasses.field(
         default_factory=receiver_groups.ReceiverGroup
@@ -165,65 +184,74 @@
     elsewhere: receiver_groups.ReceiverGroup = dataclasses.field(
         default_factory=receiver_groups.ReceiverGroup
     )
-    unread_near: int = 0
-    unread_far: int = 0
-    prompts_left: float = 0.0
-    prompts_at: float = float("-inf")
+    unread_covered: int = 0
+    unread_remote: int = 0
+    prompt_budget: float = 0.0
+    budget_updated_at: float = float("-inf")
 
 
 def find_next_due(exchange: Exchange, state: state_module.DirectState) -> float:
-    """Tells when the next message is to be sent."""
+    """Computes when the next message of any scope is due."""
     return min(
-        _find_own_due(exchange, state),
-        _find_domain_due(exchange, state),
-        _find_elsewhere_due(exchange),
+        _compute_own_due(exchange, state),
+        _compute_domain_due(exchange, state),
+        _compute_elsewhere_due(exchange),
     )
 
 
-def _find_own_due(exchange: Exchange, state: state_module.DirectState) -> float:
-    pace = CHANGE_PACE * (1 + len(exchange.totals.sources))
-    return receiver_groups.find_due(exchange.own, state.total_unread_sent, pace)
+def _compute_own_due(
+    exchange: Exchange, state: state_module.DirectState
+) -> float:
+    spacing = DELTA_SPACING * (1 + len(exchange.totals.sources))
+    return receiver_groups.compute_next_due(
+        exchange.own, state.total_unread_sent, spacing
+    )
 
 
-def _find_domain_due(
+def _compute_domain_due(
     exchange: Exchange, state: state_module.DirectState
 ) -> float:
-    if not exchange.role.far:
+    if not exchange.role.remote_delegates:
         return float("inf")
-    unread = state.total_unread_sent + exchange.unread_near
-    pace = CHANGE_PACE * len(exchange.role.far)
-    return receiver_groups.find_due(exchange.domain, unread, pace)
+    unread = state.total_unread_sent + exchange.unread_covered
+    spacing = DELTA_SPACING * len(exchange.role.remote_delegates)
+    return receiver_groups.compute_next_due(exchange.domain, unread, spacing)
 
 
-def _find_elsewhere_due(exchange: Exchange) -> float:
-    if not exchange.role.near:
+def _compute_elsewhere_due(exchange: Exchange) -> float:
+    if not exchange.role.local_receivers:
         return float("inf")
-    pace = CHANGE_PACE * len(exchange.role.near)
-    return receiver_groups.find_due(
-        exchange.elsewhere, exchange.unread_far, pace
+    spacing = DELTA_SPACING * len(exchange.role.local_receivers)
+    return receiver_groups.compute_next_due(
+        exchange.elsewhere, exchange.unread_remote, spacing
     )
 
 
 def list_addresses(exchange: Exchange) -> set[str]:
-    """Lists the routers that messages may go to.
+    """Lists the routers that may be sent messages.
 
-    A seed that nobody has been heard at stands under its address.
+    Returns:
+        VM names of the known routers, and the addresses of seeds at which no
+        router is known.
     """
-    return exchange.peers.keys() | set(_list_strangers(exchange))
+    return exchange.peers.keys() | set(_list_unheard_seeds(exchange))
 
 
-def _list_strangers(exchange: Exchange) -> list[str]:
+def _list_unheard_seeds(exchange: Exchange) -> list[str]:
     known = {peer.control for peer in exchange.peers.values()}
     known.add(exchange.control)
     return [seed for seed in exchange.seeds if seed not in known]
 
 
 def find_address(exchange: Exchange, name: str) -> str | None:
-    """Finds where a router takes control messages.
+    """Looks up the control address of a router.
 
     Args:
-        exchange: What is known of the others.
-        name: Its VM name, or its address where that is all that is known.
+        exchange: The exchange of this router.
+        name: VM name of the router, or the address of a seed.
+
+    Returns:
+        The address as `IP:port`; None if the router is unknown.
     """
     peer = exchange.peers.get(name)
     if peer is not None:
@@ -234,10 +262,11 @@
 def classify_domain(
     exchange: Exchange, state: state_module.DirectState, name: str
 ) -> str:
-    """Tells where a router stands, seen from this one.
+    """Compares the failure domain of a router with that of this router.
 
     Returns:
-        `own` or `other` failure domain; `unknown` of one never heard.
+        `own` if they are the same, `other` if not, and `unknown` if the
+        router's failure domain isn't known.
     """
     peer = exchange.peers.get(name)
     if peer is None or not peer.failure_domain:
@@ -249,43 +278,43 @@
 def record_address(
     exchange: Exchange, now: float, sender: str, control: str
 ) -> None:
-    """Takes note of where a router is that asks something."""
+    """Records the control address of a router that sent a request."""
     exchange.peers.setdefault(sender, peers_module.Peer(control, now))
 
 
 def record_known_routers(
     exchange: Exchange, now: float, routers: Iterable[messages.RouterAddress]
 ) -> None:
-    """Takes note of routers that another one named."""
+    """Records routers that another router named."""
     peers_module.record_known_routers(exchange.peers, now, exchange.vm, routers)
 
 
 def apply_totals_to_listing(
     exchange: Exchange, state: state_module.DirectState, names: Set[str]
 ) -> None:
-    """Takes note of what the others have at upstreams that are new here.
+    """Applies the other routers' load to newly listed upstreams.
 
-    Guards against an upstream that is listed here later than elsewhere: it
-    would count as empty until a router tells of it again.
+    An upstream may be listed here later than at other routers. It would count
+    as idle until another router reports its load there again.
     """
-    totals_module.note_totals(exchange.totals, state, names, teams=False)
+    totals_module.apply_totals(exchange.totals, state, names, teams=False)
 
 
 def record_unreadable_sender(
     exchange: Exchange, now: float, envelope: messages.Envelope
 ) -> None:
-    """Takes note of where a router is whose message could not be read.
+    """Records the address of a router whose message could not be decoded.
 
-    Guards against a router that is never heard: names are defined once on
-    each link. If that message is lost, the others can't be read, their sender
-    stands in no list, and so nobody asks it for the names. After a power loss
-    of all VMs, half of the routers counted themselves alone to the end of the
-    day, and filled engines that were full.
+    Each link transmits the definition of a name only once. If the message with
+    the definitions is lost, later messages can't be decoded. Without this
+    record, their sender would stay unknown and would never be asked for the
+    definitions. After a power loss of all VMs, half of the routers believed for
+    the rest of the day that they were alone, and overloaded the engines.
 
     Args:
-        exchange: What is known of the others; changed.
+        exchange: The exchange of this router; changed.
         now: This process's time.
-        envelope: The message as it came.
+        envelope: The message, with names that are not resolved.
     """
     load = envelope.message
     if isinstance(load, messages.RouterLoad) and load.whole:
@@ -293,7 +322,10 @@
 
 
 def is_available(state: state_module.DirectState, now: float) -> bool:
-    """Tells whether this router may do work for others."""
+    """Tells whether this router can be a delegate or a reader.
+
+    A router that is stopping or overloaded can't.
+    """
     stopping = state.stop.since is not None
     return not stopping and not overload.is_overloaded(state.overload, now)
 
@@ -301,10 +333,10 @@
 def rank_routers(
     exchange: Exchange, state: state_module.DirectState, now: float
 ) -> dict[str, list[str]]:
-    """Ranks the routers that may do work for others, this one among them.
+    """Ranks the routers that can be delegates or readers, this one included.
 
     Returns:
-        VM names by failure domain, the first choice first.
+        VM names by failure domain, in order of preference.
     """
     domains = {peer.failure_domain for peer in exchange.peers.values()}
     return {
@@ -332,65 +364,74 @@
     now: float,
     envelope: messages.Envelope,
 ) -> OutboundMessage | None:
-    """Takes over what another router tells.
+    """Applies a load report of another router.
 
     Args:
-        exchange: What is known of the others; changed.
-        state: The router's decisions; changed.
+        exchange: The exchange of this router; changed.
+        state: The router's state; changed.
         now: This process's time.
         envelope: A `RouterLoad` and its sender.
 
     Returns:
-        Whom the sender is to speak to, if that has to be told.
+        A referral of the sender to the routers that it should report to, if it
+        needs one.
     """
     load: messages.RouterLoad = envelope.message
     if envelope.sender == exchange.vm:
         return None
-    before = exchange.peers.get(envelope.sender)
-    is_new = before is None or not peers_module.is_heard(before, now)
-    peer = peers_module.note_heard(exchange.peers, now, envelope)
+    previous = exchange.peers.get(envelope.sender)
+    is_new = previous is None or not peers_module.is_live(previous, now)
+    peer = peers_module.record_load(exchange.peers, now, envelope)
     if peer is None:
         return None
     record_known_routers(exchange, now, load.routers)
     match load.scope:
         case LoadScope.ROUTER:
             key = (LoadScope.ROUTER, envelope.sender, 0)
-            wanted = peer.failure_domain in ("", state.failure_domain)
+            is_counted = peer.failure_domain in ("", state.failure_domain)
         case LoadScope.DOMAIN:
             is_new = not peers_module.is_delegate(peer, now)
-            peer.spoke_at = now
+            peer.delegate_heard_at = now
             key = (LoadScope.DOMAIN, peer.failure_domain, load.part)
-            wanted = exchange.role.part is not None
+            is_counted = exchange.role.part is not None
         case LoadScope.ELSEWHERE:
             key = totals_module.ELSEWHERE
-            wanted = not _hears_domains(exchange)
-    if wanted:
-        _take_report(exchange, state, now, key, envelope)
-    # One that has just come, or begins to speak, is to know the others.
-    if is_new or not wanted:
-        return _refer(exchange, state, now, envelope.sender)
+            is_counted = not _receives_domain_loads(exchange)
+    if is_counted:
+        _apply_report(exchange, state, now, key, envelope)
+    # A router that has just appeared or become a delegate needs to know the
+    # others.
+    if is_new or not is_counted:
+        return _build_referral(exchange, state, now, envelope.sender)
     return None
 
 
-def _hears_domains(exchange: Exchange) -> bool:
-    """Tells whether a delegate hears the other failure domains itself."""
+def _receives_domain_loads(exchange: Exchange) -> bool:
+    """Tells whether this router is a delegate that receives domain loads."""
     scope = LoadScope.DOMAIN
-    heard = totals_module.list_keys(exchange.totals, scope)
-    return exchange.role.part is not None and bool(heard)
+    keys = totals_module.list_source_keys(exchange.totals, scope)
+    return exchange.role.part is not None and bool(keys)
 
 
-def _refer(
+def _build_referral(
     exchange: Exchange,
     state: state_module.DirectState,
     now: float,
     sender: str,
 ) -> OutboundMessage | None:
-    """Tells a router whom to speak to, once in a while."""
+    """Builds a message that names the routers that a router should report to.
+
+    Returns:
+        The message; None if the router got one less than `REFERRAL_INTERVAL`
+        ago.
+    """
     peer = exchange.peers[sender]
-    if now - peer.told_at < REFERRAL_PAUSE:
+    if now - peer.referred_at < REFERRAL_INTERVAL:
         return None
-    peer.told_at = now
-    known = peers_module.list_heard(exchange.peers, now, peer.failure_domain)
+    peer.referred_at = now
+    known = peers_module.list_live_routers(
+        exchange.peers, now, peer.failure_domain
+    )
     own = messages.RouterAddress(
         exchange.vm, exchange.control, state.failure_domain
     )
@@ -404,50 +445,53 @@
     return OutboundMessage((sender,), messages.KnownRouters(named))
 
 
-def _take_report(
+def _apply_report(
     exchange: Exchange,
     state: state_module.DirectState,
     now: float,
-    key: totals_module.Key,
+    key: totals_module.SourceKey,
     envelope: messages.Envelope,
 ) -> None:
-    """Takes over a load that this router is to count."""
+    """Applies a load to the totals, the upstreams and the pending reports."""
     load: messages.RouterLoad = envelope.message
     totals = exchange.totals
     unread = _count_unread(totals, key)
-    changed = totals_module.take_report(totals, key, now, envelope)
+    changed = totals_module.apply_report(totals, key, now, envelope)
     if changed is None:
         return
-    rivals = _list_rivals(totals, key)
-    if rivals:
-        totals_module.drop_sources(totals, rivals)
+    superseded = _list_superseded(totals, key)
+    if superseded:
+        totals_module.drop_sources(totals, superseded)
         changed = state.table.by_name.keys()
-    totals_module.note_totals(totals, state, changed, load.whole)
-    _take_prompts(state, load)
-    grown = max(0, _count_unread(totals, key) - unread)
+    totals_module.apply_totals(totals, state, changed, load.whole)
+    _apply_prompts(state, load)
+    increase = max(0, _count_unread(totals, key) - unread)
     if load.scope is LoadScope.ROUTER:
-        if envelope.sender in exchange.role.covers:
-            exchange.unread_near += grown
+        if envelope.sender in exchange.role.covered_routers:
+            exchange.unread_covered += increase
             receiver_groups.queue_prompts(exchange.domain, load.prompts)
     elif load.scope is LoadScope.DOMAIN:
-        exchange.unread_far += grown
+        exchange.unread_remote += increase
         receiver_groups.queue_prompts(exchange.elsewhere, load.prompts)
 
 
-def _count_unread(totals: totals_module.Totals, key: totals_module.Key) -> int:
+def _count_unread(
+    totals: totals_module.Totals, key: totals_module.SourceKey
+) -> int:
     source = totals.sources.get(key)
     if source is None:
         return 0
     return sum(load.unread for load in source.loads.values())
 
 
-def _list_rivals(
-    totals: totals_module.Totals, key: totals_module.Key
-) -> list[totals_module.Key]:
-    """Lists the loads that another one contains.
+def _list_superseded(
+    totals: totals_module.Totals, key: totals_module.SourceKey
+) -> list[totals_module.SourceKey]:
+    """Lists sources whose load the source with the given key includes.
 
-    A failure domain is told of in one way at a time: in so many parts as its
-    newest message says, and either by its delegates or by this router's own.
+    The load of a failure domain must be counted once. It is reported in as
+    many parts as the newest message says, and comes either from the domain's
+    delegates or, summed up with other domains, from this domain's delegates.
     """
     scope, domain, _ = key
     if scope is LoadScope.ROUTER:
@@ -465,10 +509,10 @@
     ]
 
 
-def _take_prompts(
+def _apply_prompts(
     state: state_module.DirectState, load: messages.RouterLoad
 ) -> None:
-    """Takes over what engines hold by what another router sent them."""
+    """Records prompts that another router sent as cached by the engines."""
     for prompt in load.prompts:
         upstream = state.table.by_name.get(prompt.upstream)
         if upstream is None or state.catalog is None:
@@ -482,107 +526,112 @@
 def build_due_messages(
     exchange: Exchange, state: state_module.DirectState, now: float
 ) -> list[OutboundMessage]:
-    """Writes the messages that are due.
+    """Builds the messages that are due.
 
     Args:
-        exchange: What is known of the others; changed.
-        state: The router's decisions; changed.
+        exchange: The exchange of this router; changed.
+        state: The router's state; changed.
         now: This process's time.
 
     Returns:
-        The messages and who is to get each.
+        The messages with their receivers.
     """
-    reports = []
-    if now >= _find_own_due(exchange, state):
+    outbound = []
+    if now >= _compute_own_due(exchange, state):
         message = build_load_message(exchange, state, now)
-        reports.append(
+        outbound.append(
             OutboundMessage(list_local_receivers(exchange, state), message)
         )
-    if now >= _find_domain_due(exchange, state):
-        message = _write_domain(exchange, state, now)
-        reports.append(OutboundMessage(exchange.role.far, message))
-    if now >= _find_elsewhere_due(exchange):
-        message = _write_elsewhere(exchange, state, now)
-        reports.append(OutboundMessage(exchange.role.near, message))
-    return reports
+    if now >= _compute_domain_due(exchange, state):
+        message = _build_domain_load(exchange, state, now)
+        outbound.append(
+            OutboundMessage(exchange.role.remote_delegates, message)
+        )
+    if now >= _compute_elsewhere_due(exchange):
+        message = _build_elsewhere_load(exchange, state, now)
+        outbound.append(OutboundMessage(exchange.role.local_receivers, message))
+    return outbound
 
 
 def list_local_receivers(
     exchange: Exchange, state: state_module.DirectState
 ) -> tuple[str, ...]:
-    """Lists who is told of this router: its failure domain, and strangers."""
-    near = ("", state.failure_domain)
+    """Lists the receivers of this router's own load.
+
+    Returns:
+        VM names of the routers in its failure domain or in an unknown one, and
+        the addresses of seeds at which no router is known.
+    """
+    domains = ("", state.failure_domain)
     known = [
         name
         for name, peer in exchange.peers.items()
-        if peer.failure_domain in near
+        if peer.failure_domain in domains
     ]
-    return (*known, *_list_strangers(exchange))
+    return (*known, *_list_unheard_seeds(exchange))
 
 
 def build_load_message(
     exchange: Exchange, state: state_module.DirectState, now: float
 ) -> messages.RouterLoad:
-    """Writes the next message about this router.
+    """Builds the next report of this router's own load.
 
     Args:
-        exchange: What is known of the others; changed.
-        state: The router's decisions; changed.
+        exchange: The exchange of this router; changed.
+        state: The router's state; changed.
         now: This process's time.
 
     Returns:
-        The message.
+        A full update if one is due, otherwise a delta.
     """
-    outlet = exchange.own
-    whole = now >= outlet.due
-    receiver_groups.queue_prompts(outlet, _choose_prompts(exchange, state, now))
-    prompts = receiver_groups.begin_message(
-        outlet, now, state.total_unread_sent
-    )
+    group = exchange.own
+    whole = now >= group.due
+    receiver_groups.queue_prompts(group, _choose_prompts(exchange, state, now))
+    prompts = receiver_groups.start_message(group, now, state.total_unread_sent)
     receiver_groups.queue_prompts(exchange.domain, prompts)
     if not whole:
-        loads = own_load_module.describe_loads(state, outlet.told)
-        return _write_change(exchange, outlet, loads, prompts)
-    outlet.whole_sent += 1
-    outlet.due = now + _choose_pause(exchange, state)
-    _refresh(exchange, state, now)
+        loads = own_load_module.build_loads(state, group.sent_loads)
+        return _build_delta(exchange, group, loads, prompts)
+    group.full_update_count += 1
+    group.due = now + _compute_update_interval(exchange, state)
+    _update_membership(exchange, state, now)
     floors = service_floors.compute_floors(state, now)
     short = service_floors.compute_floors(state, now, short=True)
-    outlet.told = {
-        name: own_load_module.describe_load(
+    group.sent_loads = {
+        name: own_load_module.build_load(
             state, name, floors.get(name, -1), short.get(name, -1)
         )
         for name, one in state.table.by_name.items()
         if one.own.running or name in floors
     }
-    return _write_whole(
+    return _build_full_update(
         exchange,
         state,
         now,
-        routers=_name_routers(exchange, outlet, now, state.failure_domain),
-        upstreams=tuple(outlet.told.values()),
-        services=own_load_module.list_own_services(state, now),
+        routers=_list_known_routers(exchange, group, now, state.failure_domain),
+        upstreams=tuple(group.sent_loads.values()),
+        services=own_load_module.collect_own_services(state, now),
         prompts=prompts,
     )
 
 
-def _name_routers(
+def _list_known_routers(
     exchange: Exchange,
-    outlet: receiver_groups.ReceiverGroup,
+    group: receiver_groups.ReceiverGroup,
     now: float,
     domain: str,
 ) -> tuple[messages.RouterAddress, ...]:
-    """Lists the routers that a whole message names.
+    """Lists the routers that a full update names.
 
-    Only one in seven has them: one a second while requests run, one in seven
-    seconds while nothing does.
+    Only one of seven full updates names them: one a second while requests run,
+    one in seven seconds while the router is idle.
     """
-    if outlet.whole_sent % round(IDLE_INTERVAL / INTERVAL):
+    if group.full_update_count % round(IDLE_INTERVAL / FULL_UPDATE_INTERVAL):
         return ()
-    return peers_module.list_heard(exchange.peers, now, domain)
+    return peers_module.list_live_routers(exchange.peers, now, domain)
 
 
-def _write_whole(
+def _build_full_update(
     exchange: Exchange,
     state: state_module.DirectState,
     now: float,
@@ -599,93 +648,99 @@
     )
 
 
-def _write_change(
+def _build_delta(
     exchange: Exchange,
-    outlet: receiver_groups.ReceiverGroup,
+    group: receiver_groups.ReceiverGroup,
     loads: dict[str, messages.UpstreamLoad],
     prompts: tuple[messages.SentPrompt, ...],
     **fields: object,
 ) -> messages.RouterLoad:
-    """Writes what changed since the last message, but for teams."""
+    """Builds a delta: the loads that changed, without team usage."""
     exchange.sequence += 1
     return messages.RouterLoad(
         exchange.sequence,
         "",
-        upstreams=receiver_groups.diff_loads(outlet, loads),
+        upstreams=receiver_groups.take_changed_loads(group, loads),
         whole=False,
         prompts=prompts,
         **fields,
     )
 
 
-def _write_domain(
+def _build_domain_load(
     exchange: Exchange, state: state_module.DirectState, now: float
 ) -> messages.RouterLoad:
-    """Writes what this router and those that it covers have together."""
-    role, outlet = exchange.role, exchange.domain
-    sources = _list_covered(exchange)
-    whole = now >= outlet.due
-    unread = state.total_unread_sent + exchange.unread_near
-    prompts = receiver_groups.begin_message(outlet, now, unread)
-    own = own_load_module.describe_loads(state, exchange.own.told)
+    """Builds a report of the summed load of this router and those it covers."""
+    role, group = exchange.role, exchange.domain
+    sources = _list_covered_sources(exchange)
+    whole = now >= group.due
+    unread = state.total_unread_sent + exchange.unread_covered
+    prompts = receiver_groups.start_message(group, now, unread)
+    own = own_load_module.build_loads(state, exchange.own.sent_loads)
     loads = totals_module.sum_loads(
         [own.values(), *(source.loads.values() for source in sources)]
     )
-    told = {
+    fields = {
         "scope": LoadScope.DOMAIN,
         "part": role.part,
         "parts": role.parts,
         "covers": 1 + len(sources),
     }
     if not whole:
-        return _write_change(exchange, outlet, loads, prompts, **told)
-    outlet.told = loads
-    outlet.whole_sent += 1
-    pause = max(INTERVAL, FAR_PACE * len(role.far))
-    outlet.due = now + min(pause if loads else IDLE_INTERVAL, IDLE_INTERVAL)
+        return _build_delta(exchange, group, loads, prompts, **fields)
+    group.sent_loads = loads
+    group.full_update_count += 1
+    update_interval = max(
+        FULL_UPDATE_INTERVAL, REMOTE_UPDATE_SPACING * len(role.remote_delegates)
+    )
+    group.due = now + min(
+        update_interval if loads else IDLE_INTERVAL, IDLE_INTERVAL
+    )
     services = totals_module.sum_services(
         [
-            own_load_module.list_own_services(state, now),
+            own_load_module.collect_own_services(state, now),
             *(totals_module.list_services(source) for source in sources),
         ]
     )
-    return _write_whole(
+    return _build_full_update(
         exchange,
         state,
         now,
-        routers=_name_routers(exchange, outlet, now, ""),
+        routers=_list_known_routers(exchange, group, now, ""),
         upstreams=tuple(loads.values()),
         services=services,
         prompts=prompts,
-        **told,
+        **fields,
     )
 
 
-def _list_covered(exchange: Exchange) -> list[totals_module.Source]:
+def _list_covered_sources(exchange: Exchange) -> list[totals_module.LoadSource]:
     sources = exchange.totals.sources
-    keys = ((LoadScope.ROUTER, name, 0) for name in exchange.role.covers)
+    keys = (
+        (LoadScope.ROUTER, name, 0) for name in exchange.role.covered_routers
+    )
     return [sources[key] for key in keys if key in sources]
 
 
-def _write_elsewhere(
+def _build_elsewhere_load(
     exchange: Exchange, state: state_module.DirectState, now: float
 ) -> messages.RouterLoad:
-    """Writes what the other failure domains have together."""
-    outlet = exchange.elsewhere
-    keys = totals_module.list_keys(exchange.totals, LoadScope.DOMAIN)
+    """Builds a report of the summed load of the other failure domains."""
+    group = exchange.elsewhere
+    keys = totals_module.list_source_keys(exchange.totals, LoadScope.DOMAIN)
     sources = [exchange.totals.sources[key] for key in keys]
-    whole = now >= outlet.due
-    prompts = receiver_groups.begin_message(outlet, now, exchange.unread_far)
+    whole = now >= group.due
+    prompts = receiver_groups.start_message(group, now, exchange.unread_remote)
     loads = totals_module.sum_loads(source.loads.values() for source in sources)
-    told = {
+    fields = {
         "scope": LoadScope.ELSEWHERE,
         "covers": sum(source.covers for source in sources),
     }
     if not whole:
-        return _write_change(exchange, outlet, loads, prompts, **told)
-    outlet.told = loads
-    outlet.due = now + (ELSEWHERE_INTERVAL if loads else IDLE_INTERVAL)
-    return _write_whole(
+        return _build_delta(exchange, group, loads, prompts, **fields)
+    group.sent_loads = loads
+    group.due = now + (ELSEWHERE_INTERVAL if loads else IDLE_INTERVAL)
+    return _build_full_update(
         exchange,
         state,
         now,
@@ -694,43 +749,45 @@
             totals_module.list_services(source) for source in sources
         ),
         prompts=prompts,
-        **told,
+        **fields,
     )
 
 
-def _refresh(
+def _update_membership(
     exchange: Exchange, state: state_module.DirectState, now: float
 ) -> None:
-    """Drops who is gone, and works out anew what is done for others."""
-    peers_module.forget_lost(exchange.peers, now)
-    if totals_module.drop_silent(exchange.totals, now):
+    """Drops routers that are gone and updates this router's role."""
+    peers_module.forget_silent_peers(exchange.peers, now)
+    if totals_module.drop_silent_sources(exchange.totals, now):
         names = state.table.by_name.keys()
-        totals_module.note_totals(exchange.totals, state, names, True)
-    exchange.role = _choose_role(exchange, state, now)
+        totals_module.apply_totals(exchange.totals, state, names, True)
+    exchange.role = _compute_role(exchange, state, now)
 
 
-def _choose_role(
+def _compute_role(
     exchange: Exchange, state: state_module.DirectState, now: float
-) -> Role:
-    """Works out what this router does for others.
+) -> DelegateRole:
+    """Computes the duties of this router as a delegate.
 
-    Guards against a process that has just started and hears nobody yet: it
-    would speak for its whole failure domain and know only its own load.
+    A process that has just started and hasn't heard from other routers yet has
+    none: it would report its own load as that of the whole failure domain.
     """
-    if now - exchange.started_at < SETTLE_TIME:
-        return Role()
+    if now - exchange.started_at < DISCOVERY_TIME:
+        return DelegateRole()
     delegates = _rank_delegates(exchange, state, now)
-    far = list_remote_delegates(exchange, state, now)
-    if exchange.vm not in delegates or not far:
-        return Role()
+    remote_delegates = list_remote_delegates(exchange, state, now)
+    if exchange.vm not in delegates or not remote_delegates:
+        return DelegateRole()
     part, parts = delegates.index(exchange.vm), len(delegates)
-    heard = totals_module.list_keys(exchange.totals, LoadScope.ROUTER)
-    covers = tuple(
+    keys = totals_module.list_source_keys(exchange.totals, LoadScope.ROUTER)
+    covered_routers = tuple(
         name
-        for _, name, _ in heard
-        if name not in delegates and find_part(name, parts) == part
+        for _, name, _ in keys
+        if name not in delegates and compute_part(name, parts) == part
+    )
+    return DelegateRole(
+        part, parts, covered_routers, remote_delegates, covered_routers
     )
-    return Role(part, parts, covers, far, covers)
 
 
 def is_delegate(
@@ -738,7 +795,7 @@
 ) -> bool:
     """Tells whether this router is a delegate of its failure domain.
 
-    If no router is available as delegate, all are.
+    If no router is available as a delegate, all of them are delegates.
     """
     delegates = _rank_delegates(exchange, state, now)
     return not delegates or exchange.vm in delegates
@@ -763,16 +820,16 @@
 def _rank_delegates(
     exchange: Exchange, state: state_module.DirectState, now: float
 ) -> list[str]:
-    """Ranks those who speak for this router's failure domain."""
+    """Lists the delegates of this router's failure domain, in rank order."""
     ranked = _rank_domain(exchange, state, now, state.failure_domain)
-    return ranked[: peers_module.DELEGATES]
+    return ranked[: peers_module.DELEGATES_PER_DOMAIN]
 
 
-def find_part(name: str, parts: int) -> int:
-    """Tells in which part of its failure domain a router is told of.
+def compute_part(name: str, parts: int) -> int:
+    """Computes which part of its failure domain's load includes a router.
 
-    The same at all routers, and for most routers also if another one comes
-    or goes.
+    All routers compute the same part, from a hash of the VM name. The part
+    doesn't change when another router joins or leaves, unless `parts` changes.
     """
     return zlib.crc32(name.encode()) % parts
 
@@ -780,36 +837,42 @@
 def _choose_prompts(
     exchange: Exchange, state: state_module.DirectState, now: float
 ) -> list[messages.SentPrompt]:
-    """Chooses which prompts the others are told of, as the budget allows.
+    """Takes the prompts to be reported, as many as the budget allows.
 
-    What an engine wasn't known to hold goes first: of the rest the others
-    only learn that it was used again.
+    Prompts with the most tokens that the engine wasn't known to have cached go
+    first: a prompt without such tokens only reports that cached parts were used
+    again. Prompts beyond the budget are dropped.
     """
     rate = MAX_PROMPTS_PER_SECOND / max(1, state.routers - 1)
-    earned = rate * (now - exchange.prompts_at)
-    allowed = min(exchange.prompts_left + earned, max(1.0, rate))
-    exchange.prompts_at = now
+    earned = rate * (now - exchange.budget_updated_at)
+    allowed = min(exchange.prompt_budget + earned, max(1.0, rate))
+    exchange.budget_updated_at = now
     placements, state.placements = state.placements, []
     placements.sort(key=lambda one: one.new_tokens, reverse=True)
-    told = placements[: int(allowed)]
-    exchange.prompts_left = allowed - len(told)
+    reported = placements[: int(allowed)]
+    exchange.prompt_budget = allowed - len(reported)
     return [
         messages.SentPrompt(
             one.upstream,
             one.prompt.digests[:-1],
             one.prompt.tokens - one.prompt.shared,
         )
-        for one in told
+        for one in reported
     ]
 
 
-def _choose_pause(exchange: Exchange, state: state_module.DirectState) -> float:
-    """Chooses the seconds until the next whole message about this router.
+def _compute_update_interval(
+    exchange: Exchange, state: state_module.DirectState
+) -> float:
+    """Computes the seconds until the next full update about this router.
 
-    A busy router says something at least as often as an idle one: the others
-    would take it for gone.
+    A busy router reports at least as often as an idle one. Otherwise the other
+    routers would take it for gone.
     """
     if not state.requests:
         return IDLE_INTERVAL
-    heard = 1 + len(exchange.totals.sources)
-    return min(max(INTERVAL, WHOLE_PACE * heard), IDLE_INTERVAL)
+    source_count = 1 + len(exchange.totals.sources)
+    return min(
+        max(FULL_UPDATE_INTERVAL, FULL_UPDATE_SPACING * source_count),
+        IDLE_INTERVAL,
+    )
--- a/sycamorefall/direct/own_load.py
+++ b/sycamorefall/direct/own_load.py
@@ -1,39 +1,49 @@
-"""What a router tells others of itself; no I/O."""
+"""Builds the entries of the messages about this router's own load; no I/O."""
 
-__all__ = ["describe_load", "describe_loads", "list_own_services"]
+__all__ = ["build_load", "build_loads", "collect_own_services"]
 
 from sycamorefall import messages
 from sycamorefall.direct import fair_queue
 from sycamorefall.direct import state as state_module
 
-LEAST_AMOUNT = 50
-"""Cost units below which a team's past service is not worth its bytes."""
+MIN_REPORTED_AMOUNT = 50
+"""Cost units below which a team's received service is not reported, to save
+bytes."""
 
 
-def describe_loads(
+def build_loads(
     state: state_module.DirectState,
-    told: dict[str, messages.UpstreamLoad],
+    last_sent: dict[str, messages.UpstreamLoad],
 ) -> dict[str, messages.UpstreamLoad]:
-    """Describes this router's load, with the floors that were told last."""
+    """Builds entries of this router's load, with the floors sent last.
+
+    Args:
+        state: The router's state.
+        last_sent: Entries sent last, by upstream name.
+
+    Returns:
+        Entries by upstream name, for upstreams that have requests of this
+        router or an entry in `last_sent`.
+    """
     nothing = messages.UpstreamLoad("", 0, 0, 0)
     return {
-        name: describe_load(state, name, last.floor, last.short_floor)
+        name: build_load(state, name, last.floor, last.short_floor)
         for name, one in state.table.by_name.items()
-        if one.own.running or name in told
-        for last in [told.get(name, nothing)]
+        if one.own.running or name in last_sent
+        for last in [last_sent.get(name, nothing)]
     }
 
 
-def describe_load(
+def build_load(
     state: state_module.DirectState, name: str, floor: int, short_floor: int
 ) -> messages.UpstreamLoad:
-    """Describes what this router has at an upstream.
+    """Builds the entry of this router's load at an upstream.
 
     Args:
-        state: The router.
+        state: The router's state.
         name: The upstream's incarnation.
         floor: See `messages.UpstreamLoad`.
-        short_floor: The same.
+        short_floor: See `messages.UpstreamLoad`.
     """
     own = state.table.by_name[name].own
     return messages.UpstreamLoad(
@@ -41,19 +51,20 @@
     )
 
 
-def list_own_services(
+def collect_own_services(
     state: state_module.DirectState, now: float
 ) -> tuple[messages.ServiceDemand, ...]:
-    """Lists what this router gave teams lately; forgets what is over.
+    """Lists by service what this router recently gave to teams.
 
-    The most that any team received of all routers is brought up to date.
+    Also updates `TeamAccounts.most`, the service that the best served team
+    received from all routers, and removes accounts and refusals that expired.
     """
     return tuple(
-        _describe_service(state, now, service) for service in state.accounts
+        _build_service(state, now, service) for service in state.accounts
     )
 
 
-def _describe_service(
+def _build_service(
     state: state_module.DirectState, now: float, service: str
 ) -> messages.ServiceDemand:
     accounts = state.accounts[service]
@@ -61,7 +72,7 @@
     teams = tuple(
         messages.TeamService(team, int(amount))
         for team, amount in amounts.items()
-        if amount >= LEAST_AMOUNT
+        if amount >= MIN_REPORTED_AMOUNT
     )
     accounts.most = fair_queue.find_max_received(accounts, amounts)
     fair_queue.drop_expired_refusals(accounts, now)
--- a/sycamorefall/direct/peers.py
+++ b/sycamorefall/direct/peers.py
@@ -1,16 +1,16 @@
-"""The other routers: where they are, and which of them work for others."""
+"""The other routers: addresses, liveness, and which of them are delegates."""
 
 __all__ = [
     "PEER_TIMEOUT",
     "Peer",
-    "forget_lost",
+    "forget_silent_peers",
     "is_delegate",
-    "is_heard",
+    "is_live",
     "list_delegates",
-    "list_heard",
-    "note_heard",
+    "list_live_routers",
     "rank_domain",
     "record_known_routers",
+    "record_load",
 ]
 
 from collections.abc import Iterable, Mapping
@@ -19,18 +19,19 @@
 from sycamorefall import messages
 
 PEER_TIMEOUT = 2.5
-"""Seconds after which a router that says nothing counts as gone: two idle
-messages and a half."""
+"""Seconds without a message after which a router counts as gone: two and a half
+intervals between the messages of an idle router."""
 
 FORGET_AFTER = 60.0
-"""Seconds after which a router that is not heard is forgotten, its link too:
-VMs are replaced every day, and a process would keep a link to each."""
+"""Seconds without a message after which a router and its link are removed. VMs
+are replaced every day, and a process would keep a link to each of them."""
 
-DELEGATES = 2
-"""Routers of a failure domain that speak for it."""
+DELEGATES_PER_DOMAIN = 2
+"""Delegates per failure domain, which report its load to other domains."""
 
-HINTED_FOR = 1.5
-"""Seconds for which a router that is said to be a delegate counts as one."""
+HINT_LIFETIME = 1.5
+"""Seconds for which a router counts as a delegate after another router named it
+as one."""
 
 _NEVER = float("-inf")
 
@@ -40,37 +41,39 @@
     """Another router.
 
     Attributes:
-        control: Where its control messages go.
-        known_at: When it was last heard, or heard of if it never was.
-        heard_at: When it last told of itself.
-        failure_domain: Where it stands; empty until that is known.
-        capacity: Tenths of a processor core that it has.
-        available: Whether it may do work for other routers.
-        spoke_at: When it last spoke for its failure domain.
-        hinted_at: When another router last said that it does.
-        told_at: When it was last told whom to speak to.
+        control: Address at which it receives control messages.
+        last_known_at: When its last load message was received; until the first
+            one, when this router learned of it.
+        heard_at: When its last load message was received.
+        failure_domain: Its failure domain; empty until known.
+        capacity: Its processor capacity in tenths of a core.
+        available: Whether it can be a delegate or a reader.
+        delegate_heard_at: When it last sent a message as a delegate of its
+            failure domain.
+        delegate_hint_at: When another router last named it as a delegate.
+        referred_at: When it was last sent a referral.
     """
 
     control: str
-    known_at: float
+    last_known_at: float
     heard_at: float = _NEVER
     failure_domain: str = ""
     capacity: int = 0
     available: bool = True
-    spoke_at: float = _NEVER
-    hinted_at: float = _NEVER
-    told_at: float = _NEVER
+    delegate_heard_at: float = _NEVER
+    delegate_hint_at: float = _NEVER
+    referred_at: float = _NEVER
 
 
-def is_heard(peer: Peer, now: float) -> bool:
-    """Tells whether a router lives as far as is known."""
+def is_live(peer: Peer, now: float) -> bool:
+    """Tells whether a message was received within `PEER_TIMEOUT`."""
     return now - peer.heard_at < PEER_TIMEOUT
 
 
-def note_heard(
+def record_load(
     peers: dict[str, Peer], now: float, envelope: messages.Envelope
 ) -> Peer | None:
-    """Takes note of a router that tells of itself.
+    """Records what a load message says about its sender.
 
     Args:
         peers: The other routers by VM name; changed.
@@ -78,8 +81,7 @@
         envelope: A `RouterLoad` and its sender.
 
     Returns:
-        The router; None if the message doesn't say where it is, and nobody
-        did before.
+        The sender; None if its address is unknown, as deltas don't include it.
     """
     load: messages.RouterLoad = envelope.message
     peer = peers.get(envelope.sender)
@@ -87,7 +89,7 @@
         if not load.whole:
             return None
         peer = peers[envelope.sender] = Peer(load.control, now)
-    peer.known_at = peer.heard_at = now
+    peer.last_known_at = peer.heard_at = now
     if load.whole:
         peer.control = load.control
         peer.failure_domain = load.failure_domain
@@ -96,8 +98,8 @@
 
 
 def is_delegate(peer: Peer, now: float) -> bool:
-    """Tells whether a router speaks for its failure domain."""
-    return now - peer.spoke_at < PEER_TIMEOUT
+    """Tells whether a router recently sent a message as a delegate."""
+    return now - peer.delegate_heard_at < PEER_TIMEOUT
 
 
 def record_known_routers(
@@ -106,13 +108,16 @@
     own: str,
     routers: Iterable[messages.RouterAddress],
 ) -> None:
-    """Takes note of routers that another one named.
+    """Records routers that another router named.
+
+    The address and failure domain of a router that has sent messages itself
+    stay as they are.
 
     Args:
         peers: The other routers by VM name; changed.
         now: This process's time.
-        own: This router's VM.
-        routers: Those named.
+        own: VM name of this router.
+        routers: The routers that were named.
     """
     for router in routers:
         if router.vm == own:
@@ -122,15 +127,15 @@
             peer.control = router.control
             peer.failure_domain = router.failure_domain
         if router.delegate:
-            peer.hinted_at = now
+            peer.delegate_hint_at = now
 
 
-def forget_lost(peers: dict[str, Peer], now: float) -> None:
-    """Forgets routers that were not heard for long."""
+def forget_silent_peers(peers: dict[str, Peer], now: float) -> None:
+    """Removes routers from which no message was received for `FORGET_AFTER`."""
     gone = [
         name
         for name, peer in peers.items()
-        if now - peer.known_at >= FORGET_AFTER
+        if now - peer.last_known_at >= FORGET_AFTER
     ]
     for name in gone:
         del peers[name]
@@ -142,26 +147,27 @@
     domain: str,
     own: tuple[str, int] | None = None,
 ) -> list[str]:
-    """Ranks the routers of a failure domain that may do work for others.
+    """Ranks the routers of a failure domain that can be delegates or readers.
 
-    The largest VMs come first: on the smallest ones such work delays callers.
-    All routers that hear the same ones rank them alike.
+    The VMs with the most capacity come first, because the work of a delegate
+    delays callers on the smallest VMs. Routers that know the same live peers
+    compute the same ranking.
 
     Args:
-        peers: The other routers.
+        peers: The other routers by VM name.
         now: This process's time.
         domain: The failure domain.
-        own: This router's VM and capacity, if it is one of them.
+        own: VM name and capacity of this router, if it is to be ranked too.
 
     Returns:
-        VM names, the first choice first.
+        VM names in order of preference.
     """
     ranked = [
         (-peer.capacity, name)
         for name, peer in peers.items()
         if peer.failure_domain == domain
         and peer.available
-        and is_heard(peer, now)
+        and is_live(peer, now)
     ]
     if own is not None:
         ranked.append((-own[1], own[0]))
@@ -171,36 +177,36 @@
 def list_delegates(
     peers: Mapping[str, Peer], now: float, domain: str
 ) -> list[str]:
-    """Lists who speaks for a failure domain.
+    """Lists the delegates of a failure domain.
 
-    Where nobody is known to, a few others are listed, by turns: whoever of
-    them lives tells who does.
+    If no delegate is known, a few routers of the domain are listed, which
+    rotate over time: any of them that is live names the delegates.
     """
-    here = sorted(
+    members = sorted(
         name for name, peer in peers.items() if peer.failure_domain == domain
     )
     delegates = [
         name
-        for name in here
+        for name in members
         if is_delegate(peers[name], now)
-        or now - peers[name].hinted_at < HINTED_FOR
+        or now - peers[name].delegate_hint_at < HINT_LIFETIME
     ]
     if delegates:
         return delegates
-    first = int(now) * DELEGATES % max(1, len(here))
-    return (here[first:] + here[:first])[:DELEGATES]
+    first = int(now) * DELEGATES_PER_DOMAIN % max(1, len(members))
+    return (members[first:] + members[:first])[:DELEGATES_PER_DOMAIN]
 
 
-def list_heard(
+def list_live_routers(
     peers: Mapping[str, Peer], now: float, domain: str
 ) -> tuple[messages.RouterAddress, ...]:
-    """Lists whom a router of a failure domain is to know.
+    """Lists the live routers that a router of a failure domain needs to know.
 
-    Only routers that this one hears itself are named: what is only passed on
-    would be for ever, also of VMs that are gone.
+    Only routers that sent messages to this router itself are named. Otherwise
+    routers would keep naming each other VMs that are gone.
 
     Returns:
-        The routers of that domain, and the delegates of all.
+        The routers of the domain, and the delegates of all domains.
     """
     return tuple(
         messages.RouterAddress(
@@ -210,6 +216,6 @@
             is_delegate(peer, now),
         )
         for name, peer in peers.items()
-        if is_heard(peer, now)
+        if is_live(peer, now)
         and (peer.failure_domain == domain or is_delegate(peer, now))
     )
--- a/sycamorefall/direct/receiver_groups.py
+++ b/sycamorefall/direct/receiver_groups.py
@@ -1,12 +1,15 @@
-"""What a set of receivers was told of loads, and when to tell them more."""
+"""Groups of receivers: loads they were sent, and when the next message is due.
+
+All receivers of a group get the same messages.
+"""
 
 __all__ = [
-    "LARGE_READ",
+    "URGENT_UNREAD_TOKENS",
     "ReceiverGroup",
-    "begin_message",
-    "diff_loads",
-    "find_due",
+    "compute_next_due",
     "queue_prompts",
+    "start_message",
+    "take_changed_loads",
 ]
 
 from collections.abc import Iterable, Mapping
@@ -14,104 +17,106 @@
 
 from sycamorefall import messages
 
-LARGE_READ = 1500
-"""Prompt tokens sent since the last message from which on the others are told
-at once: 10 to 20 ms of an engine's time."""
+URGENT_UNREAD_TOKENS = 1500
+"""Prompt tokens sent to engines since the last message at which a delta is sent
+ahead of the next full update: 10 to 20 ms of an engine's time."""
 
-MOST_QUEUED = 200
-"""Prompts that wait to be told; of more the oldest are dropped."""
+MAX_QUEUED_PROMPTS = 200
+"""Prompts queued for the next message; beyond this, the oldest are dropped."""
 
 
 @dataclasses.dataclass(slots=True)
 class ReceiverGroup:
-    """What a set of receivers was told.
+    """State of sending load messages to a group of receivers.
 
     Attributes:
-        sent_at: When they were last told anything.
-        due: When they are told all.
-        whole_sent: How often they were told all.
-        told: What they were told of each upstream.
-        unread: Prompt tokens that were sent to be read until then.
-        prompts: Prompts to be told with the next message.
+        sent_at: When the last message was sent.
+        due: When the next full update is due.
+        full_update_count: Number of full updates sent.
+        sent_loads: Last load sent, by upstream name.
+        unread: Total prompt tokens sent to engines up to the last message.
+        prompts: Prompts to be sent with the next message.
     """
 
     sent_at: float = 0.0
     due: float = 0.0
-    whole_sent: int = 0
-    told: dict[str, messages.UpstreamLoad] = dataclasses.field(
+    full_update_count: int = 0
+    sent_loads: dict[str, messages.UpstreamLoad] = dataclasses.field(
         default_factory=dict
     )
     unread: int = 0
     prompts: list[messages.SentPrompt] = dataclasses.field(default_factory=list)
 
 
-def find_due(outlet: ReceiverGroup, unread: int, pace: float) -> float:
-    """Tells when the next message is due.
+def compute_next_due(
+    group: ReceiverGroup, unread: int, spacing: float
+) -> float:
+    """Computes when the next message is due.
 
-    Whole messages go out at fixed intervals. In between, only what changed
-    goes out, as soon as much was sent to be read: the others would add to it
-    within the interval, and the answers of all would be late.
+    Full updates are sent at intervals. A delta is sent in between as soon as
+    many prompt tokens were sent to engines: otherwise other routers would send
+    to the same engines within the interval, and all answers would be late.
 
     Args:
-        outlet: The receivers.
-        unread: Prompt tokens sent to be read so far.
-        pace: Least seconds between two messages.
+        group: The group of receivers.
+        unread: Total prompt tokens sent to engines so far.
+        spacing: Minimum seconds between two messages.
     """
-    if unread - outlet.unread < LARGE_READ:
-        return outlet.due
-    return min(outlet.due, outlet.sent_at + pace)
+    if unread - group.unread < URGENT_UNREAD_TOKENS:
+        return group.due
+    return min(group.due, group.sent_at + spacing)
 
 
-def diff_loads(
-    outlet: ReceiverGroup, loads: Mapping[str, messages.UpstreamLoad]
+def take_changed_loads(
+    group: ReceiverGroup, loads: Mapping[str, messages.UpstreamLoad]
 ) -> tuple[messages.UpstreamLoad, ...]:
-    """Lists the loads that differ from what was told, and notes them as told.
+    """Lists the loads that differ from those sent last; marks them as sent.
 
     Args:
-        outlet: The receivers; changed.
-        loads: The loads by upstream; what is left out is none.
+        group: The group of receivers; changed.
+        loads: The loads by upstream name; a missing one counts as no load.
 
     Example:
-        >>> outlet = ReceiverGroup()
+        >>> group = ReceiverGroup()
         >>> one = messages.UpstreamLoad("e1", 1, 10, 100)
-        >>> len(diff_loads(outlet, {"e1": one}))
+        >>> len(take_changed_loads(group, {"e1": one}))
         1
-        >>> diff_loads(outlet, {"e1": one})
+        >>> take_changed_loads(group, {"e1": one})
         ()
-        >>> diff_loads(outlet, {})[0].running
+        >>> take_changed_loads(group, {})[0].running
         0
     """
     changed = [
         load
-        for name in outlet.told.keys() | loads.keys()
+        for name in group.sent_loads.keys() | loads.keys()
         if (load := loads.get(name) or messages.UpstreamLoad(name, 0, 0, 0))
-        != outlet.told.get(name)
+        != group.sent_loads.get(name)
     ]
-    outlet.told |= {load.upstream: load for load in changed}
+    group.sent_loads |= {load.upstream: load for load in changed}
     return tuple(changed)
 
 
 def queue_prompts(
-    outlet: ReceiverGroup, prompts: Iterable[messages.SentPrompt]
+    group: ReceiverGroup, prompts: Iterable[messages.SentPrompt]
 ) -> None:
-    """Adds prompts to be told with the next message."""
-    outlet.prompts += prompts
-    del outlet.prompts[:-MOST_QUEUED]
+    """Queues prompts for the next message."""
+    group.prompts += prompts
+    del group.prompts[:-MAX_QUEUED_PROMPTS]
 
 
-def begin_message(
-    outlet: ReceiverGroup, now: float, unread: int
+def start_message(
+    group: ReceiverGroup, now: float, unread: int
 ) -> tuple[messages.SentPrompt, ...]:
-    """Takes note that the receivers are told now.
+    """Records that a message is sent now, and empties the prompt queue.
 
     Args:
-        outlet: The receivers; changed.
+        group: The group of receivers; changed.
         now: This process's time.
-        unread: Prompt tokens sent to be read so far.
+        unread: Total prompt tokens sent to engines so far.
 
     Returns:
-        The prompts that the message is to tell.
+        The prompts to be included in the message.
     """
-    outlet.sent_at, outlet.unread = now, unread
-    prompts, outlet.prompts = outlet.prompts, []
+    group.sent_at, group.unread = now, unread
+    prompts, group.prompts = group.prompts, []
     return tuple(prompts)
--- a/sycamorefall/direct/service_floors.py
+++ b/sycamorefall/direct/service_floors.py
@@ -1,4 +1,8 @@
-"""Which engines the other routers leave to teams that wait here; no I/O."""
+"""Floors that keep engines free for teams that wait at this router; no I/O.
+
+A floor of an engine is the service received by the least served team that waits
+for it. Other routers don't send requests of better served teams to the engine.
+"""
 
 __all__ = [
     "MAX_ENGINES_PER_REQUEST",
@@ -18,59 +22,60 @@
 )
 
 MAX_ENGINES_PER_REQUEST = 8
-"""Engines that the other routers leave to one waiting request: one of so many
-has room soon. Were all of them left to it, teams that wait at different
-routers would keep each other from engines that stand half empty."""
+"""Engines that are kept free for one waiting request: one of this many has room
+soon. If all engines were kept free for it, teams that wait at different routers
+would keep each other off engines that are half idle."""
 
 
 def compute_floors(
     state: state_module.DirectState, now: float, short: bool = False
 ) -> dict[str, int]:
-    """Finds the least that a team received that waits here, by engine.
+    """Computes the floors of engines from the requests that wait here.
 
-    The other routers leave these engines to it. One that has next to nothing
-    to do they leave only to a team that is short, and only for a moment.
+    Other routers keep an engine free for the team with its floor. They keep an
+    idle engine free only briefly, and only for a team that had a request
+    refused recently.
 
     Args:
-        state: The router.
+        state: The router's state.
         now: This process's time.
-        short: Whether to look at teams only that had a request refused here
-            lately.
+        short: Whether only teams that had a request refused here recently
+            count.
 
     Returns:
-        Cost units by the engine's name; engines for which nothing waits are
-        left out.
+        Cost units by engine name; engines that no request waits for are left
+        out.
     """
     floors: dict[str, int] = {}
-    for name, room in state.service_queues.items():
+    for name, queue in state.service_queues.items():
         service = state.catalog.services.get(name)
         if service is not None and service.engine is not None:
             accounts = state_module.get_or_create_accounts(state, name)
-            teams = fair_queue.order_teams(room, accounts, now)
+            teams = fair_queue.order_teams(queue, accounts, now)
             if short:
                 teams = [
                     team
                     for team in teams
                     if fair_queue.was_refused_recently(accounts, now, team)
                 ]
-            floors |= _find_room_floors(state, now, service, room, teams)
+            floors |= _compute_service_floors(state, now, service, queue, teams)
     return floors
 
 
-def _find_room_floors(
+def _compute_service_floors(
     state: state_module.DirectState,
     now: float,
     service: catalog.Service,
-    room: fair_queue.ServiceQueue,
+    queue: fair_queue.ServiceQueue,
     teams: list[str],
 ) -> dict[str, int]:
-    """Finds the floors of one service's engines.
+    """Computes the floors of one service's engines.
 
-    The least served team goes first, so an engine that has a floor need not
-    be looked at for the teams after it, and nothing once all have one. Each
-    whole message to the other routers needs this: with 26 engines, and 30
-    teams that wait with three target latencies, it took 40 ms without and
-    takes 0.8 ms with it (`benchmarks.direct`).
+    Teams are examined in order of received service, least first. An engine that
+    has a floor is therefore skipped for later teams, and the loop ends once all
+    engines have one. Each full update to the other routers computes the floors:
+    with 26 engines and 30 waiting teams with three target latencies, that took
+    40 ms without the skipping and takes 0.8 ms with it (`benchmarks.direct`).
     """
     floors: dict[str, int] = {}
     if not teams:
@@ -79,22 +84,26 @@
     engine_loads = upstream_selection.list_engine_loads(
         state.table, now, service, full=True
     )
-    left = {one.upstream: one for one in engine_loads}
+    without_floor = {one.upstream: one for one in engine_loads}
     for team in teams:
         received = int(fair_queue.compute_received(accounts, now, team))
-        candidates = list(fair_queue.list_candidates(room, team))
-        stands_for = fair_queue.count_waiting(room, team) / len(candidates)
-        most = math.ceil(MAX_ENGINES_PER_REQUEST * stands_for)
+        candidates = list(fair_queue.list_candidates(queue, team))
+        requests_per_candidate = fair_queue.count_waiting(queue, team) / len(
+            candidates
+        )
+        max_engines = math.ceil(
+            MAX_ENGINES_PER_REQUEST * requests_per_candidate
+        )
         for number in candidates:
-            if not left:
+            if not without_floor:
                 return floors
             constraints = placement_constraints.compute_constraints(
                 state, now, state.requests[number]
             )
-            found = upstream_selection.list_awaited_engines(
-                state.table, now, service, constraints, left.values()
+            awaited = upstream_selection.list_awaited_engines(
+                state.table, now, service, constraints, without_floor.values()
             )
-            for one in found[:most]:
-                del left[one]
+            for one in awaited[:max_engines]:
+                del without_floor[one]
                 floors[one.listed.name] = received
     return floors
--- a/sycamorefall/direct/tests/simulated_fleet.py
+++ b/sycamorefall/direct/tests/simulated_fleet.py
@@ -1,4 +1,7 @@
-"""A fleet's exchange of loads in simulated time: no network, no processes."""
+"""Simulated fleet of routers that exchange loads and crash evidence.
+
+Time and message delivery are simulated: no network, no processes.
+"""
 
 import heapq
 import itertools
@@ -9,25 +12,25 @@
 from sycamorefall.direct import state as state_module
 from sycamorefall.direct.tests import fakes
 
-STEP = 0.01
-"""Seconds between two looks of a router at what is due."""
+TIME_STEP = 0.01
+"""Seconds per step of simulated time."""
 
 ENGINES = [fakes.create_upstream_entry(f"e{n}", port=n) for n in range(1, 7)]
 
 
 class Router:
-    """A router's decisions and its exchange.
+    """State and exchanges of a router.
 
     Attributes:
         alive: Whether its process runs.
-        heard: Messages that it was sent.
-        heard_far: Bytes of those from other failure domains.
+        messages_received: Number of messages received.
+        remote_bytes_received: Bytes received from other failure domains.
     """
 
     def __init__(self, name, domain, process, seeds, capacity, now):
         self.name, self.domain, self.process = name, domain, process
         self.alive = True
-        self.heard, self.heard_far = 0, 0
+        self.messages_received, self.remote_bytes_received = 0, 0
         bounds = settings.BoundSettings()
         self.state = state_module.create_state(domain, bounds, process)
         core.apply_catalog(self.state, 0.0, fakes.create_catalog())
@@ -36,7 +39,7 @@
         self.crashes = crash_exchange.CrashExchange()
 
     def submit_request(self, now, **kinds):
-        """Takes a request; gives its number and what is done at once."""
+        """Submits a request; returns its number and its effect, if any."""
         core.record_proof(self.state, now, now)
         return fakes.submit_request(self.state, now, "draft", **kinds)
 
@@ -78,56 +81,59 @@
         return self.start(name, known.domain, known.process + 1)
 
     def list_live(self):
-        return [one for one in self.routers.values() if one.alive]
+        return [router for router in self.routers.values() if router.alive]
 
     def run(self, seconds):
         end = self.now + seconds
         while self.now < end:
-            self.now += STEP
+            self.now += TIME_STEP
             while self.events and self.events[0][0] <= self.now:
                 heapq.heappop(self.events)[2]()
-            for one in self.list_live():
+            for router in self.list_live():
                 if self.now >= exchange.find_next_due(
-                    one.load_exchange, one.state
+                    router.load_exchange, router.state
                 ):
                     self._send(
-                        one,
+                        router,
                         exchange.build_due_messages(
-                            one.load_exchange, one.state, self.now
+                            router.load_exchange, router.state, self.now
                         ),
                     )
-                due = crash_exchange.find_next_due(one.crashes, one.state)
+                due = crash_exchange.find_next_due(router.crashes, router.state)
                 if self.now >= due:
-                    reports = crash_exchange.build_due_messages(
-                        one.crashes, one.load_exchange, one.state, self.now
+                    outbound = crash_exchange.build_due_messages(
+                        router.crashes,
+                        router.load_exchange,
+                        router.state,
+                        self.now,
                     )
-                    self._send(one, reports)
+                    self._send(router, outbound)
 
-    def _send(self, one, reports):
-        for report in reports:
+    def _send(self, router, outbound):
+        for outbound_message in outbound:
             envelope = messages.Envelope(
-                one.name, one.process, 1, report.message
+                router.name, router.process, 1, outbound_message.message
             )
             size = len(messages.encode_envelope(envelope))
-            for to in report.receivers:
-                self._pass_on(one, to, envelope, size)
+            for to in outbound_message.receivers:
+                self._deliver(router, to, envelope, size)
 
-    def _pass_on(self, one, to, envelope, size):
+    def _deliver(self, router, to, envelope, size):
         receiver = self.routers.get(to)
         if receiver is None:
             return
-        ends = {one.domain, receiver.domain}
+        ends = {router.domain, receiver.domain}
         if len(ends) > 1 and ends & self.partitioned:
             return
         if self.random.random() < self.loss:
             return
 
-        def arrive():
+        def receive():
             if not receiver.alive or self.routers[to] is not receiver:
                 return
-            receiver.heard += 1
-            if receiver.domain != one.domain:
-                receiver.heard_far += size
+            receiver.messages_received += 1
+            if receiver.domain != router.domain:
+                receiver.remote_bytes_received += size
             message = envelope.message
             if isinstance(message, messages.CrashReports):
                 crash_exchange.handle_reports(
@@ -149,25 +155,30 @@
             if referral is not None:
                 self._send(receiver, [referral])
 
-        pause = self.random.uniform(0.0005, 0.003)
-        event = (self.now + pause, next(self.number), arrive)
+        delay = self.random.uniform(0.0005, 0.003)
+        event = (self.now + delay, next(self.number), receive)
         heapq.heappush(self.events, event)
 
-    def list_wrong(self):
-        """Lists routers that count the others' load wrong, and how."""
+    def list_miscounts(self):
+        """Lists wrong counts of the other routers' load or number.
+
+        Returns:
+            Tuples of router, upstream (if the load is wrong), the router's
+            count and the correct count.
+        """
         live = self.list_live()
-        wrong = []
-        for one in live:
-            for name, upstream in one.state.table.by_name.items():
+        miscounts = []
+        for router in live:
+            for name, upstream in router.state.table.by_name.items():
                 running = sum(
                     other.state.table.by_name[name].own.running
                     for other in live
-                    if other is not one
+                    if other is not router
                 )
                 if upstream.others.running != running:
-                    wrong.append(
-                        (one.name, name, upstream.others.running, running)
+                    miscounts.append(
+                        (router.name, name, upstream.others.running, running)
                     )
-            if one.state.routers != len(live):
-                wrong.append((one.name, one.state.routers, len(live)))
-        return wrong
+            if router.state.routers != len(live):
+                miscounts.append((router.name, router.state.routers, len(live)))
+        return miscounts
--- a/sycamorefall/direct/tests/test_delegates.py
+++ b/sycamorefall/direct/tests/test_delegates.py
@@ -1,4 +1,4 @@
-"""Failure domains that tell each other of their loads through delegates."""
+"""Exchange of loads between failure domains through delegates."""
 
 from hypothesis import given, settings, strategies
 import pytest
@@ -8,11 +8,11 @@
 from sycamorefall.direct.tests import fakes, simulated_fleet
 
 LARGE = 30_000
-"""Prompt tokens of a request that the others are told of at once."""
+"""Prompt tokens of a request that is reported ahead of the next full update."""
 
 
-def create_busy(**kinds):
-    """Creates a fleet that has run for a while, each router at work."""
+def create_busy_fleet(**kinds):
+    """Creates a fleet that has run for 5 s, with a request at each router."""
     fleet = simulated_fleet.Fleet(**kinds)
     fleet.run(2.0)
     for one in fleet.list_live():
@@ -30,33 +30,35 @@
     ("domains", "size"), [(1, 1), (1, 5), (4, 1), (4, 2), (3, 9), (6, 12)]
 )
 def test_each_router_counts_the_load_of_all_others_once(domains, size):
-    # A router that counts a load twice refuses for an engine that is half
-    # empty; one that misses some overfills it.
-    fleet = create_busy(domains=domains, size=size)
-    assert fleet.list_wrong() == []
+    # A router that counts load twice refuses requests although an engine is
+    # half idle; one that misses load overloads the engine.
+    fleet = create_busy_fleet(domains=domains, size=size)
+    assert fleet.list_miscounts() == []
 
 
-def test_what_a_router_hears_grows_with_its_failure_domain_only():
-    # Each of 68 routers told each of the others of 65 upstreams and 60 teams;
-    # most of these bytes crossed between failure domains, which is paid for,
-    # and at 370 routers they fit no budget.
-    heard = {}
+def test_received_messages_grow_with_own_failure_domain_only():
+    # Guards against reports from each router to all others. With 68 routers,
+    # 65 upstreams and 60 teams, most bytes crossed between failure domains,
+    # which is billed; with 370 routers, no budget for control traffic sufficed.
+    received = {}
     for domains in (2, 6):
-        fleet = create_busy(domains=domains, size=6)
+        fleet = create_busy_fleet(domains=domains, size=6)
         fleet.run(4.0)
         for one in fleet.list_live():
-            one.heard = one.heard_far = 0
+            one.messages_received = one.remote_bytes_received = 0
         fleet.run(5.0)
-        heard[domains] = [one.heard for one in fleet.list_live()]
-        far = [one.heard_far for one in fleet.list_live()]
-        assert sum(size > 0 for size in far) == 2 * domains, "delegates only"
-    assert max(heard[6]) < 2 * max(heard[2])
+        received[domains] = [one.messages_received for one in fleet.list_live()]
+        remote_bytes = [one.remote_bytes_received for one in fleet.list_live()]
+        assert sum(size > 0 for size in remote_bytes) == 2 * domains, (
+            "delegates only"
+        )
+    assert max(received[6]) < 2 * max(received[2])
 
 
-def test_large_send_is_known_in_other_failure_domains_at_once():
-    # Two routers of different failure domains see the same engine free and
-    # send to it within a tenth of a second; both callers wait twice as long.
-    fleet = create_busy(domains=3, size=6)
+def test_long_prompt_is_known_in_other_failure_domains_immediately():
+    # Guards against two routers of different failure domains that send to the
+    # same idle engine within 0.1 s, so that both callers wait twice as long.
+    fleet = create_busy_fleet(domains=3, size=6)
     sender = fleet.routers["router-1-5"]
     _, sent = sender.submit_request(fleet.now, tokens=LARGE)
     fleet.run(0.12)
@@ -65,11 +67,11 @@
         assert engine.unread >= LARGE, one.name
 
 
-def test_team_that_waits_in_another_failure_domain_has_room_left():
-    # A small team's request waits in one failure domain for a full engine;
-    # when a place comes free, a large team's router in another one is served
-    # first, time after time.
-    fleet = create_busy(domains=2, size=4)
+def test_engine_is_kept_free_for_team_of_another_failure_domain():
+    # A small team's request waits in one failure domain for a full engine.
+    # Without a floor in the other domains, routers there would give each slot
+    # that becomes free to a large team.
+    fleet = create_busy_fleet(domains=2, size=4)
     waiting = fleet.routers["router-0-3"]
     for one in waiting.state.table.by_name.values():
         one.own.running = 4
@@ -81,10 +83,10 @@
             assert max(floors) < float("inf"), one.name
 
 
-def test_refused_team_has_idle_engines_left_in_other_failure_domains():
-    # Guards against a flood in one failure domain that takes the engines that
-    # have little to do from a team that is refused in another.
-    fleet = create_busy(domains=3, size=4)
+def test_idle_engines_are_kept_free_for_refused_team_elsewhere():
+    # Guards against a burst of requests in one failure domain that takes the
+    # nearly idle engines from a team that is refused in another domain.
+    fleet = create_busy_fleet(domains=3, size=4)
     refusing = fleet.routers["router-0-3"]
     for one in refusing.state.table.by_name.values():
         one.own.running = 4
@@ -105,10 +107,11 @@
         assert min(floors) == float("inf"), one.name
 
 
-def test_team_is_charged_for_what_it_got_anywhere():
-    # A large team's callers are spread over all failure domains. Each domain
-    # would take it for a small one, and it would get a share in each.
-    fleet = create_busy(domains=3, size=4)
+def test_team_is_charged_for_service_in_all_failure_domains():
+    # Guards against a large team whose callers are spread over all failure
+    # domains: if each domain counted only its own service, the team would get
+    # a small team's share in each of them.
+    fleet = create_busy_fleet(domains=3, size=4)
     for name in ("router-0-3", "router-1-0", "router-2-2"):
         fleet.routers[name].submit_request(
             fleet.now, team="mill", tokens=10_000
@@ -121,10 +124,11 @@
         assert received + own >= 3 * 10_000 * 0.7, one.name
 
 
-def test_prompt_is_known_to_be_held_in_other_failure_domains():
-    # An engine is sent a paper by one failure domain; another one's router
-    # has a second engine read it, as it doesn't know whom to fetch it from.
-    fleet = create_busy(domains=2, size=4)
+def test_cached_prompt_is_known_in_other_failure_domains():
+    # A router sends a paper to an engine. Guards against a router in another
+    # failure domain that has a second engine read the paper, because it doesn't
+    # know that the engine could fetch the paper from the first one.
+    fleet = create_busy_fleet(domains=2, size=4)
     sender = fleet.routers["router-0-3"]
     parts = (("paper", fetching.MIN_FETCH_TOKENS + 5000),)
     for one in fleet.list_live():
@@ -138,81 +142,84 @@
 
 
 @pytest.mark.parametrize("count", [1, 2])
-def test_others_take_the_place_of_delegates_that_are_lost(count):
-    # The routers that speak for a failure domain are killed. Those left there
-    # must count the other failure domains' load again, and be counted.
-    fleet = create_busy(domains=3, size=5)
+def test_lost_delegates_are_replaced(count):
+    # The delegates of a failure domain are killed. The remaining routers must
+    # count the other failure domains' load again, and be counted there.
+    fleet = create_busy_fleet(domains=3, size=5)
     for name in list_delegates(fleet)[:count]:
         fleet.routers[name].alive = False
     fleet.run(6.0)
-    assert fleet.list_wrong() == []
+    assert fleet.list_miscounts() == []
 
 
-def test_delegates_that_are_back_are_counted_once():
-    # Delegates are restarted one after the other, as in a release. For a
-    # moment two routers tell of the same load.
-    fleet = create_busy(domains=3, size=5)
+def test_load_is_counted_once_after_restart_of_delegates():
+    # Delegates are restarted one after the other, as in a release. Two routers
+    # report the same load for a moment.
+    fleet = create_busy_fleet(domains=3, size=5)
     for name in list_delegates(fleet):
         fleet.restart(name)
         fleet.run(1.5)
     fleet.run(4.0)
-    assert fleet.list_wrong() == []
+    assert fleet.list_miscounts() == []
 
 
-def test_stopping_delegate_hands_over_before_it_ends():
-    # A delegate is stopped in an orderly way. Were it to speak until its end,
-    # its failure domain would be unheard until that is noticed.
-    fleet = create_busy(domains=2, size=4)
+def test_stopping_delegate_hands_over_before_it_exits():
+    # A delegate is stopped gracefully. If it remained a delegate until its
+    # exit, its domain's load would be missing elsewhere until the exit is
+    # detected.
+    fleet = create_busy_fleet(domains=2, size=4)
     name = list_delegates(fleet)[0]
     fleet.routers[name].state.stop.since = fleet.now
     fleet.run(2.0)
     assert name not in list_delegates(fleet)
-    assert fleet.list_wrong() == []
+    assert fleet.list_miscounts() == []
 
 
-def test_largest_vms_speak_for_their_failure_domain():
-    # On the smallest VMs, work for others delays callers.
-    fleet = create_busy(domains=2, size=6, capacities=(4, 4, 4, 4, 21, 21))
+def test_delegates_are_the_largest_vms():
+    # The work of a delegate delays callers on the smallest VMs.
+    fleet = create_busy_fleet(
+        domains=2, size=6, capacities=(4, 4, 4, 4, 21, 21)
+    )
     for one in fleet.list_live():
         if one.load_exchange.role.part is not None:
             assert one.load_exchange.capacity == 21
 
 
-def test_failure_domain_that_was_cut_off_is_counted_again():
-    # A failure domain is cut from the others for longer than they remember
-    # its delegates, and comes back.
-    fleet = create_busy(domains=3, size=4)
+def test_failure_domain_is_counted_again_after_a_partition():
+    # A failure domain is partitioned from the others until they have forgotten
+    # its delegates; then the partition ends.
+    fleet = create_busy_fleet(domains=3, size=4)
     fleet.partitioned = {"domain-1"}
     fleet.run(8.0)
     inside = fleet.routers["router-1-3"]
     assert inside.state.routers == 4
     fleet.partitioned = set()
     fleet.run(4.0)
-    assert fleet.list_wrong() == []
+    assert fleet.list_miscounts() == []
 
 
-def test_newcomer_finds_its_failure_domain_by_a_seed_elsewhere():
-    # A VM is added whose failure domain has no seed. It must be heard, or it
-    # overfills engines that all others know to be full.
-    fleet = create_busy(domains=3, size=4, seeds=1)
+def test_new_router_discovers_its_failure_domain_through_a_remote_seed():
+    # A VM is added to a failure domain without a seed. If it doesn't find the
+    # others, it overloads engines that they know to be full.
+    fleet = create_busy_fleet(domains=3, size=4, seeds=1)
     fleet.start("router-2-9", "domain-2")
     fleet.run(4.0)
-    assert fleet.list_wrong() == []
+    assert fleet.list_miscounts() == []
 
 
-def test_fleet_finds_itself_after_a_power_loss():
-    # All VMs start at once and know only the seeds, in one failure domain.
+def test_routers_discover_each_other_after_a_power_loss():
+    # All VMs start at once and know only the seed, in one failure domain.
     fleet = simulated_fleet.Fleet(domains=6, size=6, seeds=1)
     for one in fleet.list_live():
         one.submit_request(fleet.now)
     fleet.run(4.0)
-    assert fleet.list_wrong() == []
+    assert fleet.list_miscounts() == []
 
 
-def test_router_that_is_gone_is_not_rumoured_for_ever():
-    # VMs are replaced every day. If routers passed on what they only heard
-    # of, each of them would keep a link to all that ever were.
-    fleet = create_busy(domains=2, size=4)
+def test_router_that_is_gone_is_eventually_forgotten():
+    # VMs are replaced every day. If routers named routers that they know only
+    # from other routers, each would keep links to all VMs that ever existed.
+    fleet = create_busy_fleet(domains=2, size=4)
     gone = fleet.routers["router-0-0"]
     gone.alive = False
     fleet.run(140.0)
@@ -220,9 +227,9 @@
         assert gone.name not in one.load_exchange.peers, one.name
 
 
-def test_router_of_the_version_before_is_counted():
-    # During a release, routers of the version before tell everyone of
-    # themselves and name no failure domain.
+def test_router_of_the_previous_version_is_counted():
+    # During a release, routers of the previous version report their load to all
+    # routers, without a failure domain.
     state, load_exchange = fakes.create_state(), fakes.create_exchange()
     load = messages.RouterLoad(
         1, "127.0.0.1:2", upstreams=(messages.UpstreamLoad("e1", 3, 0, 0),)
@@ -235,10 +242,10 @@
 
 @settings(max_examples=25)
 @given(data=strategies.data())
-def test_loads_are_right_again_after_any_trouble(data):
-    # Whatever is killed, restarted or cut, once it is over each router counts
-    # each other one's load once.
-    fleet = create_busy(
+def test_loads_converge_after_any_faults(data):
+    # After any kills, restarts and partitions have ended, each router counts
+    # the load of each other router once.
+    fleet = create_busy_fleet(
         domains=data.draw(strategies.integers(1, 4)),
         size=data.draw(strategies.integers(1, 5)),
         seed=data.draw(strategies.integers(0, 100)),
@@ -266,4 +273,4 @@
     if not any(fleet.routers[name].alive for name in fleet.seeds):
         fleet.restart(fleet.seeds[0])
     fleet.run(8.0)
-    assert fleet.list_wrong() == []
+    assert fleet.list_miscounts() == []
--- a/sycamorefall/direct/tests/test_links.py
+++ b/sycamorefall/direct/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Routers that find each other over real control links."""
+"""Router discovery over real control links; connection limits."""
 
 import threading
 
@@ -9,39 +9,42 @@
 from sycamorefall.direct import exchange
 from sycamorefall.direct.tests import fakes
 
-TURNS = 500
+MAX_LOOP_PASSES = 500
 
 
 class Router:
-    """A router's links and what it knows of the others, on a loop."""
+    """A router's control links and exchange, registered with an event loop."""
 
     def __init__(self, loop, name, port, seeds):
-        self.told = exchange.Exchange(name, f"127.0.0.1:{port}", seeds)
+        self.load_exchange = exchange.Exchange(name, f"127.0.0.1:{port}", seeds)
         self.state = fakes.create_state()
         self.links = transport.ControlLinks(
-            self.told.control,
-            lambda to: exchange.find_address(self.told, to),
+            self.load_exchange.control,
+            lambda to: exchange.find_address(self.load_exchange, to),
             lambda envelope: exchange.handle_load(
-                self.told, self.state, 0.0, envelope
+                self.load_exchange, self.state, 0.0, envelope
             ),
             authentication.create_authenticator(
                 name, settings.SecuritySettings()
             ),
             lambda envelope: exchange.record_unreadable_sender(
-                self.told, 0.0, envelope
+                self.load_exchange, 0.0, envelope
             ),
         ).register(loop)
 
-    def tell(self, now):
-        load = exchange.build_load_message(self.told, self.state, now)
-        envelope = messages.Envelope(self.told.vm, 1, 1, load)
-        self.links.send_all(exchange.list_addresses(self.told), envelope)
+    def send_load(self, now):
+        load = exchange.build_load_message(self.load_exchange, self.state, now)
+        envelope = messages.Envelope(self.load_exchange.vm, 1, 1, load)
+        self.links.send_all(
+            exchange.list_addresses(self.load_exchange), envelope
+        )
 
 
-def test_router_is_heard_though_its_first_message_was_lost():
-    # All VMs lose power and start again. A router's first message, which
-    # defines its names, is lost; the other can't read any that follow, does
-    # not know where to ask, and counts itself alone from then on.
+def test_router_is_discovered_although_its_first_message_was_lost():
+    # After a power loss of all VMs, a router's first message, which defines its
+    # names, is lost. Guards against a receiver that can't decode the following
+    # messages, doesn't know where to request the definitions, and believes from
+    # then on that it is alone.
     loop = transport.create_loop(lambda: None)
     poller = next(
         part for part in loop.components if isinstance(part, pollers.BasePoller)
@@ -56,12 +59,12 @@
     loop._executing_thread = threading.current_thread()
     loop.fire(events.started(loop))
     fakes.submit_request(late.state, 0.0, "draft", tokens=3000)
-    for to in exchange.list_addresses(late.told):
-        late.links._names.told[to] = (1 << 20) - 1  # As if told before.
-    for turn in range(TURNS):
+    for to in exchange.list_addresses(late.load_exchange):
+        late.links._names.told[to] = (1 << 20) - 1  # As if sent before.
+    for turn in range(MAX_LOOP_PASSES):
         if turn % 10 == 0:
-            early.tell(early.told.own.due)
-            late.tell(late.told.own.due)
+            early.send_load(early.load_exchange.own.due)
+            late.send_load(late.load_exchange.own.due)
         loop.tick(0.001)
         if early.state.routers == 2:
             break
@@ -72,9 +75,10 @@
         router.links.close()
 
 
-def test_routers_keep_half_of_an_upstreams_connections_together():
-    # A plain service takes 100 connections of all routers. Each of 28 kept up
-    # to 32 idle ones, so new ones were reset; bookings had an unknown outcome.
+def test_routers_together_keep_half_of_an_upstreams_connections():
+    # A plain upstream accepts 100 connections from all routers together. Each
+    # of 28 routers kept up to 32 idle ones, so new connections were reset and
+    # bookings had an unknown outcome.
     state = fakes.create_state()
     _, sent = fakes.submit_request(state, 0.0, "book", team="")
     assert sent.keep == 50
--- a/sycamorefall/direct/totals.py
+++ b/sycamorefall/direct/totals.py
@@ -1,19 +1,19 @@
-"""What all other routers have at upstreams and gave teams, together."""
+"""Sums of the load and team usage that all other routers reported."""
 
 __all__ = [
     "ELSEWHERE",
-    "Key",
-    "Source",
+    "LoadSource",
+    "SourceKey",
     "Totals",
+    "apply_report",
+    "apply_totals",
     "compute_ages",
-    "drop_silent",
+    "drop_silent_sources",
     "drop_sources",
-    "list_keys",
     "list_services",
-    "note_totals",
+    "list_source_keys",
     "sum_loads",
     "sum_services",
-    "take_report",
 ]
 
 import collections
@@ -26,26 +26,27 @@
 from sycamorefall.direct import peers, upstreams
 from sycamorefall.direct import state as state_module
 
-Key = tuple[messages.LoadScope, str, int]
-"""Whose load it is: the scope, then the VM or failure domain, and the part."""
+SourceKey = tuple[messages.LoadScope, str, int]
+"""Identifies reported load: its scope, its VM or failure domain, its part."""
 
-ELSEWHERE: Key = (messages.LoadScope.ELSEWHERE, "", 0)
-"""The load of all other failure domains, as a delegate sums it up."""
+ELSEWHERE: SourceKey = (messages.LoadScope.ELSEWHERE, "", 0)
+"""Key of the load of all other failure domains, as summed up by a delegate."""
 
 
 @dataclasses.dataclass(slots=True)
-class Source:
-    """Load that is told of by one router at a time.
+class LoadSource:
+    """Load and team usage that one router at a time reports.
 
     Attributes:
-        reporter: VM name of the router that tells of it.
-        incarnation: The process there.
-        sequence: Number of its last message.
-        heard_at: When that came.
-        parts: In how many parts the load of the failure domain is told.
-        covers: Routers whose load it is.
-        loads: What they have at upstreams, by name.
-        services: What they gave teams, by service.
+        reporter: VM name of the router that reports it.
+        incarnation: Incarnation of the reporting process.
+        sequence: Sequence number of the last message.
+        heard_at: When the last message was received.
+        parts: Number of parts in which the load of its failure domain is
+            reported.
+        covers: Number of routers whose load is included.
+        loads: Load of these routers at upstreams, by upstream name.
+        services: Service that these routers gave to teams, by service.
     """
 
     reporter: str
@@ -64,25 +65,28 @@
 
 @dataclasses.dataclass(slots=True)
 class Totals:
-    """What all other routers have and gave together.
+    """Sums of the load and team usage of all other routers.
 
-    Kept up to date by the difference that a message makes. Adding up anew what
-    each of the others told took 0.4 ms a message with 27 of them and 14 ms
-    with 369, of which up to 80 come in a second: more than a core. By the
-    difference it takes 0.11 ms and 0.15 ms (`benchmarks.direct`). All amounts
-    are whole numbers, so no error grows.
+    Each message updates the sums by its difference from the previous one.
+    Recomputing the sums took 0.4 ms a message with 27 other routers and 14 ms
+    with 369; at up to 80 messages a second, the latter exceeds one core.
+    Incremental updates take 0.11 ms and 0.15 ms (`benchmarks.direct`). All
+    amounts are integers, so no rounding errors accumulate.
 
     Attributes:
-        sources: What was told, by whose load it is.
-        loads: Load at upstreams by name, also at those that are not listed
-            yet.
-        floors: Least that a team received that waits for an upstream, by the
-            upstream's name; those without any are left out.
-        short_floors: The same of teams that had a request refused lately.
-        services: What teams received, by service.
+        sources: The last report of each source.
+        loads: Load at upstreams by name, including upstreams that are not
+            listed yet.
+        floors: Service received by the least served team that waits for an
+            upstream, by upstream name. Upstreams that no team waits for are
+            left out.
+        short_floors: The same for teams that had a request refused recently.
+        services: Service received by teams, by service.
     """
 
-    sources: dict[Key, Source] = dataclasses.field(default_factory=dict)
+    sources: dict[SourceKey, LoadSource] = dataclasses.field(
+        default_factory=dict
+    )
     loads: dict[str, upstreams.Load] = dataclasses.field(default_factory=dict)
     floors: dict[str, int] = dataclasses.field(default_factory=dict)
     short_floors: dict[str, int] = dataclasses.field(default_factory=dict)
@@ -91,65 +95,70 @@
     )
 
 
-_ReadFloor = Callable[[messages.UpstreamLoad], int]
+_FloorGetter = Callable[[messages.UpstreamLoad], int]
 
-_READ_FLOOR: _ReadFloor = operator.attrgetter("floor")
+_GET_FLOOR: _FloorGetter = operator.attrgetter("floor")
 
-_READ_SHORT: _ReadFloor = operator.attrgetter("short_floor")
+_GET_SHORT_FLOOR: _FloorGetter = operator.attrgetter("short_floor")
 
-_NOTHING = messages.UpstreamLoad("", 0, 0, 0, -1)
-"""What a router has at an upstream that it doesn't tell of."""
+_NO_LOAD = messages.UpstreamLoad("", 0, 0, 0, -1)
+"""Load of a source at an upstream that it doesn't report."""
 
 
-def list_keys(totals: Totals, scope: messages.LoadScope) -> list[Key]:
-    """Lists whose load is told of in a scope."""
+def list_source_keys(
+    totals: Totals, scope: messages.LoadScope
+) -> list[SourceKey]:
+    """Lists the keys of the sources of a scope."""
     return [key for key in totals.sources if key[0] is scope]
 
 
-def take_report(
-    totals: Totals, key: Key, now: float, envelope: messages.Envelope
+def apply_report(
+    totals: Totals, key: SourceKey, now: float, envelope: messages.Envelope
 ) -> set[str] | None:
-    """Takes over what a router tells.
+    """Applies a report to its source and to the sums.
 
     Args:
-        totals: What all others have; changed.
-        key: Whose load it is.
+        totals: The sums; changed.
+        key: Key of the reported load.
         now: This process's time.
         envelope: A `RouterLoad` and its sender.
 
     Returns:
-        Upstreams whose load it may have changed; None if the message is
-        older than what is known, or changes something that isn't.
+        Names of the upstreams whose load may have changed; None if the message
+        is ignored because it is outdated, or a delta to an unknown report.
     """
     load: messages.RouterLoad = envelope.message
-    source = _find_source(totals, key, envelope)
+    source = _get_or_create_source(totals, key, envelope)
     if source is None:
         return None
-    told = {entry.upstream: entry for entry in load.upstreams}
-    changed = told.keys() | (source.loads.keys() if load.whole else set())
+    reported = {entry.upstream: entry for entry in load.upstreams}
+    changed = reported.keys() | (source.loads.keys() if load.whole else set())
     source.heard_at, source.sequence = now, load.sequence
     source.parts, source.covers = load.parts, load.covers
-    before = {name: source.loads.get(name, _NOTHING) for name in changed}
+    before = {name: source.loads.get(name, _NO_LOAD) for name in changed}
     if load.whole:
-        source.loads = told
+        source.loads = reported
         _replace_services(totals, source, load.services)
     else:
-        source.loads |= told
+        source.loads |= reported
     for name, old in before.items():
-        new = told.get(name, _NOTHING)
-        _move_load(totals, name, old, new)
-        _move_floor(totals, name, old, new)
+        new = reported.get(name, _NO_LOAD)
+        _update_load(totals, name, old, new)
+        _update_floors(totals, name, old, new)
     return changed
 
 
-def _find_source(
-    totals: Totals, key: Key, envelope: messages.Envelope
-) -> Source | None:
-    """Finds what is known of a load, if a message may change it.
+def _get_or_create_source(
+    totals: Totals, key: SourceKey, envelope: messages.Envelope
+) -> LoadSource | None:
+    """Looks up the source that a message updates, and creates it if missing.
 
-    A message of another process than told of it last counts if it is whole: a
-    change tells nothing of what was there before. Of a process that has
-    another one's VM only the later one counts.
+    Only a full update may come from another process than the last message,
+    because a delta doesn't include the unchanged loads. Of two processes on the
+    same VM, only the later incarnation counts.
+
+    Returns:
+        The source; None if the message must be ignored.
     """
     load: messages.RouterLoad = envelope.message
     known = totals.sources.get(key)
@@ -159,16 +168,17 @@
             return None
         if incarnation == known.incarnation:
             return known if load.sequence > known.sequence else None
-    # A process without an incarnation counts as not heard.
+    # A router of incarnation 0 counts as not heard, so its load would never
+    # be removed.
     if not load.whole or incarnation < 1:
         return None
     if known is None:
-        known = totals.sources[key] = Source(sender, incarnation, 0, 0.0)
+        known = totals.sources[key] = LoadSource(sender, incarnation, 0, 0.0)
     known.reporter, known.incarnation = sender, incarnation
     return known
 
 
-def _move_load(
+def _update_load(
     totals: Totals,
     name: str,
     old: messages.UpstreamLoad,
@@ -182,68 +192,72 @@
         del totals.loads[name]
 
 
-def _move_floor(
+def _update_floors(
     totals: Totals,
     name: str,
     old: messages.UpstreamLoad,
     new: messages.UpstreamLoad,
 ) -> None:
-    """Brings an upstream's floors up to date.
+    """Updates the floors of an upstream after one source's load changed.
 
-    Only if the least one rises are the others' floors looked at.
+    The floors of the other sources are examined only if the minimum rises.
     """
-    for floors, read in _list_floors(totals):
-        if read(new) == read(old):
+    for floors, get_floor in _list_floor_kinds(totals):
+        if get_floor(new) == get_floor(old):
             continue
-        least = floors.get(name, math.inf)
-        if 0 <= read(new) <= least:
-            floors[name] = read(new)
-        elif read(old) == least:
-            _find_floor(totals, name, floors, read)
+        min_floor = floors.get(name, math.inf)
+        if 0 <= get_floor(new) <= min_floor:
+            floors[name] = get_floor(new)
+        elif get_floor(old) == min_floor:
+            _recompute_floor(totals, name, floors, get_floor)
 
 
-def _list_floors(
+def _list_floor_kinds(
     totals: Totals,
-) -> tuple[tuple[dict[str, int], _ReadFloor], ...]:
-    """Lists the floors that are kept, and where loads tell of them."""
-    return (totals.floors, _READ_FLOOR), (totals.short_floors, _READ_SHORT)
+) -> tuple[tuple[dict[str, int], _FloorGetter], ...]:
+    """Pairs the minimum floors by upstream with the getters of their fields."""
+    return (totals.floors, _GET_FLOOR), (totals.short_floors, _GET_SHORT_FLOOR)
 
 
-def _find_floor(
-    totals: Totals, name: str, floors: dict[str, int], read: _ReadFloor
+def _recompute_floor(
+    totals: Totals, name: str, floors: dict[str, int], get_floor: _FloorGetter
 ) -> None:
     sources = totals.sources.values()
-    told = (read(source.loads.get(name, _NOTHING)) for source in sources)
-    least = min((floor for floor in told if floor >= 0), default=-1)
-    if least >= 0:
-        floors[name] = least
+    reported = (
+        get_floor(source.loads.get(name, _NO_LOAD)) for source in sources
+    )
+    min_floor = min((floor for floor in reported if floor >= 0), default=-1)
+    if min_floor >= 0:
+        floors[name] = min_floor
     else:
         floors.pop(name, None)
 
 
 def _replace_services(
-    totals: Totals, source: Source, services: Iterable[messages.ServiceDemand]
+    totals: Totals,
+    source: LoadSource,
+    services: Iterable[messages.ServiceDemand],
 ) -> None:
-    """Replaces what was given to teams."""
+    """Replaces a source's team usage and updates the sums."""
     for service, teams in source.services.items():
-        given = totals.services[service]
+        received = totals.services[service]
         for entry in teams:
-            given[entry.team] -= entry.amount
-            if not given[entry.team]:
-                del given[entry.team]
+            received[entry.team] -= entry.amount
+            if not received[entry.team]:
+                del received[entry.team]
     source.services = {one.service: one.teams for one in services}
     for service, teams in source.services.items():
-        given = totals.services.setdefault(service, collections.Counter())
+        received = totals.services.setdefault(service, collections.Counter())
         for entry in teams:
-            given[entry.team] += entry.amount
+            received[entry.team] += entry.amount
 
 
 def compute_ages(totals: Totals, now: float) -> dict[messages.LoadScope, float]:
-    """Finds how old the oldest load of each scope is, in seconds.
+    """Computes the age of the oldest report of each scope, in seconds.
 
     Example:
-        >>> one = Source("front-2", 1, 1, heard_at=1.0)
-        >>> two = Source("front-3", 1, 1, heard_at=1.5)
+        >>> one = LoadSource("front-2", 1, 1, heard_at=1.0)
+        >>> two = LoadSource("front-3", 1, 1, heard_at=1.5)
         >>> scope = messages.LoadScope.ROUTER
         >>> sources = {(scope, "front-2", 0): one, (scope, "front-3", 0): two}
         >>> compute_ages(Totals(sources), 1.75)[scope]
@@ -256,15 +270,15 @@
     return ages
 
 
-def drop_silent(totals: Totals, now: float) -> bool:
-    """Drops what was told by routers that say nothing any more.
+def drop_silent_sources(totals: Totals, now: float) -> bool:
+    """Drops sources that sent no message for `PEER_TIMEOUT`.
 
     Args:
-        totals: What all others have; changed.
+        totals: The sums; changed.
         now: This process's time.
 
     Returns:
-        Whether there was any.
+        Whether any source was dropped.
     """
     silent = [
         key
@@ -275,23 +289,25 @@
     return bool(silent)
 
 
-def drop_sources(totals: Totals, keys: Collection[Key]) -> None:
-    """Drops some loads, then finds each floor once."""
+def drop_sources(totals: Totals, keys: Collection[SourceKey]) -> None:
+    """Drops sources, then recomputes each affected floor once."""
     dropped = [totals.sources.pop(key) for key in keys]
     entries = [entry for one in dropped for entry in one.loads.values()]
     for source in dropped:
         _replace_services(totals, source, ())
     for entry in entries:
-        _move_load(totals, entry.upstream, entry, _NOTHING)
-    for floors, read in _list_floors(totals):
-        for name in {one.upstream for one in entries if read(one) >= 0}:
-            _find_floor(totals, name, floors, read)
+        _update_load(totals, entry.upstream, entry, _NO_LOAD)
+    for floors, get_floor in _list_floor_kinds(totals):
+        for name in {one.upstream for one in entries if get_floor(one) >= 0}:
+            _recompute_floor(totals, name, floors, get_floor)
 
 
 def sum_loads(
     parts: Iterable[Iterable[messages.UpstreamLoad]],
 ) -> dict[str, messages.UpstreamLoad]:
-    """Adds up what several routers have at upstreams.
+    """Sums up the loads of several routers by upstream.
+
+    The floors of a sum are the minimum of the floors.
 
     Example:
         >>> one = messages.UpstreamLoad("e1", 1, 10, 100, 7)
@@ -316,75 +332,75 @@
         one.running + other.running,
         one.unread + other.unread,
         one.memory + other.memory,
-        _find_least(one.floor, other.floor),
-        _find_least(one.short_floor, other.short_floor),
+        _find_min_floor(one.floor, other.floor),
+        _find_min_floor(one.short_floor, other.short_floor),
     )
 
 
-def _find_least(*floors: int) -> int:
-    """Finds the least of some floors; -1 if there is none."""
+def _find_min_floor(*floors: int) -> int:
+    """Returns the minimum of the floors other than -1; -1 if there is none."""
     return min((floor for floor in floors if floor >= 0), default=-1)
 
 
 def sum_services(
     parts: Iterable[Iterable[messages.ServiceDemand]],
 ) -> tuple[messages.ServiceDemand, ...]:
-    """Adds up what several routers gave teams."""
+    """Sums up by service what several routers gave to teams."""
     sums: dict[str, collections.Counter[str]] = {}
     for services in parts:
         for service in services:
-            given = sums.setdefault(service.service, collections.Counter())
+            received = sums.setdefault(service.service, collections.Counter())
             for entry in service.teams:
-                given[entry.team] += entry.amount
+                received[entry.team] += entry.amount
     return tuple(
         messages.ServiceDemand(
             service,
-            tuple(messages.TeamService(*entry) for entry in given.items()),
+            tuple(messages.TeamService(*entry) for entry in received.items()),
         )
-        for service, given in sums.items()
+        for service, received in sums.items()
     )
 
 
-def list_services(source: Source) -> list[messages.ServiceDemand]:
-    """Lists what a source's routers gave teams."""
+def list_services(source: LoadSource) -> list[messages.ServiceDemand]:
+    """Lists by service what the routers of a source gave to teams."""
     return [
         messages.ServiceDemand(service, teams)
         for service, teams in source.services.items()
     ]
 
 
-def note_totals(
+def apply_totals(
     totals: Totals,
     state: state_module.DirectState,
     names: Set[str],
     teams: bool,
 ) -> None:
-    """Takes note of what the others have at some upstreams.
+    """Copies the sums to the state's upstreams and team accounts.
 
     Args:
-        totals: What all of them have.
-        state: The router's decisions; changed.
-        names: The upstreams; those that are not listed are left out.
-        teams: Whether what they gave teams may have changed too.
+        totals: The sums.
+        state: The router's state; changed.
+        names: Names of the upstreams to update; unlisted ones are ignored.
+        teams: Whether to update the team accounts too.
     """
     covered = sum(source.covers for source in totals.sources.values())
     state.routers = 1 + covered
     state.dispatch_needed = True
     for name in names & state.table.by_name.keys():
         upstream = state.table.by_name[name]
-        total = totals.loads.get(name, _NOTHING)
+        total = totals.loads.get(name, _NO_LOAD)
         upstream.others = upstreams.Load(
             total.running, total.unread, total.memory
         )
         upstream.floor = totals.floors.get(name, math.inf)
         upstream.short_floor = totals.short_floors.get(name, math.inf)
     if teams:
-        _note_teams(totals, state)
+        _apply_team_totals(totals, state)
 
 
-def _note_teams(totals: Totals, state: state_module.DirectState) -> None:
-    """Takes note of what the others gave each team."""
+def _apply_team_totals(totals: Totals, state: state_module.DirectState) -> None:
+    """Copies the other routers' team usage to the state's accounts."""
     for accounts in state.accounts.values():
         accounts.others = {}
-    for service, given in totals.services.items():
-        state_module.get_or_create_accounts(state, service).others = given
+    for service, received in totals.services.items():
+        state_module.get_or_create_accounts(state, service).others = received
