--- a/sycamorefall/direct/exchange.py
+++ b/sycamorefall/direct/exchange.py
@@ -437,10 +437,10 @@
     )
     delegates = _rank_delegates(exchange, state, now)
     named = tuple(
-        msgspec.structs.replace(one, delegate=True)
-        if one.vm in delegates
-        else one
-        for one in (own, *known)
+        msgspec.structs.replace(router, delegate=True)
+        if router.vm in delegates
+        else router
+        for router in (own, *known)
     )
     return OutboundMessage((sender,), messages.KnownRouters(named))
 
@@ -601,8 +601,8 @@
         name: own_load_module.build_load(
             state, name, floors.get(name, -1), short.get(name, -1)
         )
-        for name, one in state.table.by_name.items()
-        if one.own.running or name in floors
+        for name, upstream in state.table.by_name.items()
+        if upstream.own.running or name in floors
     }
     return _build_full_update(
         exchange,
@@ -848,16 +848,16 @@
     allowed = min(exchange.prompt_budget + earned, max(1.0, rate))
     exchange.budget_updated_at = now
     placements, state.placements = state.placements, []
-    placements.sort(key=lambda one: one.new_tokens, reverse=True)
+    placements.sort(key=lambda placement: placement.new_tokens, reverse=True)
     reported = placements[: int(allowed)]
     exchange.prompt_budget = allowed - len(reported)
     return [
         messages.SentPrompt(
-            one.upstream,
-            one.prompt.digests[:-1],
-            one.prompt.tokens - one.prompt.shared,
+            placement.upstream,
+            placement.prompt.digests[:-1],
+            placement.prompt.tokens - placement.prompt.shared,
         )
-        for one in reported
+        for placement in reported
     ]
 
 
--- a/sycamorefall/direct/own_load.py
+++ b/sycamorefall/direct/own_load.py
@@ -28,8 +28,8 @@
     nothing = messages.UpstreamLoad("", 0, 0, 0)
     return {
         name: build_load(state, name, last.floor, last.short_floor)
-        for name, one in state.table.by_name.items()
-        if one.own.running or name in last_sent
+        for name, upstream in state.table.by_name.items()
+        if upstream.own.running or name in last_sent
         for last in [last_sent.get(name, nothing)]
     }
 
--- a/sycamorefall/direct/service_floors.py
+++ b/sycamorefall/direct/service_floors.py
@@ -1,7 +1,8 @@
 """Floors that keep engines free for teams that wait at this router; no I/O.
 
 A floor of an engine is the service received by the least served team that waits
-for it. Other routers don't send requests of better served teams to the engine.
+for it. Other routers don't send the engine requests of teams that received
+clearly more.
 """
 
 __all__ = [
@@ -22,8 +23,8 @@
 )
 
 MAX_ENGINES_PER_REQUEST = 8
-"""Engines that are kept free for one waiting request: one of this many has room
-soon. If all engines were kept free for it, teams that wait at different routers
+"""Engines that are kept free for one waiting request; one of eight soon
+has room. If all engines were kept free for it, teams that wait at different routers
 would keep each other off engines that are half idle."""
 
 
@@ -84,7 +85,9 @@
     engine_loads = upstream_selection.list_engine_loads(
         state.table, now, service, full=True
     )
-    without_floor = {one.upstream: one for one in engine_loads}
+    without_floor = {
+        engine_load.upstream: engine_load for engine_load in engine_loads
+    }
     for team in teams:
         received = int(fair_queue.compute_received(accounts, now, team))
         candidates = list(fair_queue.list_candidates(queue, team))
@@ -103,7 +106,7 @@
             awaited = upstream_selection.list_awaited_engines(
                 state.table, now, service, constraints, without_floor.values()
             )
-            for one in awaited[:max_engines]:
-                del without_floor[one]
-                floors[one.listed.name] = received
+            for engine in awaited[:max_engines]:
+                del without_floor[engine]
+                floors[engine.listed.name] = received
     return floors
--- a/sycamorefall/direct/tests/test_delegates.py
+++ b/sycamorefall/direct/tests/test_delegates.py
@@ -15,15 +15,19 @@
     """Creates a fleet that has run for 5 s, with a request at each router."""
     fleet = simulated_fleet.Fleet(**kinds)
     fleet.run(2.0)
-    for one in fleet.list_live():
-        one.submit_request(fleet.now)
+    for router in fleet.list_live():
+        router.submit_request(fleet.now)
     fleet.run(3.0)
     return fleet
 
 
 def list_delegates(fleet, domain="domain-0"):
-    one = next(one for one in fleet.list_live() if one.domain == domain)
-    return exchange._rank_delegates(one.load_exchange, one.state, fleet.now)
+    router = next(
+        router for router in fleet.list_live() if router.domain == domain
+    )
+    return exchange._rank_delegates(
+        router.load_exchange, router.state, fleet.now
+    )
 
 
 @pytest.mark.parametrize(
@@ -44,11 +48,15 @@
     for domains in (2, 6):
         fleet = create_busy_fleet(domains=domains, size=6)
         fleet.run(4.0)
-        for one in fleet.list_live():
-            one.messages_received = one.remote_bytes_received = 0
+        for router in fleet.list_live():
+            router.messages_received = router.remote_bytes_received = 0
         fleet.run(5.0)
-        received[domains] = [one.messages_received for one in fleet.list_live()]
-        remote_bytes = [one.remote_bytes_received for one in fleet.list_live()]
+        received[domains] = [
+            router.messages_received for router in fleet.list_live()
+        ]
+        remote_bytes = [
+            router.remote_bytes_received for router in fleet.list_live()
+        ]
         assert sum(size > 0 for size in remote_bytes) == 2 * domains, (
             "delegates only"
         )
@@ -62,9 +70,9 @@
     sender = fleet.routers["router-1-5"]
     _, sent = sender.submit_request(fleet.now, tokens=LARGE)
     fleet.run(0.12)
-    for one in fleet.list_live():
-        engine = one.state.table.by_name[sent.upstream]
-        assert engine.unread >= LARGE, one.name
+    for router in fleet.list_live():
+        engine = router.state.table.by_name[sent.upstream]
+        assert engine.unread >= LARGE, router.name
 
 
 def test_engine_is_kept_free_for_team_of_another_failure_domain():
@@ -73,14 +81,14 @@
     # that becomes free to a large team.
     fleet = create_busy_fleet(domains=2, size=4)
     waiting = fleet.routers["router-0-3"]
-    for one in waiting.state.table.by_name.values():
-        one.own.running = 4
+    for upstream in waiting.state.table.by_name.values():
+        upstream.own.running = 4
     waiting.submit_request(fleet.now, team="trader")
     fleet.run(0.35)
-    for one in fleet.list_live():
-        if one is not waiting:
-            floors = [up.floor for up in one.state.table.by_name.values()]
-            assert max(floors) < float("inf"), one.name
+    for router in fleet.list_live():
+        if router is not waiting:
+            floors = [up.floor for up in router.state.table.by_name.values()]
+            assert max(floors) < float("inf"), router.name
 
 
 def test_idle_engines_are_kept_free_for_refused_team_elsewhere():
@@ -88,23 +96,25 @@
     # nearly idle engines from a team that is refused in another domain.
     fleet = create_busy_fleet(domains=3, size=4)
     refusing = fleet.routers["router-0-3"]
-    for one in refusing.state.table.by_name.values():
-        one.own.running = 4
+    for upstream in refusing.state.table.by_name.values():
+        upstream.own.running = 4
     refusing.submit_request(fleet.now, team="trader")
     fleet.run(0.45)
     core.run_timers(refusing.state, fleet.now)
     refusing.submit_request(fleet.now, team="trader")
     fleet.run(0.35)
-    for one in fleet.list_live():
-        if one is not refusing:
-            floors = [up.short_floor for up in one.state.table.by_name.values()]
-            assert max(floors) < float("inf"), one.name
+    for router in fleet.list_live():
+        if router is not refusing:
+            floors = [
+                up.short_floor for up in router.state.table.by_name.values()
+            ]
+            assert max(floors) < float("inf"), router.name
     fleet.run(3.0)
     core.run_timers(refusing.state, fleet.now)
     fleet.run(3.0)
-    for one in fleet.list_live():
-        floors = [up.short_floor for up in one.state.table.by_name.values()]
-        assert min(floors) == float("inf"), one.name
+    for router in fleet.list_live():
+        floors = [up.short_floor for up in router.state.table.by_name.values()]
+        assert min(floors) == float("inf"), router.name
 
 
 def test_team_is_charged_for_service_in_all_failure_domains():
@@ -117,11 +127,11 @@
             fleet.now, team="mill", tokens=10_000
         )
     fleet.run(0.5)
-    for one in fleet.list_live():
-        accounts = one.state.accounts["engine"]
+    for router in fleet.list_live():
+        accounts = router.state.accounts["engine"]
         received = accounts.others.get("mill", 0.0)
         own = accounts.own.get("mill", (0.0, 0.0))[0]
-        assert received + own >= 3 * 10_000 * 0.7, one.name
+        assert received + own >= 3 * 10_000 * 0.7, router.name
 
 
 def test_cached_prompt_is_known_in_other_failure_domains():
@@ -131,14 +141,14 @@
     fleet = create_busy_fleet(domains=2, size=4)
     sender = fleet.routers["router-0-3"]
     parts = (("paper", fetching.MIN_FETCH_TOKENS + 5000),)
-    for one in fleet.list_live():
+    for router in fleet.list_live():
         catalog = fakes.create_catalog(version=2, fetch_rate=1e6)
-        core.apply_catalog(one.state, fleet.now, catalog)
+        core.apply_catalog(router.state, fleet.now, catalog)
     _, sent = sender.submit_request(fleet.now, tokens=LARGE, parts=parts)
     fleet.run(1.0)
-    for one in fleet.list_live():
-        cache = one.state.table.by_name[sent.upstream].cache
-        assert sum(cache.parts.values()) >= parts[0][1], one.name
+    for router in fleet.list_live():
+        cache = router.state.table.by_name[sent.upstream].cache
+        assert sum(cache.parts.values()) >= parts[0][1], router.name
 
 
 @pytest.mark.parametrize("count", [1, 2])
@@ -180,9 +190,9 @@
     fleet = create_busy_fleet(
         domains=2, size=6, capacities=(4, 4, 4, 4, 21, 21)
     )
-    for one in fleet.list_live():
-        if one.load_exchange.role.part is not None:
-            assert one.load_exchange.capacity == 21
+    for router in fleet.list_live():
+        if router.load_exchange.role.part is not None:
+            assert router.load_exchange.capacity == 21
 
 
 def test_failure_domain_is_counted_again_after_a_partition():
@@ -210,8 +220,8 @@
 def test_routers_discover_each_other_after_a_power_loss():
     # All VMs start at once and know only the seed, in one failure domain.
     fleet = simulated_fleet.Fleet(domains=6, size=6, seeds=1)
-    for one in fleet.list_live():
-        one.submit_request(fleet.now)
+    for router in fleet.list_live():
+        router.submit_request(fleet.now)
     fleet.run(4.0)
     assert fleet.list_miscounts() == []
 
@@ -223,8 +233,8 @@
     gone = fleet.routers["router-0-0"]
     gone.alive = False
     fleet.run(140.0)
-    for one in fleet.list_live():
-        assert gone.name not in one.load_exchange.peers, one.name
+    for router in fleet.list_live():
+        assert gone.name not in router.load_exchange.peers, router.name
 
 
 def test_router_of_the_previous_version_is_counted():
@@ -256,15 +266,15 @@
             case 0:
                 fleet.routers[data.draw(names)].alive = False
             case 1:
-                one = fleet.restart(data.draw(names))
-                one.submit_request(fleet.now)
+                router = fleet.restart(data.draw(names))
+                router.submit_request(fleet.now)
             case 2:
                 fleet.partitioned ^= {
                     f"domain-{data.draw(strategies.integers(0, 3))}"
                 }
             case 3:
-                one = fleet.routers[data.draw(names)]
-                one.submit_request(
+                router = fleet.routers[data.draw(names)]
+                router.submit_request(
                     fleet.now, tokens=data.draw(strategies.just(LARGE))
                 )
             case 4:
--- a/sycamorefall/direct/tests/test_loads.py
+++ b/sycamorefall/direct/tests/test_loads.py
@@ -186,7 +186,9 @@
     now = 0.0
     for step, arrives in steps:
         now += 0.02
-        running = [one for one in here.requests.values() if one.attempt]
+        running = [
+            request for request in here.requests.values() if request.attempt
+        ]
         if step == "take":
             fakes.submit_request(here, now, "draft", tokens=2000)
         elif step == "end" and running:
--- a/sycamorefall/direct/tests/test_totals.py
+++ b/sycamorefall/direct/tests/test_totals.py
@@ -65,9 +65,9 @@
 
 def check_totals(load_exchange, state, names):
     for name in names & state.table.by_name.keys():
-        one = state.table.by_name[name]
-        floors = one.floor, one.short_floor
-        assert (one.others, *floors) == sum_reported(load_exchange, name)
+        upstream = state.table.by_name[name]
+        floors = upstream.floor, upstream.short_floor
+        assert (upstream.others, *floors) == sum_reported(load_exchange, name)
     others = state.accounts["engine"].others if state.accounts else {}
     for team in TEAMS:
         assert others.get(team, 0) == sum_reported_team(load_exchange, team)
--- a/sycamorefall/direct/totals.py
+++ b/sycamorefall/direct/totals.py
@@ -168,7 +168,7 @@
             return None
         if incarnation == known.incarnation:
             return known if load.sequence > known.sequence else None
-    # A router of incarnation 0 counts as not heard, so its load would never
+    # A process of incarnation 0 counts as not heard, so its load would never
     # be removed.
     if not load.whole or incarnation < 1:
         return None
@@ -245,7 +245,7 @@
             received[entry.team] -= entry.amount
             if not received[entry.team]:
                 del received[entry.team]
-    source.services = {one.service: one.teams for one in services}
+    source.services = {demand.service: demand.teams for demand in services}
     for service, teams in source.services.items():
         received = totals.services.setdefault(service, collections.Counter())
         for entry in teams:
@@ -292,13 +292,17 @@
 def drop_sources(totals: Totals, keys: Collection[SourceKey]) -> None:
     """Drops sources, then recomputes each affected floor once."""
     dropped = [totals.sources.pop(key) for key in keys]
-    entries = [entry for one in dropped for entry in one.loads.values()]
+    entries = [
+        entry
+        for dropped_source in dropped
+        for entry in dropped_source.loads.values()
+    ]
     for source in dropped:
         _replace_services(totals, source, ())
     for entry in entries:
         _update_load(totals, entry.upstream, entry, _NO_LOAD)
     for floors, get_floor in _list_floor_kinds(totals):
-        for name in {one.upstream for one in entries if get_floor(one) >= 0}:
+        for name in {load.upstream for load in entries if get_floor(load) >= 0}:
             _recompute_floor(totals, name, floors, get_floor)
 
 
@@ -325,15 +329,15 @@
 
 
 def _add_loads(
-    one: messages.UpstreamLoad, other: messages.UpstreamLoad
+    first: messages.UpstreamLoad, second: messages.UpstreamLoad
 ) -> messages.UpstreamLoad:
     return messages.UpstreamLoad(
-        one.upstream,
-        one.running + other.running,
-        one.unread + other.unread,
-        one.memory + other.memory,
-        _find_min_floor(one.floor, other.floor),
-        _find_min_floor(one.short_floor, other.short_floor),
+        first.upstream,
+        first.running + second.running,
+        first.unread + second.unread,
+        first.memory + second.memory,
+        _find_min_floor(first.floor, second.floor),
+        _find_min_floor(first.short_floor, second.short_floor),
     )
 
 
