--- a/sycamorefall/direct/service_floors.py
+++ b/sycamorefall/direct/service_floors.py
@@ -23,8 +23,8 @@
 )
 
 MAX_ENGINES_PER_REQUEST = 8
-"""Engines that are kept free for one waiting request; one of eight soon
-has room. If all engines were kept free for it, teams that wait at different routers
+"""Engines that are kept free for one waiting request; one of eight soon has
+room. If all engines were kept free for it, teams that wait at different routers
 would keep each other off engines that are half idle."""
 
 
