--- a/sycamorefall/direct/crash_exchange.py
+++ b/sycamorefall/direct/crash_exchange.py
@@ -130,7 +130,7 @@
         remote_delegates = exchange_module.list_remote_delegates(
             exchange, state, now
         )
-    reports = [
+    outbound = [
         exchange_module.OutboundMessage(receivers, message)
         for outbox, receivers in (
             (pending.local_outbox, local_receivers),
@@ -142,12 +142,12 @@
         pending.summary_due = now + SUMMARY_INTERVAL
         message = _build_summary(state, now) if is_delegate else None
         if message is not None:
-            reports.append(
+            outbound.append(
                 exchange_module.OutboundMessage(
                     (*local_receivers, *remote_delegates), message
                 )
             )
-    return reports
+    return outbound
 
 
 def _enqueue(
--- a/sycamorefall/direct/quarantine.py
+++ b/sycamorefall/direct/quarantine.py
@@ -202,11 +202,11 @@
     suspect = quarantine.suspects.get(fingerprint)
     if suspect is None:
         return
-    found = [
+    evidence = [
         Evidence(crash, fingerprint, True, suspect.seen_at)
         for crash in _list_uncleared(suspect)
     ]
-    new, _ = add_evidence(quarantine, now, found)
+    new, _ = add_evidence(quarantine, now, evidence)
     quarantine.unsent += ((one.crash, one.fingerprint) for one in new)
 
 
--- a/sycamorefall/direct/stalls.py
+++ b/sycamorefall/direct/stalls.py
@@ -22,7 +22,7 @@
 this router is taken for stalled."""
 
 PLAIN_RESPONSE_TIMEOUT = 0.5
-"""Seconds after which a request to a plain service is retried elsewhere if its
+"""Seconds after which a request to a plain service is to_retry elsewhere if its
 route allows retries: ten times the usual response time."""
 
 
@@ -51,14 +51,14 @@
         if request.attempt.upstream in silent
         and _is_stalled(state, now, request)
     }
-    retried = [
+    to_retry = [
         request
         for request in running
         if _should_retry(state, now, request, stalled)
     ]
     for name in stalled:
         upstreams.suspend_upstream(state.table.by_name[name], now)
-    for request in retried:
+    for request in to_retry:
         done += _retry_elsewhere(state, now, request)
     return done
 
@@ -143,7 +143,7 @@
     request: state_module.Request,
     stalled: set[str],
 ) -> bool:
-    """Returns whether a request is to be retried at another upstream."""
+    """Returns whether a request is to be to_retry at another upstream."""
     if not request.route.kind.retryable:
         return False
     if request.possible_runs + 1 >= request.route.max_upstreams:
--- a/sycamorefall/direct/tests/test_crash_exchange.py
+++ b/sycamorefall/direct/tests/test_crash_exchange.py
@@ -10,14 +10,14 @@
 HARMFUL = b"h" * 16
 
 SPREAD_BOUND = 3.0
-"""Seconds within which all routers must know of a third crash."""
+"""Seconds within which all routers must learn of a third crash."""
 
 
 def record_crash(fleet, name, crash, request=HARMFUL, cleared=False):
     """Records a crash at one router, or a request's success after it."""
     known = fleet.routers[name].state.quarantine
-    found = [Evidence(Crash(crash, 1), request, cleared, fleet.now)]
-    new, _ = quarantine.add_evidence(known, fleet.now, found)
+    evidence = [Evidence(Crash(crash, 1), request, cleared, fleet.now)]
+    new, _ = quarantine.add_evidence(known, fleet.now, evidence)
     known.unsent += ((one.crash, one.fingerprint) for one in new)
 
 
@@ -37,7 +37,7 @@
     return made
 
 
-def test_crashes_seen_by_three_routers_are_added_up_at_all_routers(fleet):
+def test_crashes_seen_by_three_routers_are_summed_at_all_routers(fleet):
     # Guards against a request whose repetitions arrive at different routers,
     # each of which sees only one crash.
     for name, crash in (
@@ -128,10 +128,10 @@
         record_crash(fleet, "router-0-1", "e1", b"%016d" % number)
     one = fleet.routers["router-0-1"]
     for _ in range(10):
-        for report in crash_exchange.build_due_messages(
+        for outbound in crash_exchange.build_due_messages(
             one.crashes, one.load_exchange, one.state, fleet.now
         ):
-            envelope = messages.Envelope(one.name, 1, 1, report.message)
+            envelope = messages.Envelope(one.name, 1, 1, outbound.message)
             sizes.append(len(messages.encode_envelope(envelope)))
         fleet.now += crash_exchange.SEND_INTERVAL
     assert max(sizes) < 2000
--- a/sycamorefall/direct/tests/test_crashes.py
+++ b/sycamorefall/direct/tests/test_crashes.py
@@ -33,25 +33,36 @@
     return fakes.create_state(listing=LISTING)
 
 
-def lose_connection(state, now, number, found=Reachability.REFUSED):
-    """Ends an attempt with a lost connection; returns all effects."""
+def lose_connection(state, now, number, reachability=Reachability.REFUSED):
+    """Ends an attempt by a lost connection and checks the upstream.
+
+    Returns:
+        All effects.
+    """
     checks = crashes.record_disconnect(state, now, number)
     done = outcomes.end_attempt(state, now, number, AttemptEnd.BROKEN)
     for check in checks:
-        done = [*done, *crashes.handle_check_result(state, now, check, found)]
+        done = [
+            *done,
+            *crashes.handle_check_result(state, now, check, reachability),
+        ]
     return done
 
 
 def add_crashes(state, now, request, *names):
-    """Adds evidence of a request at crashes; returns new quarantines."""
-    found = [
+    """Adds evidence of a request at crashes.
+
+    Returns:
+        Fingerprints that are newly quarantined.
+    """
+    evidence = [
         quarantine.Evidence(quarantine.Crash(name, 0), request, False, now)
         for name in names
     ]
-    return quarantine.add_evidence(state.quarantine, now, found)[1]
+    return quarantine.add_evidence(state.quarantine, now, evidence)[1]
 
 
-def get_fingerprint(route, team="mill"):
+def compute_route_fingerprint(route, team="mill"):
     asked = fakes.create_request(route, team)
     return fingerprints.compute_fingerprint(
         asked, team if route in ("draft", "answer") else ""
@@ -81,8 +92,8 @@
     number, first = fakes.submit_request(state, 0.0, "look")
     request = state.requests[number]
     request.route = dataclasses.replace(request.route, max_upstreams=5)
-    again = fakes.list_sends(lose_connection(state, 0.1, number))
-    assert [one.upstream for one in again] != [first.upstream]
+    retry = fakes.list_sends(lose_connection(state, 0.1, number))
+    assert [one.upstream for one in retry] != [first.upstream]
     done = lose_connection(state, 0.2, number)
     assert not fakes.list_sends(done)
     assert fakes.list_error_kinds(done) == [errors.ErrorKind.RETRIES_EXHAUSTED]
@@ -91,20 +102,22 @@
 def test_suspect_is_not_retried(state):
     # Guards against a retry by a router that knows of an earlier crash from
     # another router.
-    add_crashes(state, 0.0, get_fingerprint("look"), "elsewhere")
+    add_crashes(state, 0.0, compute_route_fingerprint("look"), "elsewhere")
     number, _ = fakes.submit_request(state, 0.0, "look")
     assert not fakes.list_sends(lose_connection(state, 0.1, number))
 
 
-@pytest.mark.parametrize("found", [Reachability.ACCEPTED, Reachability.UNKNOWN])
+@pytest.mark.parametrize(
+    "reachability", [Reachability.ACCEPTED, Reachability.UNKNOWN]
+)
 def test_lost_connection_to_a_live_or_unreachable_upstream_is_no_crash(
-    state, found
+    state, reachability
 ):
     # Guards against quarantining harmless requests because an upstream resets
     # connections or is unreachable.
     for now in (0.0, 1.0, 2.0, 3.0):
         number, _ = fakes.submit_request(state, now, "draft")
-        lose_connection(state, now + 0.1, number, found)
+        lose_connection(state, now + 0.1, number, reachability)
     assert not state.quarantine.suspects
 
 
@@ -172,8 +185,8 @@
 def test_success_clears_a_suspect_and_queues_the_evidence(state):
     # Guards against a harmless request that stays a suspect at other routers.
     number, _ = fakes.submit_request(state, 0.0, "answer")
-    again = lose_connection(state, 0.1, number)
-    assert fakes.list_sends(again)
+    retry = lose_connection(state, 0.1, number)
+    assert fakes.list_sends(retry)
     state.quarantine.unsent.clear()
     outcomes.end_attempt(state, 0.5, number, AttemptEnd.COMPLETE)
     (record,) = state.quarantine.unsent
@@ -187,17 +200,19 @@
     state = fakes.create_state(listing=[])
     number, sent = fakes.submit_request(state, 0.0, "draft")
     assert sent is None
-    added = add_crashes(state, 0.0, get_fingerprint("draft"), "a", "b", "c")
+    added = add_crashes(
+        state, 0.0, compute_route_fingerprint("draft"), "a", "b", "c"
+    )
     done = crashes.report_quarantined(state, 0.1, added)
     assert fakes.list_error_kinds(done) == [errors.ErrorKind.QUARANTINED]
     assert not state.requests
 
 
-def test_quarantined_request_is_not_sent_on_after_a_refused_connection(state):
+def test_quarantined_request_is_not_retried_after_a_refused_connection(state):
     # Guards against sending a request to the next upstream if it was
     # quarantined while its connection was being established.
     number, _ = fakes.submit_request(state, 0.0, "draft")
-    add_crashes(state, 0.0, get_fingerprint("draft"), "a", "b", "c")
+    add_crashes(state, 0.0, compute_route_fingerprint("draft"), "a", "b", "c")
     done = outcomes.end_attempt(state, 0.1, number, AttemptEnd.NOT_SENT)
     assert fakes.list_error_kinds(done) == [errors.ErrorKind.QUARANTINED]
 
@@ -209,12 +224,12 @@
     assert isinstance(check.address, settings.Address)
 
 
-def test_quarantined_request_is_not_sent_on_from_a_silent_upstream(state):
+def test_quarantined_request_is_not_retried_after_a_stall(state):
     # Guards against sending a request to the next upstream if it was
-    # quarantined while in progress at a silent upstream.
+    # quarantined while in progress at a stalled upstream.
     number, sent = fakes.submit_request(state, 0.0, "look")
     assert sent
-    add_crashes(state, 0.1, get_fingerprint("look"), "a", "b", "c")
+    add_crashes(state, 0.1, compute_route_fingerprint("look"), "a", "b", "c")
     done = core.run_timers(state, 0.7)
     assert not fakes.list_sends(done)
     assert fakes.list_error_kinds(done) == [errors.ErrorKind.RETRIES_EXHAUSTED]
--- a/sycamorefall/direct/tests/test_fingerprints.py
+++ b/sycamorefall/direct/tests/test_fingerprints.py
@@ -48,10 +48,10 @@
 
 
 @given(strategies.lists(strategies.text(max_size=4), min_size=4, max_size=4))
-def test_parts_are_kept_apart(parts):
+def test_field_boundaries_affect_the_fingerprint(fields):
     # Guards against a caller that shifts bytes between adjacent fields to
     # produce the fingerprint of another team's request.
-    method, host, target, team = parts
+    method, host, target, team = fields
     moved = compute(
         team, method=method + host[:1], host=host[1:], target=target
     )
--- a/sycamorefall/direct/tests/test_quarantine.py
+++ b/sycamorefall/direct/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Quarantine of requests by the crashes at which they were in progress."""
+"""Quarantine of requests that were in progress at several crashes."""
 
 import itertools
 import random
--- a/sycamorefall/direct/tests/test_stalls.py
+++ b/sycamorefall/direct/tests/test_stalls.py
@@ -53,12 +53,12 @@
         for one in running
         if stalls._is_stalled(state, NOW, one)
     }
-    retried = [
+    to_retry = [
         one for one in running if stalls._should_retry(state, NOW, one, stalled)
     ]
     for name in stalled:
         upstreams.suspend_upstream(state.table.by_name[name], NOW)
-    for request in retried:
+    for request in to_retry:
         done += stalls._retry_elsewhere(state, NOW, request)
     return done
 
--- a/sycamorefall/direct/tests/test_upstreams.py
+++ b/sycamorefall/direct/tests/test_upstreams.py
@@ -1,4 +1,4 @@
-"""Listings of upstreams: lapsed entries, leaving, replaced, reused."""
+"""Listings, notices and retry delays of upstreams."""
 
 import dataclasses
 import math
@@ -14,41 +14,41 @@
     return {one.listed.name for one in upstreams.list_upstreams(table, service)}
 
 
-def read_listing(table, now, listing):
-    """Takes over a listing that was read, and the proof that it is."""
-    gone = upstreams.replace_listing(table, now, listing)
+def apply_current_listing(table, now, listing):
+    """Applies a listing and records that it is current."""
+    dropped = upstreams.replace_listing(table, now, listing)
     upstreams.confirm_listing(table, now, now)
-    return gone
+    return dropped
 
 
 def test_lapsed_entries_do_not_stop_the_service():
-    # The platform was down; on its return it lists no upstream, as their
-    # entries lapsed meanwhile. Callers must go on being served: the entries
-    # are back within two seconds. One that isn't by then is gone.
+    # Guards against dropping live upstreams after a platform outage, in which
+    # their entries lapsed. Upstreams renew their entries within two seconds; an
+    # upstream that has not by the end of the grace period is dropped.
     table = upstreams.UpstreamTable()
     both = [
         fakes.create_upstream_entry("e1"),
         fakes.create_upstream_entry("e2", port=2),
     ]
-    read_listing(table, 10.0, both)
-    assert read_listing(table, 20.0, []) == []
+    apply_current_listing(table, 10.0, both)
+    assert apply_current_listing(table, 20.0, []) == []
     assert list_names(table) == {"e1", "e2"}
-    read_listing(table, 21.0, both[:1])
-    gone = read_listing(table, 22.4, both[:1])
-    assert gone == ["e2"]
+    apply_current_listing(table, 21.0, both[:1])
+    dropped = apply_current_listing(table, 22.4, both[:1])
+    assert dropped == ["e2"]
 
 
 def test_lapsed_entry_that_does_not_come_back_is_dropped_in_time():
-    # The same, and nothing is written to the platform any more, so no later
-    # listing tells that the upstream is gone. It would be sent requests for
-    # ever.
+    # Guards against sending requests forever to an upstream that is gone, if
+    # nothing is written to the platform after the outage, so that no later
+    # listing arrives.
     table = upstreams.UpstreamTable()
     both = [
         fakes.create_upstream_entry("e1"),
         fakes.create_upstream_entry("e2", port=2),
     ]
-    read_listing(table, 10.0, both)
-    read_listing(table, 20.0, both[:1])
+    apply_current_listing(table, 10.0, both)
+    apply_current_listing(table, 20.0, both[:1])
     end = upstreams.find_grace_end(table)
     assert upstreams.drop_missing(table, end - 0.01) == []
     assert list_names(table) == {"e1", "e2"}
@@ -58,17 +58,17 @@
     assert upstreams.find_grace_end(table) == math.inf
 
 
-def test_missing_entry_means_gone_while_the_platform_is_steady():
-    # An upstream leaves without notice: its entry is removed. It must get
-    # no new request within two seconds.
+def test_missing_entry_drops_the_upstream_without_a_platform_outage():
+    # Guards against new requests to an upstream that left without a notice:
+    # within two seconds of the removal of its entry it must get none.
     table = upstreams.UpstreamTable()
-    read_listing(table, 10.0, [fakes.create_upstream_entry("e1")])
-    assert read_listing(table, 10.8, []) == ["e1"]
+    apply_current_listing(table, 10.0, [fakes.create_upstream_entry("e1")])
+    assert apply_current_listing(table, 10.8, []) == ["e1"]
 
 
-def test_leaving_upstream_gets_nothing_new():
-    # An upstream is taken away in an orderly way; a request sent to it later
-    # would be cut off as it exits.
+def test_leaving_upstream_gets_no_new_requests():
+    # Guards against requests that are cut off because their upstream was
+    # shutting down when they were sent.
     state = fakes.create_state(
         listing=[
             fakes.create_upstream_entry("e1", leaving=True),
@@ -80,9 +80,10 @@
         assert sent.upstream == "e2"
 
 
-def test_successor_at_an_address_replaces_the_entry_that_lingers():
-    # An upstream crashed and started again; both entries are listed. The
-    # older one refuses whatever it is sent, at the cost of second sends.
+def test_newer_entry_at_an_address_replaces_the_older_one():
+    # Guards against requests addressed to the old entry of an upstream that
+    # crashed and restarted while both entries are listed: the new process
+    # refuses them, and each costs a retry.
     table = upstreams.UpstreamTable()
     listing = [
         fakes.create_upstream_entry("old", listed_revision=3),
@@ -93,9 +94,9 @@
         assert list_names(table) == {"new"}
 
 
-def test_failures_fade():
-    # An upstream failed for a while and is well again: it must get work
-    # again without anybody asking it about its health.
+def test_failure_rate_decays():
+    # Guards against excluding a recovered upstream, as no health checks are
+    # sent: its failure rate must decay with time.
     one = upstreams.Upstream(fakes.create_upstream_entry("e1"))
     for _ in range(10):
         upstreams.record_failure(one, 1.0)
@@ -211,9 +212,8 @@
     assert upstreams.is_usable(find_upstream(state, "e1"), 31.0)
 
 
-def test_second_send_skips_upstream_with_retry_delay():
-    # Guards against second sends to an upstream before its retry delay has
-    # elapsed.
+def test_retry_skips_upstream_with_retry_delay():
+    # Guards against retries at an upstream before its retry delay has elapsed.
     listing = [
         fakes.create_upstream_entry(f"l{n}", "ledger", port=n)
         for n in (1, 2, 3)
