--- a/sycamorefall/direct/crashes.py
+++ b/sycamorefall/direct/crashes.py
@@ -82,8 +82,8 @@
     """Handles the result of a reachability check.
 
     A refused connection means a crash: the upstream is suspended and its
-    requests become suspects. A check without an answer is repeated up to
-    `MAX_CHECKS` times in all.
+    requests become suspects. A check without a response is repeated until
+    `MAX_CHECKS` checks have been made.
 
     Args:
         state: The router's state; changed.
--- a/sycamorefall/direct/outcomes.py
+++ b/sycamorefall/direct/outcomes.py
@@ -275,7 +275,7 @@
 def refuse_delayed_requests(
     state: state_module.DirectState, now: float, service: str
 ) -> list[effects.Effect]:
-    """Refuses waiting requests whose wait limit is before any retry delay ends.
+    """Refuses waiting requests whose wait limit precedes the end of all delays.
 
     No upstream of the service will accept these requests in time, so their
     callers should not wait until the limit.
--- a/sycamorefall/direct/stalls.py
+++ b/sycamorefall/direct/stalls.py
@@ -22,7 +22,7 @@
 this router is taken for stalled."""
 
 PLAIN_RESPONSE_TIMEOUT = 0.5
-"""Seconds after which a request to a plain service is to_retry elsewhere if its
+"""Seconds after which a request to a plain service is retried elsewhere if its
 route allows retries: ten times the usual response time."""
 
 
@@ -143,7 +143,7 @@
     request: state_module.Request,
     stalled: set[str],
 ) -> bool:
-    """Returns whether a request is to be to_retry at another upstream."""
+    """Returns whether a request is to be retried at another upstream."""
     if not request.route.kind.retryable:
         return False
     if request.possible_runs + 1 >= request.route.max_upstreams:
--- a/sycamorefall/direct/tests/test_outcomes.py
+++ b/sycamorefall/direct/tests/test_outcomes.py
@@ -13,9 +13,9 @@
 
 @pytest.mark.parametrize("route", ["book", "draft"])
 def test_request_that_may_have_run_is_not_retried(route):
-    # Guards against running a request twice whose upstream lost the connection:
-    # by a retry, or by its caller, who is told that it did not run. Whether it
-    # ran is unknown.
+    # Guards against running a request twice whose upstream broke the
+    # connection: by a retry, or by its caller, who is told that it did not run.
+    # Whether it ran is unknown.
     state = fakes.create_state()
     number, sent = fakes.submit_request(state, 0.0, route)
     assert sent
--- a/sycamorefall/direct/tests/test_restarts.py
+++ b/sycamorefall/direct/tests/test_restarts.py
@@ -52,8 +52,8 @@
 
 
 def test_restart_ends_the_suspension_of_the_old_process():
-    # Guards against leaving a restarted engine suspended: its predecessor was
-    # suspended for four seconds, and the restart takes less than one.
+    # Guards against leaving a restarted engine suspended: the crashed process
+    # was suspended for four seconds, but the engine is back after one.
     state = create_state(("e1", 100))
     engine = state.table.by_name["e1"]
     for _ in range(6):
