--- a/sycamorefall/direct/catalog.py
+++ b/sycamorefall/direct/catalog.py
@@ -1,4 +1,7 @@
-"""What operators publish for direct sending: routes, services, teams."""
+"""Published configuration of routers that send directly to upstreams.
+
+It consists of routes, services and teams.
+"""
 
 __all__ = [
     "Catalog",
@@ -19,12 +22,13 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated of a route's requests, and how they are answered.
+    """Whether a route's requests may be retried, and how they are answered.
 
-    IDEMPOTENT: may run more than once.
-    AT_MOST_ONCE: runs once at most.
-    STREAM: answered by events; runs once at most.
-    RESUMABLE_STREAM: answered by events; may go on at another upstream.
+    IDEMPOTENT: a request may run more than once.
+    AT_MOST_ONCE: a request runs at most once.
+    STREAM: answered by a stream of events; a request runs at most once.
+    RESUMABLE_STREAM: answered by a stream of events, which another upstream may
+        continue.
     """
 
     IDEMPOTENT = "idempotent"
@@ -39,13 +43,18 @@
 
     @property
     def streamed(self) -> bool:
-        """Whether answers come as events."""
+        """Whether requests are answered by a stream of events."""
         return self in (RouteKind.STREAM, RouteKind.RESUMABLE_STREAM)
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Share:
-    """A service's part of a route's requests, by weight."""
+    """A service's share of a route's requests.
+
+    Attributes:
+        service: Name of the service.
+        weight: Share relative to the sum of the route's weights.
+    """
 
     service: str
     weight: float
@@ -53,19 +62,19 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Route:
-    """Where requests of a host and path go.
+    """Services and limits of the requests with a host and path prefix.
 
     Attributes:
-        name: Its name.
+        name: Name of the route.
         host: Host header of its requests, in lower case.
-        prefix: Beginning of their path; begins and ends with a slash.
-        kind: What may be repeated.
-        shares: Services that share its requests.
-        timeout: Seconds after which a caller is told that it failed.
+        prefix: Prefix of their path; begins and ends with a slash.
+        kind: Whether requests may be retried, and how they are answered.
+        shares: Services among which the requests are split.
+        timeout: Seconds after which a request fails.
         target_latency: Seconds within which an answer, or a stream's first
             event, is on time.
-        max_upstreams: Upstreams that may run one request.
-        public: Whether its requests carry no key.
+        max_upstreams: Maximum number of upstreams that may run one request.
+        public: Whether requests need no key.
     """
 
     name: str
@@ -81,13 +90,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Engine:
-    """What is known of a service's model engines.
+    """Properties of each model engine of a service.
 
     Attributes:
-        slots: Requests that one runs at once.
-        kv_capacity_tokens: Tokens that its cache holds.
-        fetch_rate: Tokens that one copies from another's cache in a second;
-            0 if it can't.
+        slots: Maximum number of concurrent requests.
+        kv_capacity_tokens: Capacity of the engine's KV cache, in tokens.
+        fetch_rate: Tokens per second that the engine copies from the cache of
+            another one; 0 if it can't.
     """
 
     slots: int
@@ -97,12 +106,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Service:
-    """A group of upstreams that answer alike.
+    """A group of interchangeable upstreams.
 
     Attributes:
-        name: Its name.
-        max_connections: Connections that one upstream takes of all callers.
-        engine: Its engines; None for a plain service.
+        name: Name of the service.
+        max_connections: Maximum number of connections that one upstream accepts
+            from all callers together.
+        engine: Properties of its model engines; None if its upstreams are not
+            model engines.
     """
 
     name: str
@@ -112,23 +123,23 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Team:
-    """A team that shares the capacity."""
+    """A team; capacity is shared fairly among teams."""
 
     name: str
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Catalog:
-    """One version of what operators published.
+    """One version of the published configuration.
 
     Attributes:
-        version: Its version; a later one is higher.
+        version: Version number; a later version is higher.
         routes: Routes by host, then by prefix.
         services: Services by name.
         teams: Teams by key.
         requires_key: Whether requests of routes that are not public need a key.
-        tokens_per_second: What all engines together serve, a token read
-            counted once and one made twice; 0 if not known.
+        tokens_per_second: Capacity of all engines together. A prompt token
+            counts once and a generated token twice; 0 if unknown.
     """
 
     version: int
@@ -147,15 +158,15 @@
     requires_key: bool = False,
     tokens_per_second: float = 0.0,
 ) -> Catalog:
-    """Creates a catalog, its routes ready to be looked up.
+    """Creates a catalog, with its routes indexed by host and prefix.
 
     Args:
-        version: Its version.
+        version: Version number.
         routes: All routes.
         services: All services.
         teams: Teams by key.
-        requires_key: Whether routes that are not public need a key.
-        tokens_per_second: What the engines serve together.
+        requires_key: Whether requests of routes that are not public need a key.
+        tokens_per_second: Capacity of all engines; see `Catalog`.
 
     Returns:
         The catalog.
@@ -170,15 +181,15 @@
 
 
 def find_route(catalog: Catalog, host: str, path: str) -> Route | None:
-    """Finds the route of a request: of its host, the longest prefix.
+    """Finds a request's route: the longest matching prefix of its host.
 
     Args:
         catalog: The catalog.
-        host: Host header of the request.
-        path: Its path, without query.
+        host: Host header of the request, in any case.
+        path: Path of the request, without query.
 
     Returns:
-        The route, or None if there is none.
+        The route, or None if none matches.
 
     Example:
         >>> share = (Share("ledger", 1),)
@@ -201,14 +212,14 @@
 
 
 def choose_service(route: Route, draw: float) -> str:
-    """Chooses the service of one request.
+    """Chooses the service of a request at random, by the route's weights.
 
     Args:
-        route: Its route.
-        draw: A number from 0 up to 1, drawn for the request.
+        route: Route of the request.
+        draw: Random number in [0, 1) drawn for the request.
 
     Returns:
-        The service's name.
+        Name of the service.
 
     Example:
         >>> shares = (Share("old", 90), Share("new", 10))
--- a/sycamorefall/direct/freshness.py
+++ b/sycamorefall/direct/freshness.py
@@ -1,10 +1,10 @@
-"""Lease on a configuration: until when keys may be believed.
+"""Lease on the configuration: until when a process accepts keys.
 
-A key that operators take away must not work for longer than a bound, also at
-a process that is cut off from the platform and can't hear of it. So a process
-believes keys only while it has proof that its configuration was the newest
-one a short while ago. Time is the process's own clock; no clocks of several
-VMs are compared.
+A revoked key must stop working within a bound, also at a process that is cut
+off from the platform and can't learn of the revocation. A process therefore
+accepts keys only while it has proof that its configuration was the newest one a
+short time ago. All times are by the process's own clock; clocks of different
+VMs are never compared.
 """
 
 __all__ = [
@@ -16,20 +16,21 @@
 import dataclasses
 
 DISPATCH_ALLOWANCE = 1.2
-"""Seconds that a request may take from its check until its upstream begins
-it: its way there and a short queue; a longer one isn't entered, see
-`placing`."""
+"""Maximum time in seconds between the check of a request's key and its start at
+the upstream: the transit time and a short queue. Upstreams with a longer queue
+aren't chosen; see `upstream_selection`."""
 
 
 @dataclasses.dataclass(slots=True)
 class Freshness:
-    """Proof that the configuration in force is the newest.
+    """Latest proof that the configuration in effect is the newest.
 
     Attributes:
-        revocation_bound: Seconds after which a key that was taken away must not
-            work.
-        proven_at: When the last read that proved it was sent. Its answer
-            says nothing of changes made after it was taken on the way.
+        revocation_bound: Seconds after its revocation at which a key must no
+            longer work.
+        proven_at: When the last read that proved it was sent, and not when its
+            answer came: the answer doesn't show changes made while it was in
+            transit.
     """
 
     revocation_bound: float
@@ -37,12 +38,20 @@
 
 
 def record_proof(freshness: Freshness, sent_at: float) -> None:
-    """Takes note of a read that showed the newest configuration."""
+    """Renews the lease after a read that proved the configuration the newest.
+
+    Args:
+        freshness: The lease; changed unless a later read proved it already.
+        sent_at: When the read was sent.
+    """
     freshness.proven_at = max(freshness.proven_at, sent_at)
 
 
 def is_fresh(freshness: Freshness, now: float) -> bool:
-    """Tells whether keys may still be believed.
+    """Returns whether keys may be accepted, as the lease hasn't expired.
+
+    A request that is accepted now may start up to `DISPATCH_ALLOWANCE` later,
+    so the lease ends that much before the revocation bound.
 
     Example:
         >>> freshness = Freshness(revocation_bound=5.0)
--- a/sycamorefall/direct/read_schedule.py
+++ b/sycamorefall/direct/read_schedule.py
@@ -1,13 +1,15 @@
-"""When to read the platform, and what a read proves; no I/O.
-
-A probe shows the platform's revision. If that is known, nothing has changed,
-and all that is known was the newest as the probe was sent; otherwise all
-records are read. Both reads are linearizable. Watches aren't used: one may be
-deaf, so it proves nothing, and each change would end it and cost a call more.
-
-A router that reads for others reads as soon as the newest proof is
-`READER_AGE` old. As two of them hear each other's proofs, they take turns by
-themselves. All others read only if no proof reaches them.
+"""Schedules reads of the platform and records what they prove; no I/O.
+
+A probe reads the platform's revision. If this process knows that revision,
+nothing has changed, and its records are proven to have been the newest when the
+probe was sent. Otherwise a snapshot reads all records. Both kinds of read are
+linearizable. Watches aren't used: a watch can silently stop delivering events,
+so it proves nothing, and each change would end it and cost another call.
+
+A reader is a router that reads the platform for others. It sends a read as
+soon as the newest proof is `READER_PROOF_AGE` old. Two readers receive each
+other's proofs, so they take turns without further coordination. A follower,
+which is any other router, reads only if no proof reaches it.
 """
 
 __all__ = [
@@ -27,54 +29,56 @@
 import enum
 import random
 
-READER_AGE = 0.5
-"""Seconds after which a reader reads anew, from when the newest proof was
-sent. A change is in force everywhere after this and a few answers, within the
-two seconds that operators allow; a lease of five seconds survives six lost
-reads."""
+READER_PROOF_AGE = 0.5
+"""Age of the newest proof, in seconds, at which a reader reads the platform.
+With this age a change is in effect everywhere within the two seconds that
+operators allow, including the time of a few answers, and a lease of five
+seconds survives six lost reads."""
 
-OWN_AGE = 0.8
-"""Seconds of the same if that proof is its own: it is another reader's turn.
-Less than `FOLLOWER_AGE` by what an answer takes."""
+OWN_PROOF_AGE = 0.8
+"""The same if the proof comes from the reader's own read, so that the other
+reader takes its turn first. It is less than `FOLLOWER_PROOF_AGE` by the time
+that an answer takes."""
 
-FOLLOWER_AGE = 1.1
-"""Seconds of the same after which a router reads for itself: two readers have
-failed to tell it anything. This, `AGE_SPREAD` of it and the read itself fit
-into two seconds."""
+FOLLOWER_PROOF_AGE = 1.1
+"""Age of the newest proof, in seconds, at which a follower reads the platform
+itself, since both readers have failed to send it a proof. This time,
+`JITTER_FRACTION` of it and the read itself fit into two seconds."""
 
-AGE_SPREAD = 0.2
-"""Part by which these times differ from read to read, so that routers that
-lost the same reader don't all read at once."""
+JITTER_FRACTION = 0.2
+"""Maximum jitter as a fraction of these ages and of retry delays, so that
+routers that lost the same reader don't all read at once."""
 
-START_SPREAD = (0.15, 0.45)
-"""Seconds after its start at which a router reads for itself, unless it was
-told by a router that was there before. Of a fleet that starts at once only a
-few read then."""
+START_DELAY_RANGE = (0.15, 0.45)
+"""Range of the random delay, in seconds, after which a started router reads the
+platform itself, unless a running router sends it the records before. If a whole
+fleet starts at once, only a few routers read the platform."""
 
-RETRY = 0.25
-"""Seconds until a read that failed is made again, the first time."""
+MIN_RETRY_DELAY = 0.25
+"""Seconds before the first retry of a failed read."""
 
-LONGEST_RETRY = 0.5
-"""Seconds of the same at most at a reader: when the platform is back, the
-others learn it from there."""
+MAX_READER_RETRY_DELAY = 0.5
+"""Maximum retry delay of a reader, in seconds. It is short, since the followers
+learn from the readers that the platform is available again."""
 
-LONGEST_PAUSE = 3.0
-"""Seconds of the same at most at all others."""
+MAX_FOLLOWER_RETRY_DELAY = 3.0
+"""Maximum retry delay of a follower, in seconds."""
 
-MOST_DOUBLED = 4
-"""Times that the pause after failures is doubled at most."""
+MAX_DOUBLINGS = 4
+"""Maximum number of times that the retry delay is doubled."""
 
 READ_TIMEOUT = 0.7
-"""Seconds after which a read is given up if nothing came: a slow platform
-takes a quarter of a second, and one on a dead connection never answers."""
+"""Seconds without any part of an answer after which a read times out. A slow
+platform answers in a quarter of a second; a read on a dead connection is never
+answered."""
 
 _NEVER = float("inf")
 
 
 class ReadKind(enum.Enum):
-    """What is read.
+    """What a read asks the platform for.
 
-    PROBE: the platform's revision.
+    PROBE: the revision only.
     SNAPSHOT: all records.
     """
 
@@ -84,22 +88,24 @@
 
 @dataclasses.dataclass(slots=True)
 class ReadSchedule:
-    """Reads of the platform that are in progress or due.
+    """State that determines when the next read of the platform is sent.
 
     Attributes:
-        random: Source of jitter.
-        proven_at: When what is known was the newest for certain.
-        proven_by_own_read: Whether that was proved by a read of this process.
-        read: The read in progress.
-        sent_at: When that was sent.
-        expires_at: When it is given up; infinity if there is none.
-        retry_at: Until when nothing is read after a failure.
-        failures: Reads that failed in a row.
-        snapshot_due_at: When all records are to be read, as a later revision
-            than
-            is known was heard of; infinity if none was.
-        is_reader: Whether this router reads for others.
-        jitter: From 0 to 1, drawn anew with each proof and failure.
+        random: Random source of the jitter.
+        proven_at: Latest time at which the records were certainly the newest;
+            minus infinity before the first proof.
+        proven_by_own_read: Whether a read by this process proved it.
+        read: The read in progress; None if there is none.
+        sent_at: When the last read was sent.
+        expires_at: When the read in progress times out; infinity if there is
+            none.
+        retry_at: When the next read is sent after a failure.
+        failures: Number of failed reads in a row.
+        snapshot_due_at: When a snapshot is to be read, after the start or since
+            the platform has a later revision than this process; infinity if
+            none is needed.
+        is_reader: Whether this router reads the platform for other routers.
+        jitter: Random number from 0 to 1, renewed with each proof and failure.
     """
 
     random: random.Random
@@ -115,130 +121,138 @@
     jitter: float = 0.0
 
 
-def create_read_schedule(now: float, seed: int, alone: bool) -> ReadSchedule:
-    """Creates the plan of a process that has read nothing.
+def create_read_schedule(
+    now: float, seed: int, read_at_once: bool
+) -> ReadSchedule:
+    """Creates the schedule of a process that has just started.
 
     Args:
         now: This process's time.
-        seed: Seed of its draws.
-        alone: Whether it has nobody to ask, or is one that others ask.
+        seed: Seed of the random jitter.
+        read_at_once: Whether the first snapshot is due now, and not after a
+            random delay. True for a seed router, and for a router that has no
+            seed routers.
     """
-    read_schedule = ReadSchedule(random.Random(seed))
-    wait = 0.0 if alone else read_schedule.random.uniform(*START_SPREAD)
-    read_schedule.snapshot_due_at = now + wait
-    read_schedule.is_reader = alone
-    return read_schedule
+    schedule = ReadSchedule(random.Random(seed))
+    wait = 0.0 if read_at_once else schedule.random.uniform(*START_DELAY_RANGE)
+    schedule.snapshot_due_at = now + wait
+    schedule.is_reader = read_at_once
+    return schedule
 
 
-def start_due_read(read_schedule: ReadSchedule, now: float) -> ReadKind | None:
-    """Tells which read is to be sent now.
+def start_due_read(schedule: ReadSchedule, now: float) -> ReadKind | None:
+    """Marks a read as in progress if one is due; the caller sends it.
 
     Args:
-        read_schedule: The plan; changed.
+        schedule: The schedule; changed.
         now: This process's time.
 
     Returns:
-        What is to be read; None if nothing is, or something is being read.
+        What to read; None if no read is due, or if one is in progress.
     """
-    if read_schedule.read is not None or now < _find_due(read_schedule):
+    if schedule.read is not None or now < _find_due(schedule):
         return None
-    is_behind = now >= read_schedule.snapshot_due_at
-    read_schedule.read = ReadKind.SNAPSHOT if is_behind else ReadKind.PROBE
-    read_schedule.sent_at = now
-    extend_read(read_schedule, now)
-    return read_schedule.read
-
-
-def extend_read(read_schedule: ReadSchedule, now: float) -> None:
-    """Gives a read more time, as a part of its answer has come."""
-    read_schedule.expires_at = now + READ_TIMEOUT
-
-
-def _find_due(read_schedule: ReadSchedule) -> float:
-    if read_schedule.failures:
-        # Also if others prove what is known: whether this process can read
-        # decides who reads for whom.
-        return read_schedule.retry_at
-    if read_schedule.proven_at == -_NEVER:
-        # Nothing is known that a probe could prove.
-        return read_schedule.snapshot_due_at
-    if not read_schedule.is_reader:
-        age = FOLLOWER_AGE
-    elif read_schedule.proven_by_own_read:
-        age = OWN_AGE
+    snapshot_due = now >= schedule.snapshot_due_at
+    schedule.read = ReadKind.SNAPSHOT if snapshot_due else ReadKind.PROBE
+    schedule.sent_at = now
+    extend_read(schedule, now)
+    return schedule.read
+
+
+def extend_read(schedule: ReadSchedule, now: float) -> None:
+    """Restarts the read's timeout: it is sent, or part of its answer came."""
+    schedule.expires_at = now + READ_TIMEOUT
+
+
+def _find_due(schedule: ReadSchedule) -> float:
+    if schedule.failures:
+        # Retries also while proofs from other routers arrive: the choice of
+        # readers depends on whether this process can read the platform.
+        return schedule.retry_at
+    if schedule.proven_at == -_NEVER:
+        # There are no records yet that a probe could prove to be the newest.
+        return schedule.snapshot_due_at
+    if not schedule.is_reader:
+        max_age = FOLLOWER_PROOF_AGE
+    elif schedule.proven_by_own_read:
+        max_age = OWN_PROOF_AGE
     else:
-        age = READER_AGE
-    probe = read_schedule.proven_at + age * (
-        1 + AGE_SPREAD * read_schedule.jitter
+        max_age = READER_PROOF_AGE
+    probe_due_at = schedule.proven_at + max_age * (
+        1 + JITTER_FRACTION * schedule.jitter
     )
-    return min(probe, read_schedule.snapshot_due_at)
+    return min(probe_due_at, schedule.snapshot_due_at)
 
 
-def is_read_expired(read_schedule: ReadSchedule, now: float) -> bool:
-    """Tells whether the read in progress is to be given up."""
-    return now >= read_schedule.expires_at
+def is_read_expired(schedule: ReadSchedule, now: float) -> bool:
+    """Returns whether the read in progress has timed out."""
+    return now >= schedule.expires_at
 
 
-def find_next_due(read_schedule: ReadSchedule) -> float:
-    """Tells when a read is to be sent or given up next."""
-    if read_schedule.read is not None:
-        return read_schedule.expires_at
-    return _find_due(read_schedule)
+def find_next_due(schedule: ReadSchedule) -> float:
+    """Returns when the read in progress times out or the next one is due."""
+    if schedule.read is not None:
+        return schedule.expires_at
+    return _find_due(schedule)
 
 
-def schedule_snapshot(read_schedule: ReadSchedule, at: float) -> None:
-    """Takes note that there is a later revision than is known.
+def schedule_snapshot(schedule: ReadSchedule, at: float) -> None:
+    """Schedules a snapshot, as the platform has a later revision.
 
     Args:
-        read_schedule: The plan; changed.
-        at: When all records are to be read, unless they come until then.
+        schedule: The schedule; changed.
+        at: When to read it, unless other routers send the records before; an
+            earlier scheduled time is kept.
     """
-    read_schedule.snapshot_due_at = min(read_schedule.snapshot_due_at, at)
+    schedule.snapshot_due_at = min(schedule.snapshot_due_at, at)
 
 
 def record_proof(
-    read_schedule: ReadSchedule, proven_at: float, here: bool
+    schedule: ReadSchedule, proven_at: float, by_own_read: bool
 ) -> bool:
-    """Takes note that what is known was the newest at a time.
+    """Records a time at which the records were certainly the newest.
 
     Args:
-        read_schedule: The plan; changed.
+        schedule: The schedule; changed if the proof is later than the last
+            one.
         proven_at: The time.
-        here: Whether a read of this process proved it.
+        by_own_read: Whether a read by this process proved it.
 
     Returns:
-        Whether that is later than was known.
+        Whether the proof is later than the last one.
     """
-    if proven_at <= read_schedule.proven_at:
+    if proven_at <= schedule.proven_at:
         return False
-    read_schedule.proven_at = proven_at
-    read_schedule.proven_by_own_read = here
-    read_schedule.jitter = read_schedule.random.random()
+    schedule.proven_at = proven_at
+    schedule.proven_by_own_read = by_own_read
+    schedule.jitter = schedule.random.random()
     return True
 
 
-def finish_read(read_schedule: ReadSchedule, now: float, good: bool) -> float:
-    """Takes note of how the read in progress ended.
+def finish_read(schedule: ReadSchedule, now: float, succeeded: bool) -> float:
+    """Ends the read in progress; a failure delays the next read.
 
     Args:
-        read_schedule: The plan; changed.
+        schedule: The schedule; changed.
         now: This process's time.
-        good: Whether it was answered.
+        succeeded: Whether the read was answered.
 
     Returns:
-        When it was sent.
+        When the read was sent.
     """
-    read_schedule.read = None
-    read_schedule.expires_at = _NEVER
-    if good:
-        read_schedule.failures = 0
-        return read_schedule.sent_at
-    longest = LONGEST_RETRY if read_schedule.is_reader else LONGEST_PAUSE
-    doubled = 2 ** min(read_schedule.failures, MOST_DOUBLED)
-    pause = min(longest, RETRY * doubled)
-    read_schedule.failures += 1
-    read_schedule.jitter = read_schedule.random.random()
-    read_schedule.retry_at = now + pause * (
-        1 + AGE_SPREAD * read_schedule.jitter
+    schedule.read = None
+    schedule.expires_at = _NEVER
+    if succeeded:
+        schedule.failures = 0
+        return schedule.sent_at
+    max_delay = (
+        MAX_READER_RETRY_DELAY
+        if schedule.is_reader
+        else MAX_FOLLOWER_RETRY_DELAY
     )
-    return read_schedule.sent_at
+    factor = 2 ** min(schedule.failures, MAX_DOUBLINGS)
+    delay = min(max_delay, MIN_RETRY_DELAY * factor)
+    schedule.failures += 1
+    schedule.jitter = schedule.random.random()
+    schedule.retry_at = now + delay * (1 + JITTER_FRACTION * schedule.jitter)
+    return schedule.sent_at
--- a/sycamorefall/direct/records.py
+++ b/sycamorefall/direct/records.py
@@ -1,8 +1,8 @@
-"""The platform's records as this process knows them; no I/O.
+"""This process's copy of the platform's records; no I/O.
 
-Records come from the platform itself and from other routers, in any order.
-Each carries the revision of its last change, so an older one never replaces a
-later one, and what was deleted doesn't come back.
+Records arrive from the platform and from other routers, in any order. Each
+carries the revision of its last change, so an older version never replaces a
+later one, and a deleted record doesn't reappear.
 """
 
 __all__ = [
@@ -20,17 +20,19 @@
 
 from sycamorefall import messages
 
-MOST_GONE = 1000
-"""Deleted keys that are remembered. A router that lacks an earlier deletion
-finds that its keys differ, and is told all records."""
+MAX_TOMBSTONES = 1000
+"""Maximum number of deleted keys that are remembered. A router that lacks an
+earlier deletion detects by the fingerprint that its keys differ, and is sent
+all records."""
 
 
 class UpdateOutcome(enum.Enum):
-    """What became of records that were offered.
+    """Result of applying a snapshot or changes to the records.
 
-    UNCHANGED: they were known.
-    CHANGED: some were not.
-    INCOMPLETE: they are changes to records that aren't known here.
+    UNCHANGED: they contained nothing new.
+    CHANGED: some records were added, replaced or deleted.
+    INCOMPLETE: the changes don't lead to the sender's records; all records have
+        to be fetched.
     """
 
     UNCHANGED = "unchanged"
@@ -43,14 +45,16 @@
     """All records, as of a revision.
 
     Attributes:
-        by_key: The records; some may be later than the revision.
-        gone: Deleted keys, oldest first, and the revision by which they were.
-        revision: Every change up to it is known; 0 before any is.
-        fingerprint: Of the keys.
+        by_key: The records by key; some may be later than the revision.
+        tombstones: Deleted keys, earliest deletion first, with a revision by
+            which the key was deleted.
+        revision: Revision up to which every change is included; 0 while there
+            are no records.
+        fingerprint: XOR of the hashes of all keys.
     """
 
     by_key: dict[str, messages.Record] = dataclasses.field(default_factory=dict)
-    gone: dict[str, int] = dataclasses.field(default_factory=dict)
+    tombstones: dict[str, int] = dataclasses.field(default_factory=dict)
     revision: int = 0
     fingerprint: int = 0
 
@@ -61,42 +65,59 @@
 
 
 def _put(records: Records, record: messages.Record) -> bool:
-    """Takes a record over, unless a later one is known."""
-    known = records.by_key.get(record.key)
-    if known is None:
-        if record.changed_at <= records.gone.get(record.key, 0):
+    """Stores a record unless it, a later version or its deletion is known.
+
+    Args:
+        records: The records; changed.
+        record: The record to store.
+
+    Returns:
+        Whether it was stored.
+    """
+    current = records.by_key.get(record.key)
+    if current is None:
+        if record.changed_at <= records.tombstones.get(record.key, 0):
             return False
         records.fingerprint ^= _hash_key(record.key)
-        records.gone.pop(record.key, None)
-    elif record.changed_at <= known.changed_at:
+        records.tombstones.pop(record.key, None)
+    elif record.changed_at <= current.changed_at:
         return False
     records.by_key[record.key] = record
     return True
 
 
-def _drop(records: Records, key: str, revision: int) -> bool:
-    """Takes note that a key was deleted by a revision, unless made anew."""
-    known = records.by_key.get(key)
-    if known is None or known.changed_at > revision:
+def _delete(records: Records, key: str, revision: int) -> bool:
+    """Deletes a record unless its last change is later than the deletion.
+
+    Args:
+        records: The records; changed.
+        key: Key of the record.
+        revision: Revision by which it was deleted.
+
+    Returns:
+        Whether it was deleted.
+    """
+    current = records.by_key.get(key)
+    if current is None or current.changed_at > revision:
         return False
     del records.by_key[key]
     records.fingerprint ^= _hash_key(key)
-    records.gone[key] = revision
-    while len(records.gone) > MOST_GONE:
-        del records.gone[next(iter(records.gone))]
+    records.tombstones[key] = revision
+    while len(records.tombstones) > MAX_TOMBSTONES:
+        del records.tombstones[next(iter(records.tombstones))]
     return True
 
 
 def apply_snapshot(
     records: Records, revision: int, listed: Iterable[messages.Record]
 ) -> UpdateOutcome:
-    """Takes over all records that there are.
+    """Replaces the records by a snapshot, but keeps later changes.
 
     Args:
-        records: What is known; changed.
-        revision: Up to which the list shows every change; an earlier one
-            than is known changes nothing.
-        listed: All records. Some may show later changes.
+        records: The records; changed.
+        revision: Revision up to which the snapshot includes every change. A
+            snapshot of an earlier revision than the records' is ignored.
+        listed: All records of the snapshot. Some may include later changes.
 
     Returns:
         Whether anything changed.
@@ -106,7 +127,7 @@
     by_key = {record.key: record for record in listed}
     changes = [_put(records, record) for record in by_key.values()]
     missing = records.by_key.keys() - by_key.keys()
-    changes += [_drop(records, key, revision) for key in missing]
+    changes += [_delete(records, key, revision) for key in missing]
     records.revision = revision
     return UpdateOutcome.CHANGED if any(changes) else UpdateOutcome.UNCHANGED
 
@@ -114,21 +135,21 @@
 def apply_changes(
     records: Records, changes: messages.RecordChanges
 ) -> UpdateOutcome:
-    """Takes over what another router knows to have changed.
+    """Applies changes that another router sent.
 
-    Guards against a deletion that is never heard of: the router that tells of
-    changes may have learned of a key and its deletion at once, and so not know
-    of it, while this one knows the key. Its upstream would be sent requests
-    for ever. The fingerprints of the keys differ then, and all records are to
-    be asked for.
+    Guards against a missed deletion: if a record is created and deleted between
+    two reads of the sender, the sender never learns of it, and its changes omit
+    the deletion. A router that read the record in between would keep it and
+    send requests to its upstream forever. The fingerprints of the keys differ
+    in this case, and all records have to be fetched.
 
     Args:
-        records: What is known; changed.
-        changes: What is told.
+        records: The records; changed.
+        changes: The changes.
 
     Returns:
-        Whether anything changed. If what is told doesn't fit what is known,
-        the revision stays as it was.
+        Whether anything changed. `INCOMPLETE` leaves the revision as it was:
+        the changes start after it, or the fingerprints differ after them.
     """
     if not changes.since:
         return apply_snapshot(records, changes.revision, changes.records)
@@ -137,7 +158,7 @@
     if records.revision < changes.since:
         return UpdateOutcome.INCOMPLETE
     puts = [_put(records, record) for record in changes.records]
-    drops = [_drop(records, key, changes.revision) for key in changes.gone]
+    drops = [_delete(records, key, changes.revision) for key in changes.gone]
     if records.fingerprint != changes.fingerprint:
         return UpdateOutcome.INCOMPLETE
     records.revision = changes.revision
@@ -147,12 +168,15 @@
 
 
 def collect_changes(records: Records, since: int) -> messages.RecordChanges:
-    """Writes what changed after a revision.
+    """Builds the message with all changes after a revision.
 
     Args:
-        records: What is known here.
+        records: The records.
         since: The revision; 0 for all records.
 
+    Returns:
+        The records changed and the keys deleted after the revision.
+
     Example:
         >>> here, there = Records(), Records()
         >>> one = messages.Record("upstream/e1", 3, 3, b"")
@@ -169,7 +193,7 @@
         if not since or record.changed_at > since
     )
     gone = tuple(
-        key for key, revision in records.gone.items() if revision > since
+        key for key, revision in records.tombstones.items() if revision > since
     )
     return messages.RecordChanges(
         since,
--- a/sycamorefall/direct/replica.py
+++ b/sycamorefall/direct/replica.py
@@ -1,9 +1,10 @@
 """This process's replica of the platform's records; no I/O.
 
-It is brought up to date by reads of its own (`read_schedule`) and by what other
-routers tell (`readers`). What it is told never makes it believe something to
-be newer than it is: a time that another router tells is put in terms of this
-process's clock, by a message that this process sent before.
+The replica is updated by this process's reads of the platform
+(`read_schedule`) and by messages from other routers (`readers`). A proof is a
+time at which the records were certainly the newest. A proof from another router
+is never later than the true time: its sender converts the time to this
+process's clock, using a `Subscribe` message that this process sent before.
 """
 
 __all__ = [
@@ -31,35 +32,43 @@
 from sycamorefall.direct import readers as readers_module
 from sycamorefall.direct import records as records_module
 
-CATCH_UP = 0.3
-"""Seconds that another router may take to tell the records whose revision it
-told; then they are read from the platform."""
+CATCH_UP_TIMEOUT = 0.3
+"""Seconds that another router may take to send the records of a revision that
+it announced; after that they are read from the platform."""
 
-CHOICE_INTERVAL = 0.25
-"""Seconds between two choices of the readers."""
+READER_CHOICE_INTERVAL = 0.25
+"""Seconds between two choices of readers."""
 
-LARGEST_CHANGES = 900_000
-"""Bytes of records in one message. Links take a megabyte; a router that lacks
-more than this reads it from the platform."""
+MAX_CHANGES_SIZE = 900_000
+"""Maximum size of the record values in one message, in bytes. Links accept
+messages of up to a megabyte; a router that lacks more than this reads the
+records from the platform."""
 
 RankRouters = Callable[[], Mapping[str, Sequence[str]]]
+"""Returns the live routers, including this one, by failure domain, in order of
+preference as readers."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class StartRead:
-    """Send a read to the platform."""
+    """Effect: send a read of this kind to the platform."""
 
     kind: read_schedule_module.ReadKind
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class CancelRead:
-    """Give up the read in progress."""
+    """Effect: cancel the read in progress."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class SendMessage:
-    """Send a control message to a router."""
+    """Effect: send a control message to a router.
+
+    Attributes:
+        to: VM name or control address of the router.
+        message: The message.
+    """
 
     to: str
     message: messages.Message
@@ -67,12 +76,17 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ApplyRecords:
-    """Bring the records into force: some have changed."""
+    """Effect: put the records into effect, since some have changed."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class RecordProof:
-    """What is in force was the newest at a time."""
+    """Effect: renew the lease, since the records are proven to be recent.
+
+    Attributes:
+        proven_at: When the records in effect were certainly the newest, by this
+            process's clock.
+    """
 
     proven_at: float
 
@@ -82,27 +96,28 @@
 
 @dataclasses.dataclass(slots=True)
 class Replica:
-    """The records, and how they are kept up to date.
+    """The records, and the state that is needed to keep them up to date.
 
     Attributes:
-        process: Incarnation of this process.
-        control: Where it takes control messages.
-        records: What is known.
+        incarnation: Incarnation of this process.
+        control: Address at which this process receives control messages.
+        records: The platform's records as far as they are known.
         read_schedule: When to read the platform.
-        readers: Who reads for whom.
-        heard: Latest revision that another router told.
-        announced_proof: When that was the newest.
+        readers: Subscriptions of this router, and of other routers to it.
+        announced_revision: Latest revision announced by another router whose
+            records were missing here; 0 before any is announced.
+        announced_proof: When that revision was certainly the newest.
         choose_readers_at: When the readers are chosen next.
     """
 
-    process: int
+    incarnation: int
     control: str
     read_schedule: read_schedule_module.ReadSchedule
     readers: readers_module.ReaderSelection
     records: records_module.Records = dataclasses.field(
         default_factory=records_module.Records
     )
-    heard: int = 0
+    announced_revision: int = 0
     announced_proof: float = float("-inf")
     choose_readers_at: float = float("-inf")
 
@@ -110,36 +125,39 @@
 def create_replica(
     now: float,
     seed: int,
-    process: int,
+    incarnation: int,
     control: str,
     readers: readers_module.ReaderSelection,
     seeds: Sequence[str],
 ) -> Replica:
-    """Creates the replica of a process that knows nothing.
+    """Creates the empty replica of a process that has just started.
 
     Args:
         now: This process's time.
-        seed: Seed of its draws.
-        process: Its incarnation.
-        control: Where it takes control messages.
-        readers: Its name and place.
-        seeds: Routers to begin with, by the address of their control
-            messages. Each of them reads for itself at once.
+        seed: Seed of the random jitter.
+        incarnation: Incarnation of this process.
+        control: Address at which this process receives control messages.
+        readers: VM name and failure domain of this router; gets subscriptions
+            to the seed routers.
+        seeds: Control addresses of the seed routers, to which this router
+            subscribes first. A seed router itself reads the platform at once.
     """
-    alone = not seeds or control in seeds
-    read_schedule = read_schedule_module.create_read_schedule(now, seed, alone)
-    replica = Replica(process, control, read_schedule, readers)
+    read_at_once = not seeds or control in seeds
+    read_schedule = read_schedule_module.create_read_schedule(
+        now, seed, read_at_once
+    )
+    replica = Replica(incarnation, control, read_schedule, readers)
     readers.subscriptions = {
         address: readers_module.Subscription(now, float("-inf"), now, False)
         for address in seeds
         if address != control
     }
-    replica.choose_readers_at = now + CATCH_UP
+    replica.choose_readers_at = now + CATCH_UP_TIMEOUT
     return replica
 
 
 def find_next_due(replica: Replica) -> float:
-    """Tells when `run_timers` has something to do next."""
+    """Returns when `run_timers` has to be called next."""
     return min(
         read_schedule_module.find_next_due(replica.read_schedule),
         readers_module.find_next_due(replica.readers),
@@ -150,50 +168,62 @@
 def run_timers(
     replica: Replica, now: float, rank_routers: RankRouters
 ) -> list[Effect]:
-    """Does what has come due.
+    """Cancels an expired read, chooses readers, and starts what is due.
 
     Args:
         replica: The replica; changed.
         now: This process's time.
-        rank_routers: Lists the routers that are heard, by failure domain, the
-            first choice as a reader first; this one among them.
+        rank_routers: See `RankRouters`; called when readers are chosen.
 
     Returns:
-        What is to be done.
+        Effects for the caller to carry out.
     """
     read_schedule, readers = replica.read_schedule, replica.readers
-    done: list[Effect] = []
+    effects: list[Effect] = []
     if read_schedule_module.is_read_expired(read_schedule, now):
-        done += [CancelRead(), *handle_read_failure(replica, now)]
+        effects += [CancelRead(), *handle_read_failure(replica, now)]
     if now >= replica.choose_readers_at:
-        replica.choose_readers_at = now + CHOICE_INTERVAL
-        able = read_schedule.failures == 0
+        replica.choose_readers_at = now + READER_CHOICE_INTERVAL
+        can_read = read_schedule.failures == 0
         read_schedule.is_reader = readers_module.choose_readers(
-            readers, now, rank_routers(), able
+            readers, now, rank_routers(), can_read
         )
     for name, changes_only in readers_module.renew_due_subscriptions(
         readers, now
     ):
-        asked = messages.Subscribe(
+        subscribe = messages.Subscribe(
             replica.control, now, replica.records.revision, changes_only
         )
-        done.append(SendMessage(name, asked))
+        effects.append(SendMessage(name, subscribe))
     kind = read_schedule_module.start_due_read(read_schedule, now)
     if kind is not None:
-        done.append(StartRead(kind))
-    return done
+        effects.append(StartRead(kind))
+    return effects
 
 
 def handle_probe(replica: Replica, now: float, revision: int) -> list[Effect]:
-    """Takes note of the platform's revision that a probe showed."""
-    was_able = replica.read_schedule.failures == 0
+    """Handles the answer to a probe.
+
+    If the platform has a later revision than the replica, a snapshot is
+    scheduled for now; otherwise the answer proves that the records were the
+    newest when the probe was sent.
+
+    Args:
+        replica: The replica; changed.
+        now: This process's time.
+        revision: The platform's revision.
+
+    Returns:
+        Effects for the caller to carry out.
+    """
+    could_read = replica.read_schedule.failures == 0
     sent_at = read_schedule_module.finish_read(
-        replica.read_schedule, now, good=True
+        replica.read_schedule, now, succeeded=True
     )
     if revision > replica.records.revision:
         read_schedule_module.schedule_snapshot(replica.read_schedule, now)
-        return [] if was_able else _tell_all(replica, now)
-    return _prove(replica, now, sent_at, here=True)
+        return [] if could_read else _send_state_to_all(replica, now)
+    return _record_proof(replica, now, sent_at, by_own_read=True)
 
 
 def handle_snapshot(
@@ -202,46 +232,51 @@
     revision: int,
     listed: Iterable[messages.Record],
 ) -> list[Effect]:
-    """Takes note of all records that were read.
+    """Handles a snapshot that was read from the platform.
 
     Args:
         replica: The replica; changed.
         now: This process's time.
-        revision: Up to which they show every change.
-        listed: The records.
+        revision: Revision up to which the records include every change.
+        listed: All records.
 
     Returns:
-        What is to be done.
+        Effects for the caller to carry out.
     """
     sent_at = read_schedule_module.finish_read(
-        replica.read_schedule, now, good=True
+        replica.read_schedule, now, succeeded=True
     )
     before = replica.records.revision
     outcome = records_module.apply_snapshot(replica.records, revision, listed)
-    done: list[Effect] = []
+    effects: list[Effect] = []
     if outcome is not records_module.UpdateOutcome.UNCHANGED or not before:
-        done.append(ApplyRecords())
+        effects.append(ApplyRecords())
     replica.read_schedule.snapshot_due_at = float("inf")
-    return done + _note_caught_up(replica, now, sent_at, before, here=True)
+    return effects + _handle_new_records(
+        replica, now, sent_at, before, by_own_read=True
+    )
 
 
 def handle_read_failure(replica: Replica, now: float) -> list[Effect]:
-    """Takes note of a read that gave nothing.
+    """Handles a read that failed or timed out.
 
-    The others are told at once: they would wait for a proof that doesn't come.
+    After the first failure in a row, subscribers are told at once that this
+    process can't read; they would wait for a proof that doesn't come.
     """
-    was_able = replica.read_schedule.failures == 0
-    read_schedule_module.finish_read(replica.read_schedule, now, good=False)
-    if not was_able:
+    could_read = replica.read_schedule.failures == 0
+    read_schedule_module.finish_read(
+        replica.read_schedule, now, succeeded=False
+    )
+    if not could_read:
         return []
     replica.choose_readers_at = now
-    return _tell_all(replica, now)
+    return _send_state_to_all(replica, now)
 
 
 def receive_message(
     replica: Replica, now: float, envelope: messages.Envelope
 ) -> list[Effect]:
-    """Takes what another router asks or tells.
+    """Handles a control message from another router.
 
     Args:
         replica: The replica; changed.
@@ -249,143 +284,184 @@
         envelope: The message and its sender.
 
     Returns:
-        What is to be done.
+        Effects for the caller to carry out; none for a message that is not
+        about records.
     """
     sender, message = envelope.sender, envelope.message
     match message:
         case messages.Subscribe():
-            return _take_subscriber(replica, now, envelope)
+            return _handle_subscribe(replica, now, envelope)
         case messages.ReaderState():
-            return _take_state(replica, now, sender, message)
+            return _handle_reader_state(replica, now, sender, message)
         case messages.FetchRecords():
-            return _answer_fetch(replica, sender, message.since)
+            return _handle_fetch(replica, sender, message.since)
         case messages.RecordChanges():
-            return _take_changes(replica, now, sender, message)
+            return _handle_changes(replica, now, sender, message)
     return []
 
 
-def _take_subscriber(
+def _handle_subscribe(
     replica: Replica, now: float, envelope: messages.Envelope
 ) -> list[Effect]:
-    asked: messages.Subscribe = envelope.message
+    subscribe: messages.Subscribe = envelope.message
     is_new = readers_module.record_subscription(replica.readers, now, envelope)
-    lags = asked.revision < replica.records.revision
+    lags = subscribe.revision < replica.records.revision
     if is_new or lags or replica.read_schedule.failures:
-        one = replica.readers.subscribers[envelope.sender]
-        return [_describe_state(replica, envelope.sender, one)]
+        subscriber = replica.readers.subscribers[envelope.sender]
+        return [_build_state_message(replica, envelope.sender, subscriber)]
     return []
 
 
-def _describe_state(
-    replica: Replica, name: str, one: readers_module.Subscriber
+def _build_state_message(
+    replica: Replica, name: str, subscriber: readers_module.Subscriber
 ) -> SendMessage:
     state = messages.ReaderState(
-        one.process,
+        subscriber.process_incarnation,
         replica.records.revision,
-        replica.read_schedule.proven_at + one.offset,
+        replica.read_schedule.proven_at + subscriber.clock_offset,
         replica.read_schedule.failures == 0,
     )
     return SendMessage(name, state)
 
 
-def _tell_all(
+def _send_state_to_all(
     replica: Replica, now: float, changed: bool = False
 ) -> list[Effect]:
-    """Tells the subscribers how new this process's knowledge is."""
+    """Sends this replica's revision and latest proof to its subscribers.
+
+    Args:
+        replica: The replica; expired subscribers are removed.
+        now: This process's time.
+        changed: Whether the revision has changed, so that subscribers for
+            changes only are told as well.
+
+    Returns:
+        A message to each subscriber concerned.
+    """
     subscribers = readers_module.list_subscribers(replica.readers, now)
     return [
-        _describe_state(replica, name, one)
-        for name, one in subscribers
-        if changed or not one.changes_only
+        _build_state_message(replica, name, subscriber)
+        for name, subscriber in subscribers
+        if changed or not subscriber.changes_only
     ]
 
 
-def _take_state(
-    replica: Replica, now: float, sender: str, told: messages.ReaderState
+def _handle_reader_state(
+    replica: Replica, now: float, sender: str, state: messages.ReaderState
 ) -> list[Effect]:
-    if told.process != replica.process:
+    if state.process != replica.incarnation:
         return []
     readers = replica.readers
     if sender in readers.subscriptions:
         readers.subscriptions[sender].heard_at = now
-    if told.able:
-        readers.barred.pop(sender, None)
-    elif readers.barred.get(sender, now) <= now:
+    if state.able:
+        readers.excluded_until.pop(sender, None)
+    elif readers.excluded_until.get(sender, now) <= now:
         readers_module.exclude_reader(readers, now, sender)
         replica.choose_readers_at = now
-    proven_at = min(told.proven_at, now)
-    if told.revision <= replica.records.revision:
-        return _prove(replica, now, proven_at, here=False)
-    if told.revision >= replica.heard and proven_at >= replica.announced_proof:
-        replica.heard, replica.announced_proof = told.revision, proven_at
+    proven_at = min(state.proven_at, now)
+    if state.revision <= replica.records.revision:
+        return _record_proof(replica, now, proven_at, by_own_read=False)
+    if (
+        state.revision >= replica.announced_revision
+        and proven_at >= replica.announced_proof
+    ):
+        replica.announced_revision, replica.announced_proof = (
+            state.revision,
+            proven_at,
+        )
     read_schedule_module.schedule_snapshot(
-        replica.read_schedule, now + CATCH_UP
+        replica.read_schedule, now + CATCH_UP_TIMEOUT
     )
     fetch = messages.FetchRecords(replica.records.revision)
     return [SendMessage(sender, fetch)]
 
 
-def _answer_fetch(replica: Replica, sender: str, since: int) -> list[Effect]:
+def _handle_fetch(replica: Replica, sender: str, since: int) -> list[Effect]:
     if not replica.records.revision:
         return []
     changes = records_module.collect_changes(replica.records, since)
     size = sum(len(record.value) for record in changes.records)
-    return [SendMessage(sender, changes)] if size <= LARGEST_CHANGES else []
+    return [SendMessage(sender, changes)] if size <= MAX_CHANGES_SIZE else []
 
 
-def _take_changes(
+def _handle_changes(
     replica: Replica, now: float, sender: str, changes: messages.RecordChanges
 ) -> list[Effect]:
     before = replica.records.revision
     outcome = records_module.apply_changes(replica.records, changes)
-    done: list[Effect] = []
+    effects: list[Effect] = []
     if outcome is not records_module.UpdateOutcome.UNCHANGED:
-        done.append(ApplyRecords())
+        effects.append(ApplyRecords())
     if outcome is records_module.UpdateOutcome.INCOMPLETE:
-        return [*done, SendMessage(sender, messages.FetchRecords(0))]
-    return done + _note_caught_up(
-        replica, now, float("-inf"), before, here=False
+        return [*effects, SendMessage(sender, messages.FetchRecords(0))]
+    return effects + _handle_new_records(
+        replica, now, float("-inf"), before, by_own_read=False
     )
 
 
-def _note_caught_up(
-    replica: Replica, now: float, proven_at: float, before: int, here: bool
+def _handle_new_records(
+    replica: Replica,
+    now: float,
+    proven_at: float,
+    before: int,
+    by_own_read: bool,
 ) -> list[Effect]:
-    """Takes note of records that came.
+    """Records the proof of new records and announces a new revision.
+
+    If the records include the revision that another router announced, that
+    router's proof holds as well, and a scheduled snapshot is cancelled.
 
     Args:
-        replica: The replica; changed.
+        replica: The replica, which has the new records already; changed.
         now: This process's time.
-        proven_at: When they were the newest, as far as they tell.
-        before: Revision known before.
-        here: Whether this process read them.
+        proven_at: When the records were the newest; minus infinity if
+            unknown.
+        before: Revision of the replica before the new records.
+        by_own_read: Whether this process read the records from the platform.
 
     Returns:
-        What is to be done.
+        Effects for the caller to carry out.
     """
     revision = replica.records.revision
-    if revision >= replica.heard:
+    if revision >= replica.announced_revision:
         if replica.announced_proof > proven_at:
-            proven_at, here = replica.announced_proof, False
+            proven_at, by_own_read = replica.announced_proof, False
         replica.read_schedule.snapshot_due_at = float("inf")
     else:
         read_schedule_module.schedule_snapshot(
-            replica.read_schedule, now + CATCH_UP
+            replica.read_schedule, now + CATCH_UP_TIMEOUT
         )
-    done = _prove(replica, now, proven_at, here)
+    effects = _record_proof(replica, now, proven_at, by_own_read)
     if revision > before:
-        told = [one for one in done if not isinstance(one, SendMessage)]
-        return told + _tell_all(replica, now, changed=True)
-    return done
+        others = [
+            effect for effect in effects if not isinstance(effect, SendMessage)
+        ]
+        return others + _send_state_to_all(replica, now, changed=True)
+    return effects
 
 
-def _prove(
-    replica: Replica, now: float, proven_at: float, here: bool
+def _record_proof(
+    replica: Replica, now: float, proven_at: float, by_own_read: bool
 ) -> list[Effect]:
-    """Takes note that what is known was the newest at a time."""
+    """Records when the records were the newest; forwards proofs of own reads.
+
+    Args:
+        replica: The replica; changed.
+        now: This process's time.
+        proven_at: When the records were the newest.
+        by_own_read: Whether a read by this process proved it; only then are
+            the subscribers told.
+
+    Returns:
+        Effects for the caller to carry out; none unless the proof is later
+        than the last one.
+    """
     if not read_schedule_module.record_proof(
-        replica.read_schedule, proven_at, here
+        replica.read_schedule, proven_at, by_own_read
     ):
         return []
-    proved: list[Effect] = [RecordProof(proven_at)]
-    return proved + _tell_all(replica, now) if here else proved
+    renewal: list[Effect] = [RecordProof(proven_at)]
+    return (
+        renewal + _send_state_to_all(replica, now) if by_own_read else renewal
+    )
--- a/sycamorefall/direct/replicator.py
+++ b/sycamorefall/direct/replicator.py
@@ -20,32 +20,33 @@
 
 
 class RecordSource(Protocol):
-    """Reads the platform and brings what it publishes into force."""
+    """Reads the platform and puts its records into effect."""
 
     def start_read(self, kind: read_schedule.ReadKind) -> None:
-        """Sends a read; its end is told to the `Replicator`."""
+        """Sends a read; its result is passed to the `Replicator`."""
 
     def cancel_read(self) -> None:
-        """Gives up the read in progress."""
+        """Cancels the read in progress."""
 
     def apply_records(self, known: records.Records) -> None:
-        """Brings records into force, as far as they are new."""
+        """Puts the records that have changed into effect."""
 
 
 class Replicator:
-    """Carries out what the replica decides.
+    """Carries out the effects that the replica returns.
 
     Attributes:
-        replica: The records and how they are kept.
-        source: Reads the platform.
-        reads: How many reads ended, by kind and how.
+        replica: The records and the state that keeps them up to date.
+        source: Reads the platform and applies the records; None until it is
+            set.
+        reads: Number of finished reads, by kind and result.
     """
 
     __slots__ = (
         "_is_reachable",
-        "_prove",
+        "_on_proof",
         "_rank_routers",
-        "_tell",
+        "_send",
         "reads",
         "replica",
         "source",
@@ -53,86 +54,87 @@
 
     def __init__(
         self,
-        kept: replica.Replica,
+        initial_replica: replica.Replica,
         rank_routers: replica.RankRouters,
-        tell: Callable[[Iterable[str], messages.Message], None],
-        prove: Callable[[float], None],
+        send: Callable[[Iterable[str], messages.Message], None],
+        on_proof: Callable[[float], None],
     ):
-        """Creates the keeper of a replica, still without its source.
+        """Creates a replicator whose `source` is not set yet.
 
         Args:
-            kept: The replica.
-            rank_routers: Lists the routers that are heard.
-            tell: Sends a control message to some routers.
-            prove: Called with each time at which what is in force was the
-                newest for certain.
+            initial_replica: The replica.
+            rank_routers: See `replica.RankRouters`.
+            send: Sends a control message to routers, by VM name or control
+                address.
+            on_proof: Called with each time at which the records in effect were
+                certainly the newest.
         """
-        self.replica = kept
+        self.replica = initial_replica
         self.source: RecordSource | None = None
         self.reads: collections.Counter[tuple[str, str]] = collections.Counter()
         self._rank_routers = rank_routers
-        self._tell = tell
-        self._prove = prove
+        self._send = send
+        self._on_proof = on_proof
         self._is_reachable = True
 
     def find_next_due(self) -> float:
-        """Tells when `run` has something to do next."""
+        """Returns when `run` has to be called next."""
         return replica.find_next_due(self.replica)
 
     def run(self, now: float) -> None:
-        """Sends what is due and gives up late reads."""
+        """Runs the replica's timers; counts a read that timed out."""
         if read_schedule.is_read_expired(self.replica.read_schedule, now):
-            self._note_lost("timeout")
-        done = replica.run_timers(self.replica, now, self._rank_routers)
-        self._perform(done)
+            self._record_failed_read("timeout")
+        effects = replica.run_timers(self.replica, now, self._rank_routers)
+        self._perform(effects)
 
     def receive(self, envelope: messages.Envelope) -> None:
-        """Takes what another router asks or tells."""
+        """Handles a control message from another router."""
         now = transport.read_clock()
         self._perform(replica.receive_message(self.replica, now, envelope))
 
     def extend_read(self) -> None:
-        """Takes note that a part of the answer has come."""
+        """Restarts the timeout of the read, as part of its answer arrived."""
         read_schedule.extend_read(
             self.replica.read_schedule, transport.read_clock()
         )
 
     def receive_probe(self, revision: int) -> None:
-        """Takes the platform's revision that was read."""
-        self._note_regained(read_schedule.ReadKind.PROBE)
+        """Handles the platform's revision, the answer to a probe."""
+        self._record_successful_read(read_schedule.ReadKind.PROBE)
         now = transport.read_clock()
         self._perform(replica.handle_probe(self.replica, now, revision))
 
     def receive_snapshot(
         self, revision: int, listed: Iterable[messages.Record]
     ) -> None:
-        """Takes all records that were read, as of a revision."""
-        self._note_regained(read_schedule.ReadKind.SNAPSHOT)
+        """Handles all records as of a revision, the answer to a snapshot."""
+        self._record_successful_read(read_schedule.ReadKind.SNAPSHOT)
         now = transport.read_clock()
-        done = replica.handle_snapshot(self.replica, now, revision, listed)
-        self._perform(done)
+        effects = replica.handle_snapshot(self.replica, now, revision, listed)
+        self._perform(effects)
 
     def receive_failure(self, reason: str) -> None:
-        """Takes note of a read that gave nothing."""
-        self._note_lost(reason)
+        """Counts and handles a read that failed."""
+        self._record_failed_read(reason)
         now = transport.read_clock()
         self._perform(replica.handle_read_failure(self.replica, now))
 
-    def _perform(self, done: Iterable[replica.Effect]) -> None:
-        for effect in done:
+    def _perform(self, effects: Iterable[replica.Effect]) -> None:
+        for effect in effects:
             match effect:
                 case replica.StartRead(kind):
                     self.source.start_read(kind)
                 case replica.CancelRead():
                     self.source.cancel_read()
                 case replica.SendMessage(to, message):
-                    self._tell((to,), message)
+                    self._send((to,), message)
                 case replica.ApplyRecords():
                     self.source.apply_records(self.replica.records)
                 case replica.RecordProof(proven_at):
-                    self._prove(proven_at)
+                    self._on_proof(proven_at)
 
-    def _note_lost(self, reason: str) -> None:
+    def _record_failed_read(self, reason: str) -> None:
         self.reads[self.replica.read_schedule.read.value, "failed"] += 1
         if self._is_reachable:
             self._is_reachable = False
@@ -140,7 +142,7 @@
                 observation.Level.WARNING, "platform.lost", reason=reason
             )
 
-    def _note_regained(self, kind: read_schedule.ReadKind) -> None:
+    def _record_successful_read(self, kind: read_schedule.ReadKind) -> None:
         self.reads[kind.value, "answered"] += 1
         if not self._is_reachable:
             self._is_reachable = True
@@ -150,25 +152,28 @@
 
 
 def create_replicator(
-    place: readers.ReaderSelection,
-    process: int,
+    reader_selection: readers.ReaderSelection,
+    incarnation: int,
     control: str,
     seeds: tuple[str, ...],
     rank_routers: replica.RankRouters,
-    tell: Callable[[Iterable[str], messages.Message], None],
-    prove: Callable[[float], None],
+    send: Callable[[Iterable[str], messages.Message], None],
+    on_proof: Callable[[float], None],
 ) -> Replicator:
-    """Creates the keeper of a replica that knows nothing yet.
+    """Creates the replicator of an empty replica.
 
     Args:
-        place: This process's VM and where it stands.
-        process: Its incarnation.
-        control: Where it takes control messages.
-        seeds: Routers to begin with, by address.
-        rank_routers: Lists the routers that are heard.
-        tell: Sends a control message to some routers.
-        prove: See `Replicator`.
+        reader_selection: VM name and failure domain of this router.
+        incarnation: Incarnation of this process; also the seed of the
+            replica's random jitter.
+        control: Address at which this process receives control messages.
+        seeds: Control addresses of the seed routers.
+        rank_routers: See `Replicator`.
+        send: See `Replicator`.
+        on_proof: See `Replicator`.
     """
     now = transport.read_clock()
-    kept = replica.create_replica(now, process, process, control, place, seeds)
-    return Replicator(kept, rank_routers, tell, prove)
+    initial_replica = replica.create_replica(
+        now, incarnation, incarnation, control, reader_selection, seeds
+    )
+    return Replicator(initial_replica, rank_routers, send, on_proof)
