--- a/sycamorefall/direct/tests/replicas.py
+++ b/sycamorefall/direct/tests/replicas.py
@@ -1,7 +1,8 @@
-"""A fleet's replicas of the platform's records, in simulated time.
+"""Simulation of a fleet's replicas of the platform's records.
 
-No network and no processes: reads and messages are events that come later,
-or never. Each router has a clock of its own.
+There is no network and there are no processes: reads and messages are events
+in simulated time that happen after a delay or never. Each router has a clock of
+its own.
 """
 
 import heapq
@@ -12,32 +13,35 @@
 from sycamorefall.direct import readers, replica
 
 STEP = 0.01
-"""Seconds between two looks of a router at what is due."""
+"""Seconds of simulated time between two runs of a router's timers."""
 
-ANSWER = 0.004
-"""Seconds of a read."""
+READ_TIME = 0.004
+"""Seconds from the start of a read to its answer."""
 
-NOTICE = 2.5
-"""Seconds until the others notice that a router is gone."""
+FAILURE_DETECTION_TIME = 2.5
+"""Seconds until the other routers detect that a router has failed."""
 
 
 class Platform:
-    """What is published, with switches for its troubles.
+    """A simulated platform that can refuse reads or leave them unanswered.
 
     Attributes:
-        away: Whether it refuses all.
-        refuses: Routers that it turns away.
-        mute: Routers that it doesn't answer.
-        calls: Reads asked for, by router.
+        records: Records by key.
+        revision: Current revision.
+        changed_at: Simulated time of each change, by revision.
+        unavailable: Whether all reads are refused.
+        refused_routers: Names of routers whose reads are refused.
+        unanswered_routers: Names of routers whose reads are never answered.
+        calls: Simulated time and router name of each read.
     """
 
     def __init__(self):
         self.records = {}
         self.revision = 1
-        self.changed = {}
-        self.away = False
-        self.refuses = set()
-        self.mute = set()
+        self.changed_at = {}
+        self.unavailable = False
+        self.refused_routers = set()
+        self.unanswered_routers = set()
         self.calls = []
 
     def put(self, key, now):
@@ -45,49 +49,63 @@
         known = self.records.get(key)
         made = known.made_at if known else self.revision
         self.records[key] = messages.Record(key, made, self.revision, b"v")
-        self.changed[self.revision] = now
+        self.changed_at[self.revision] = now
 
     def delete(self, key, now):
         self.revision += 1
         del self.records[key]
-        self.changed[self.revision] = now
+        self.changed_at[self.revision] = now
 
 
 class Router:
-    """A router's replica.
+    """A simulated router process with its replica.
 
     Attributes:
+        clock_offset: The router's clock minus the simulated time, in seconds.
         alive: Whether its process runs.
-        frozen: Whether it stands still: what comes waits.
-        seen_at: When it last ran.
-        proven_at: Latest time for which it has proof, by its own clock.
-        adopted: Revision that it brought into force.
+        frozen: Whether its process is paused; events wait in the inbox.
+        ran_at: Simulated time at which it last ran.
+        proven_at: Time of the latest proof, by its own clock.
+        applied_revision: Revision of the records that it put into effect.
+        read_number: Number of the latest read; answers to earlier reads are
+            ignored.
+        inbox: Actions to carry out when it runs next.
     """
 
-    def __init__(self, fleet, name, domain, process, offset):
-        self.name, self.domain, self.process = name, domain, process
-        self.offset = offset
+    def __init__(self, fleet, name, domain, incarnation, clock_offset):
+        self.name, self.domain, self.incarnation = name, domain, incarnation
+        self.clock_offset = clock_offset
         self.alive, self.frozen = True, False
-        self.seen_at = fleet.now
-        self.proven_at, self.adopted = float("-inf"), 0
-        self.read = 0
+        self.ran_at = fleet.now
+        self.proven_at, self.applied_revision = float("-inf"), 0
+        self.read_number = 0
         self.inbox = []
         self.replica = replica.create_replica(
-            fleet.now + offset,
-            hash_name(name, process),
-            process,
+            fleet.now + clock_offset,
+            hash_name(name, incarnation),
+            incarnation,
             name,
             readers.ReaderSelection(name, domain),
             fleet.seeds,
         )
 
 
-def hash_name(name, process):
-    return sum(map(ord, name)) * 1000 + process
+def hash_name(name, incarnation):
+    return sum(map(ord, name)) * 1000 + incarnation
 
 
 class Fleet:
-    """Routers by name, and the events between them and the platform."""
+    """A simulated fleet of routers that read a simulated platform.
+
+    Attributes:
+        now: Simulated time in seconds.
+        routers: Routers by name.
+        events: Heap of (time, number, action).
+        loss_rate: Probability that a message is lost.
+        max_delay: Maximum transit time of a message, in seconds.
+        isolated_routers: Names of routers that neither send nor receive
+            messages.
+    """
 
     def __init__(self, domains=3, size=4, seeds=2, seed=1):
         self.random = random.Random(seed)
@@ -95,10 +113,10 @@
         self.platform = Platform()
         self.platform.put("configuration", 0.0)
         self.events = []
-        self.number = itertools.count()
-        self.lossy = 0.0
-        self.slowest = 0.001
-        self.deaf = set()
+        self.event_numbers = itertools.count()
+        self.loss_rate = 0.0
+        self.max_delay = 0.001
+        self.isolated_routers = set()
         names = [
             (f"router-{domain}-{n}", f"domain-{domain}")
             for n in range(size)
@@ -109,25 +127,31 @@
         for name, domain in names:
             self.start(name, domain)
 
-    def start(self, name, domain, process=1):
-        offset = self.random.uniform(0.0, 1000.0)
-        self.routers[name] = Router(self, name, domain, process, offset)
+    def start(self, name, domain, incarnation=1):
+        clock_offset = self.random.uniform(0.0, 1000.0)
+        self.routers[name] = Router(
+            self, name, domain, incarnation, clock_offset
+        )
 
     def restart(self, name):
         known = self.routers[name]
-        self.start(name, known.domain, known.process + 1)
+        self.start(name, known.domain, known.incarnation + 1)
 
-    def rank(self):
-        """Ranks the routers as one that hears all of them would."""
+    def rank_routers(self):
+        """Ranks routers as a router that hears all live ones ranks them."""
         ranking = {}
-        for one in sorted(self.routers.values(), key=lambda one: one.name):
-            if self.now - one.seen_at < NOTICE:
-                ranking.setdefault(one.domain, []).append(one.name)
+        for router in sorted(
+            self.routers.values(), key=lambda router: router.name
+        ):
+            if self.now - router.ran_at < FAILURE_DETECTION_TIME:
+                ranking.setdefault(router.domain, []).append(router.name)
         return ranking
 
     def list_live(self):
         return [
-            one for one in self.routers.values() if one.alive and not one.frozen
+            router
+            for router in self.routers.values()
+            if router.alive and not router.frozen
         ]
 
     def run(self, seconds, check=None):
@@ -136,88 +160,96 @@
             self.now += STEP
             while self.events and self.events[0][0] <= self.now:
                 heapq.heappop(self.events)[2]()
-            for one in self.list_live():
-                one.seen_at = self.now
-                waiting, one.inbox = one.inbox, []
-                for act in waiting:
-                    act()
-                clock = self.now + one.offset
-                if clock >= replica.find_next_due(one.replica):
+            for router in self.list_live():
+                router.ran_at = self.now
+                actions, router.inbox = router.inbox, []
+                for action in actions:
+                    action()
+                clock = self.now + router.clock_offset
+                if clock >= replica.find_next_due(router.replica):
                     self._perform(
-                        one, replica.run_timers(one.replica, clock, self.rank)
+                        router,
+                        replica.run_timers(
+                            router.replica, clock, self.rank_routers
+                        ),
                     )
             if check is not None:
                 check()
 
-    def _later(self, pause, act):
-        event = (self.now + pause, next(self.number), act)
+    def _schedule(self, delay, action):
+        event = (self.now + delay, next(self.event_numbers), action)
         heapq.heappush(self.events, event)
 
-    def _perform(self, one, done):
-        for effect in done:
+    def _perform(self, router, effects):
+        for effect in effects:
             match effect:
                 case replica.StartRead(kind):
-                    one.read += 1
-                    self._read(one, kind, one.read)
+                    router.read_number += 1
+                    self._start_read(router, kind, router.read_number)
                 case replica.CancelRead():
-                    one.read += 1
+                    router.read_number += 1
                 case replica.SendMessage(to, message):
-                    self._send(one, to, message)
+                    self._send(router, to, message)
                 case replica.ApplyRecords():
-                    one.adopted = one.replica.records.revision
+                    router.applied_revision = router.replica.records.revision
                 case replica.RecordProof(proven_at):
-                    one.proven_at = max(one.proven_at, proven_at)
+                    router.proven_at = max(router.proven_at, proven_at)
 
-    def _read(self, one, kind, number):
+    def _start_read(self, router, kind, number):
         platform = self.platform
-        platform.calls.append((self.now, one.name))
-        if one.name in platform.mute:
+        platform.calls.append((self.now, router.name))
+        if router.name in platform.unanswered_routers:
             return
-        if platform.away or one.name in platform.refuses:
-            self._later(ANSWER, lambda: self._end_read(one, number, None))
+        if platform.unavailable or router.name in platform.refused_routers:
+            self._schedule(
+                READ_TIME, lambda: self._end_read(router, number, None)
+            )
             return
 
         def answer():
             shown = platform.revision, list(platform.records.values())
-            self._later(
-                ANSWER / 2, lambda: self._end_read(one, number, (kind, shown))
+            self._schedule(
+                READ_TIME / 2,
+                lambda: self._end_read(router, number, (kind, shown)),
             )
 
-        self._later(ANSWER / 2, answer)
+        self._schedule(READ_TIME / 2, answer)
 
-    def _end_read(self, one, number, answer):
-        def act():
-            if number != one.read or not one.alive:
+    def _end_read(self, router, number, answer):
+        def action():
+            if number != router.read_number or not router.alive:
                 return
-            now = self.now + one.offset
+            now = self.now + router.clock_offset
             if answer is None:
                 self._perform(
-                    one, replica.handle_read_failure(one.replica, now)
+                    router, replica.handle_read_failure(router.replica, now)
                 )
                 return
             kind, (revision, listed) = answer
             if kind.value == "probe":
-                done = replica.handle_probe(one.replica, now, revision)
+                effects = replica.handle_probe(router.replica, now, revision)
             else:
-                done = replica.handle_snapshot(
-                    one.replica, now, revision, listed
+                effects = replica.handle_snapshot(
+                    router.replica, now, revision, listed
                 )
-            self._perform(one, done)
+            self._perform(router, effects)
 
-        one.inbox.append(act)
+        router.inbox.append(action)
 
-    def _send(self, one, to, message):
-        cut = {one.name, to} & self.deaf
-        if cut or self.random.random() < self.lossy:
+    def _send(self, router, to, message):
+        blocked = {router.name, to} & self.isolated_routers
+        if blocked or self.random.random() < self.loss_rate:
             return
-        envelope = messages.Envelope(one.name, one.process, 1, message)
+        envelope = messages.Envelope(
+            router.name, router.incarnation, 1, message
+        )
 
         def arrive():
             receiver = self.routers[to]
 
-            def act():
+            def action():
                 if receiver.alive and self.routers[to] is receiver:
-                    now = self.now + receiver.offset
+                    now = self.now + receiver.clock_offset
                     self._perform(
                         receiver,
                         replica.receive_message(
@@ -225,22 +257,22 @@
                         ),
                     )
 
-            receiver.inbox.append(act)
+            receiver.inbox.append(action)
 
-        self._later(self.random.uniform(0.0001, self.slowest), arrive)
+        self._schedule(self.random.uniform(0.0001, self.max_delay), arrive)
 
-    def find_age(self, one):
-        """Tells the true age of a router's proof, in seconds."""
-        return self.now + one.offset - one.proven_at
+    def compute_proof_age(self, router):
+        """Computes the true age of a router's proof, in seconds."""
+        return self.now + router.clock_offset - router.proven_at
 
     def check_proofs(self):
-        """Checks that no router takes its records for newer than they are."""
-        for one in self.routers.values():
-            true_time = one.proven_at - one.offset
-            known = one.replica.records.revision
+        """Checks that no router has proof for a time after a missed change."""
+        for router in self.routers.values():
+            true_time = router.proven_at - router.clock_offset
+            known_revision = router.replica.records.revision
             missed = [
                 at
-                for revision, at in self.platform.changed.items()
-                if revision > known
+                for revision, at in self.platform.changed_at.items()
+                if revision > known_revision
             ]
-            assert min(missed, default=float("inf")) >= true_time, one.name
+            assert min(missed, default=float("inf")) >= true_time, router.name
--- a/sycamorefall/direct/tests/test_records.py
+++ b/sycamorefall/direct/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Records that come from the platform and from peers, in any order."""
+"""Tests of records that arrive in any order from the platform and peers."""
 
 from hypothesis import stateful, strategies
 
@@ -10,66 +10,72 @@
     return messages.Record(key, made_at, changed_at, b"")
 
 
-def test_record_does_not_fall_back_to_an_older_one():
-    # Two neighbours tell of an upstream, the slower one as it was before it
-    # began to leave. It would be sent requests again.
-    known = records.Records()
-    records.apply_snapshot(known, 9, [make_record("e1", 8)])
+def test_later_record_is_not_replaced_by_an_earlier_one():
+    # Guards against requests to an upstream that is leaving: two routers send
+    # its record, and the slower one sends the version from before it began to
+    # leave.
+    replica = records.Records()
+    records.apply_snapshot(replica, 9, [make_record("e1", 8)])
     older = messages.RecordChanges(0, 9, (make_record("e1", 3),), (), 0)
-    records.apply_changes(known, older)
-    assert known.by_key["e1"].changed_at == 8
-
-
-def test_deleted_record_does_not_come_back():
-    # An upstream is gone. A listing that was read in pages, the first of them
-    # before, shows it still, and it would be sent requests again.
-    known = records.Records()
-    records.apply_snapshot(known, 5, [make_record("e1", 3)])
-    records.apply_snapshot(known, 9, [])
-    late = messages.RecordChanges(0, 9, (make_record("e1", 3),), (), 0)
-    assert records.apply_changes(known, late) is records.UpdateOutcome.UNCHANGED
-    assert not known.by_key
+    records.apply_changes(replica, older)
+    assert replica.by_key["e1"].changed_at == 8
+
+
+def test_deleted_record_does_not_reappear():
+    # Guards against requests to a deleted upstream: a listing that is read in
+    # pages still contains it if its page was read before the deletion.
+    replica = records.Records()
+    records.apply_snapshot(replica, 5, [make_record("e1", 3)])
+    records.apply_snapshot(replica, 9, [])
+    outdated = messages.RecordChanges(0, 9, (make_record("e1", 3),), (), 0)
+    assert (
+        records.apply_changes(replica, outdated)
+        is records.UpdateOutcome.UNCHANGED
+    )
+    assert not replica.by_key
     again = messages.RecordChanges(0, 12, (make_record("e1", 11, 11),), (), 0)
-    records.apply_changes(known, again)
-    assert list(known.by_key) == ["e1"]
+    records.apply_changes(replica, again)
+    assert list(replica.by_key) == ["e1"]
 
 
-def test_deletion_that_a_peer_never_saw_is_noticed():
-    # An upstream comes and goes between two reads of one router, and another
-    # has seen it. The first can't tell the other that it is gone.
-    here, there = records.Records(), records.Records()
-    for known in (here, there):
-        records.apply_snapshot(known, 5, [make_record("e1", 3)])
+def test_deletion_unknown_to_the_sender_is_detected():
+    # Guards against a missed deletion: an upstream is added and deleted between
+    # two reads of the sender, while the receiver has read its record. The
+    # sender's changes can't include a deletion that it doesn't know of.
+    sender, receiver = records.Records(), records.Records()
+    for replica in (sender, receiver):
+        records.apply_snapshot(replica, 5, [make_record("e1", 3)])
     both = [make_record("e1", 3), make_record("e2", 7, 7)]
-    records.apply_snapshot(there, 7, both)
-    records.apply_snapshot(here, 9, [make_record("e1", 3)])
-    told = records.collect_changes(here, there.revision)
+    records.apply_snapshot(receiver, 7, both)
+    records.apply_snapshot(sender, 9, [make_record("e1", 3)])
+    changes = records.collect_changes(sender, receiver.revision)
     assert (
-        records.apply_changes(there, told) is records.UpdateOutcome.INCOMPLETE
+        records.apply_changes(receiver, changes)
+        is records.UpdateOutcome.INCOMPLETE
     )
-    assert there.revision == 7, "it goes on asking"
-    records.apply_changes(there, records.collect_changes(here, 0))
-    assert there.by_key == here.by_key
+    assert receiver.revision == 7, "the receiver has to fetch again"
+    records.apply_changes(receiver, records.collect_changes(sender, 0))
+    assert receiver.by_key == sender.by_key
 
 
 class RecordsMachine(stateful.RuleBasedStateMachine):
-    """Three replicas of a store that changes, which tell each other."""
+    """Three replicas of a changing store that send each other changes."""
 
     def __init__(self):
         super().__init__()
         self.store, self.revision = {}, 1
         self.replicas = [records.Records() for _ in range(3)]
-        self.history = {}
-        self.late = []
+        self.last_changes = {}
+        self.sent_changes = []
 
     keys = strategies.sampled_from("abcde")
-    places = strategies.integers(0, 2)
+    replica_numbers = strategies.integers(0, 2)
 
     @stateful.rule(key=keys)
     def put(self, key):
         self.revision += 1
-        known = self.store.get(key)
-        made_at = known.made_at if known else self.revision
+        current = self.store.get(key)
+        made_at = current.made_at if current else self.revision
         self.store[key] = make_record(key, self.revision, made_at)
 
     @stateful.rule(key=keys)
@@ -77,49 +83,53 @@
         if self.store.pop(key, None):
             self.revision += 1
 
-    @stateful.rule(place=places)
-    def read(self, place):
+    @stateful.rule(number=replica_numbers)
+    def read(self, number):
         listed = list(self.store.values())
-        records.apply_snapshot(self.replicas[place], self.revision, listed)
+        records.apply_snapshot(self.replicas[number], self.revision, listed)
 
-    @stateful.rule(place=places, key=keys)
-    def read_in_pages(self, place, key):
-        """Reads a first page, then the rest after one more change."""
+    @stateful.rule(number=replica_numbers, key=keys)
+    def read_in_pages(self, number, key):
+        """Reads a first page, changes a record, and reads the rest."""
         revision = self.revision
-        first = [one for one in self.store.values() if one.key <= "b"]
+        first = [record for record in self.store.values() if record.key <= "b"]
         self.put(key)
-        rest = [one for one in self.store.values() if one.key > "b"]
-        records.apply_snapshot(self.replicas[place], revision, first + rest)
-
-    @stateful.rule(place=places, other=places, whole=strategies.booleans())
-    def tell(self, place, other, whole):
-        since = 0 if whole else self.replicas[other].revision
-        told = records.collect_changes(self.replicas[place], since)
-        records.apply_changes(self.replicas[other], told)
-        self.late.append(told)
-
-    @stateful.rule(place=places, data=strategies.data())
-    def tell_late(self, place, data):
-        if self.late:
-            told = data.draw(strategies.sampled_from(self.late))
-            records.apply_changes(self.replicas[place], told)
+        rest = [record for record in self.store.values() if record.key > "b"]
+        records.apply_snapshot(self.replicas[number], revision, first + rest)
+
+    @stateful.rule(
+        sender=replica_numbers,
+        receiver=replica_numbers,
+        everything=strategies.booleans(),
+    )
+    def send_changes(self, sender, receiver, everything):
+        since = 0 if everything else self.replicas[receiver].revision
+        changes = records.collect_changes(self.replicas[sender], since)
+        records.apply_changes(self.replicas[receiver], changes)
+        self.sent_changes.append(changes)
+
+    @stateful.rule(number=replica_numbers, data=strategies.data())
+    def resend_changes(self, number, data):
+        if self.sent_changes:
+            changes = data.draw(strategies.sampled_from(self.sent_changes))
+            records.apply_changes(self.replicas[number], changes)
 
     @stateful.invariant()
     def knows_every_change_up_to_its_revision(self):
-        for known in self.replicas:
+        for replica in self.replicas:
             for key, record in self.store.items():
-                if record.changed_at <= known.revision:
-                    assert known.by_key[key] == record
-            if known.revision == self.revision:
-                assert known.by_key == self.store
+                if record.changed_at <= replica.revision:
+                    assert replica.by_key[key] == record
+            if replica.revision == self.revision:
+                assert replica.by_key == self.store
 
     @stateful.invariant()
-    def never_falls_back(self):
-        for place, known in enumerate(self.replicas):
-            for key, record in known.by_key.items():
-                before = self.history.get((place, key), 0)
+    def never_returns_to_an_earlier_version(self):
+        for number, replica in enumerate(self.replicas):
+            for key, record in replica.by_key.items():
+                before = self.last_changes.get((number, key), 0)
                 assert record.changed_at >= before
-                self.history[place, key] = record.changed_at
+                self.last_changes[number, key] = record.changed_at
 
 
 TestRecords = RecordsMachine.TestCase
