--- a/sycamorefall/direct/read_schedule.py
+++ b/sycamorefall/direct/read_schedule.py
@@ -134,8 +134,10 @@
             seed routers.
     """
     schedule = ReadSchedule(random.Random(seed))
-    wait = 0.0 if read_at_once else schedule.random.uniform(*START_DELAY_RANGE)
-    schedule.snapshot_due_at = now + wait
+    start_delay = (
+        0.0 if read_at_once else schedule.random.uniform(*START_DELAY_RANGE)
+    )
+    schedule.snapshot_due_at = now + start_delay
     schedule.is_reader = read_at_once
     return schedule
 
--- a/sycamorefall/direct/replica.py
+++ b/sycamorefall/direct/replica.py
@@ -45,8 +45,8 @@
 records from the platform."""
 
 RankRouters = Callable[[], Mapping[str, Sequence[str]]]
-"""Returns the live routers, including this one, by failure domain, in order of
-preference as readers."""
+"""Returns the live routers that may act as readers, including this one if it
+is available, by failure domain in order of preference."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
