--- a/sycamorefall/direct/__init__.py
+++ b/sycamorefall/direct/__init__.py
@@ -1,5 +1,6 @@
-"""Sending directly to upstreams, without a sidecar beside them.
+"""Router that sends requests directly to upstreams, without sidecars.
 
-The decisions are free of I/O: `core` takes requests and time, `outcomes`
-what became of them at upstreams, and both return effects.
+The decision logic does no I/O. `core` handles new requests and timers,
+`outcomes` handles how attempts at upstreams ended, and both return the effects
+that `relay` and `daemon` carry out.
 """
--- a/sycamorefall/direct/core.py
+++ b/sycamorefall/direct/core.py
@@ -1,4 +1,4 @@
-"""Decisions of a router that sends directly to upstreams; no I/O."""
+"""Decision logic of a router that sends directly to upstreams; no I/O."""
 
 __all__ = [
     "apply_catalog",
@@ -39,52 +39,58 @@
 )
 
 STALL_CHECK_INTERVAL = 0.1
-"""Seconds between two looks for upstreams that say nothing."""
+"""Seconds between two checks for stalled upstreams."""
 
 OTHER_ROUTER_RETRY_AFTER = 0.1
-"""Seconds after which a caller that only this router can't serve is to come
-back; enough for its next connection to reach another one."""
+"""Retry-After, in seconds, of a request that only this router can't serve; long
+enough for the caller's next connection to reach another router."""
 
 DISPATCH_INTERVAL = 0.01
-"""Seconds between two looks whether a waiting request can go: load that other
-routers report, and upstreams whose pause ended, call for no look."""
+"""Seconds between two tries to send waiting requests while nothing sets
+`DirectState.dispatch_needed`. The end of an upstream's suspension, for example,
+doesn't set it."""
 
 
 def apply_catalog(
     state: state_module.DirectState, now: float, new: catalog.Catalog
 ) -> list[effects.Effect]:
-    """Brings a configuration into force, unless a later one is.
+    """Applies a configuration unless its version is not newer.
 
-    Waiting requests are judged anew: their key may be gone, or their route.
+    Waiting requests are authorized and routed again, since their key or their
+    route may be gone.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
+        state: The router's state; modified.
+        now: Current time of this process's clock.
         new: The configuration.
 
     Returns:
-        What is to be done.
+        Errors for the waiting requests that are no longer authorized.
     """
     if state.catalog is not None and new.version <= state.catalog.version:
         return []
     state.catalog = new
     state.dispatch_needed = True
-    waiting_ones = [one for one in state.requests.values() if not one.attempt]
-    done: list[effects.Effect] = []
-    for request in waiting_ones:
-        judged = _admit(state, now, request.new)
-        if isinstance(judged, result.Failure):
-            done.append(effects.AnswerError(request.number, judged.failure()))
+    waiting_requests = [
+        one for one in state.requests.values() if not one.attempt
+    ]
+    pending: list[effects.Effect] = []
+    for request in waiting_requests:
+        admission = _admit(state, now, request.new)
+        if isinstance(admission, result.Failure):
+            pending.append(
+                effects.AnswerError(request.number, admission.failure())
+            )
             outcomes.discard_request(state, request)
             continue
-        route, team = judged.unwrap()
+        route, team = admission.unwrap()
         dispatching.dequeue_request(state, request)
         request.route, request.team = route, team
         # Recomputed on next use, since it depends on the team.
         request.fingerprint = b""
         request.service = catalog.choose_service(route, state.random.random())
         dispatching.enqueue_request(state, request)
-    return done
+    return pending
 
 
 def apply_listing(
@@ -92,7 +98,16 @@
     now: float,
     listing: list[upstreams.UpstreamEntry],
 ) -> list[str]:
-    """Takes over a listing of upstreams; returns names no longer used."""
+    """Replaces the listing of upstreams.
+
+    Args:
+        state: The router's state; modified.
+        now: Current time of this process's clock.
+        listing: All upstreams that the platform lists.
+
+    Returns:
+        Names of the upstreams that were removed.
+    """
     state.dispatch_needed = True
     return upstreams.replace_listing(state.table, now, listing)
 
@@ -100,7 +115,13 @@
 def record_proof(
     state: state_module.DirectState, now: float, proven_at: float
 ) -> None:
-    """Takes note of when all that is in force was the newest for certain."""
+    """Records that the configuration and the listing were current at a time.
+
+    Args:
+        state: The router's state; modified.
+        now: Current time of this process's clock.
+        proven_at: Time at which both were proven to be the newest.
+    """
     freshness.record_proof(state.freshness, proven_at)
     upstreams.confirm_listing(state.table, now, proven_at)
 
@@ -113,7 +134,7 @@
 def list_unready_reasons(
     state: state_module.DirectState, now: float
 ) -> list[str]:
-    """Lists why callers had better be sent to another router."""
+    """Lists the reasons why the balancer should choose another router."""
     reasons = {
         "stopping": state.stop.since is not None,
         "overloaded": overload.is_overloaded(state.overload, now),
@@ -131,18 +152,23 @@
     now: float,
     new: state_module.NewRequest,
 ) -> result.Result[tuple[catalog.Route, str], errors.ErrorKind]:
-    """Judges whether a request has a route and may use it."""
-    known = state.catalog
-    if known is None:
+    """Finds the route of a request and authorizes its key.
+
+    Returns:
+        The route and the team's name, which is empty if the route needs no key;
+        or the kind of error.
+    """
+    current = state.catalog
+    if current is None:
         return result.Failure(errors.ErrorKind.NOT_READY)
-    route = catalog.find_route(known, new.host, new.path)
+    route = catalog.find_route(current, new.host, new.path)
     if route is None:
         return result.Failure(errors.ErrorKind.UNKNOWN_SERVICE)
-    if route.public or not known.requires_key:
+    if route.public or not current.requires_key:
         return result.Success((route, ""))
     if not freshness.is_fresh(state.freshness, now):
         return result.Failure(errors.ErrorKind.NOT_READY)
-    team = known.teams.get(new.key)
+    team = current.teams.get(new.key)
     if team is None:
         return result.Failure(errors.ErrorKind.UNKNOWN_TEAM)
     return result.Success((route, team.name))
@@ -153,24 +179,24 @@
     now: float,
     new: state_module.NewRequest,
 ) -> tuple[int, list[effects.Effect]]:
-    """Takes a caller's request: it is sent, waits or is refused.
+    """Sends, enqueues or refuses a caller's request.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
+        state: The router's state; modified.
+        now: Current time of this process's clock.
         new: The request.
 
     Returns:
-        The request's number and what is to be done.
+        The request's number and the effects to carry out.
     """
     state.last_number += 1
     number = state.last_number
-    judged = _admit(state, now, new)
-    if isinstance(judged, result.Failure):
-        kind = judged.failure()
-        pause = _choose_pause(state, kind)
-        return number, [effects.AnswerError(number, kind, pause)]
-    route, team = judged.unwrap()
+    admission = _admit(state, now, new)
+    if isinstance(admission, result.Failure):
+        kind = admission.failure()
+        retry_after = _choose_retry_after(state, kind)
+        return number, [effects.AnswerError(number, kind, retry_after)]
+    route, team = admission.unwrap()
     if state.quarantine.quarantined:
         fingerprint = fingerprints.compute_fingerprint(new, team)
         if quarantine.is_quarantined(state.quarantine, fingerprint):
@@ -179,15 +205,15 @@
             return number, [
                 effects.AnswerError(number, kind, fingerprint=fingerprint)
             ]
-    left = route.timeout
+    remaining = route.timeout
     if new.time_left is not None:
-        left = min(left, new.time_left)
-    if not stopping.may_accept(state.stop, now, now + left):
+        remaining = min(remaining, new.time_left)
+    if not stopping.may_accept(state.stop, now, now + remaining):
         kind = errors.ErrorKind.STOPPING
         return number, [
-            effects.AnswerError(number, kind, _choose_pause(state, kind))
+            effects.AnswerError(number, kind, _choose_retry_after(state, kind))
         ]
-    wait = min(left, dispatching.MAX_WAIT_SHARE * route.target_latency)
+    wait = min(remaining, dispatching.MAX_WAIT_SHARE * route.target_latency)
     request = state_module.Request(
         number,
         new,
@@ -195,25 +221,27 @@
         catalog.choose_service(route, state.random.random()),
         team,
         now,
-        answer_by=now + left,
-        target_at=now + route.target_latency - _read_elapsed(state, route, new),
+        answer_by=now + remaining,
+        target_at=now
+        + route.target_latency
+        - _estimate_elapsed(state, route, new),
         give_up_at=now + wait,
     )
     state.requests[number] = request
     if new.prompt is not None:
         key = new.prompt.home_key
         request.part_uses = prompts.record_use(state.uses, now, key)
-        known = state_module.get_or_create_recent_targets(
+        recent_targets = state_module.get_or_create_recent_targets(
             state, request.service
         )
-        latency_targets.record_target(known, now, route.target_latency)
+        latency_targets.record_target(recent_targets, now, route.target_latency)
     budget.count_request(
         dispatching.get_or_create_budget(state, request.service), now
     )
     heapq.heappush(state.deadlines, (request.answer_by, number))
     heapq.heappush(state.deadlines, (request.give_up_at, number))
-    room = state.service_queues.get(request.service)
-    if room is None or not room.by_team:
+    queue = state.service_queues.get(request.service)
+    if queue is None or not queue.by_team:
         sent = dispatching.try_send(state, now, request)
         if sent:
             return number, sent
@@ -223,13 +251,16 @@
     return number, []
 
 
-def _choose_pause(
+def _choose_retry_after(
     state: state_module.DirectState, kind: errors.ErrorKind
 ) -> float | None:
-    """Chooses when a refused caller is to come back, in seconds.
+    """Chooses the Retry-After of a refused request, in seconds.
 
-    One that this router alone can't serve is to come back at once: it opens
-    a new connection, and the balancer gives that to another router.
+    A caller that only this router can't serve should retry at once: its new
+    connection is given to another router by the balancer.
+
+    Returns:
+        The seconds; None if a retry doesn't help.
     """
     if kind in (errors.ErrorKind.NOT_READY, errors.ErrorKind.STOPPING):
         return OTHER_ROUTER_RETRY_AFTER
@@ -238,22 +269,35 @@
     )
 
 
-def _read_elapsed(
+def _estimate_elapsed(
     state: state_module.DirectState,
     route: catalog.Route,
     new: state_module.NewRequest,
 ) -> float:
-    """Tells how long a caller has been asking already, in seconds."""
+    """Estimates how long a caller has been retrying at least, in seconds.
+
+    The estimate compares the time that the caller has left with the times that
+    other callers of the route had left. It is 0 for a caller that states none.
+    """
     if new.time_left is None:
         return 0.0
-    known = state.patience.setdefault(route.name, patience.Patience())
-    return patience.read_elapsed(known, new.time_left)
+    route_patience = state.patience.setdefault(route.name, patience.Patience())
+    return patience.read_elapsed(route_patience, new.time_left)
 
 
 def cancel_request(
     state: state_module.DirectState, number: int, now: float
 ) -> list[effects.Effect]:
-    """Ends a request whose caller has gone."""
+    """Discards a request whose caller has disconnected.
+
+    Args:
+        state: The router's state; modified.
+        number: The request; ignored if it has ended already.
+        now: Current time of this process's clock.
+
+    Returns:
+        The abort of the request's attempt, if it is at an upstream.
+    """
     request = state.requests.get(number)
     if request is None:
         return []
@@ -265,67 +309,70 @@
 def run_timers(
     state: state_module.DirectState, now: float
 ) -> list[effects.Effect]:
-    """Does what has come due.
+    """Handles expired requests, stalled upstreams and waiting requests.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
+        state: The router's state; modified.
+        now: Current time of this process's clock.
 
     Returns:
-        What is to be done.
+        The effects to carry out.
     """
-    due = _expire_requests(state, now)
+    pending = _expire_requests(state, now)
     if now >= quarantine.find_next_scan(state.quarantine):
         quarantine.drop_expired(state.quarantine, now)
     if now - state.stalls_checked_at >= STALL_CHECK_INTERVAL:
         state.stalls_checked_at = now
-        due += stalls.handle_stalls(state, now)
-    if _is_serving_due(state, now):
+        pending += stalls.handle_stalls(state, now)
+    if _is_dispatch_due(state, now):
         state.last_dispatch_at = now
-        due += dispatching.send_waiting_requests(state, now)
+        pending += dispatching.send_waiting_requests(state, now)
         state.dispatch_needed = False
-    return due
+    return pending
 
 
-def _is_serving_due(state: state_module.DirectState, now: float) -> bool:
-    return _is_anyone_waiting(state) and now >= _find_next_look(state)
+def _is_dispatch_due(state: state_module.DirectState, now: float) -> bool:
+    return _is_any_request_waiting(state) and now >= _compute_next_dispatch(
+        state
+    )
 
 
-def _find_next_look(state: state_module.DirectState) -> float:
-    """Tells when waiting requests are looked at next.
+def _compute_next_dispatch(state: state_module.DirectState) -> float:
+    """Computes when the router next tries to send waiting requests.
 
-    At once if a place may have come free; but looks take a bounded part of
-    the process's time, however many requests wait for however many engines.
+    This is immediately if capacity may have become free, but not before
+    `min_dispatch_interval` has passed. That bounds the share of the process's
+    time spent on these tries, whatever the number of requests and engines.
     """
-    pause = 0.0 if state.dispatch_needed else DISPATCH_INTERVAL
-    return state.last_dispatch_at + max(pause, state.min_dispatch_interval)
+    interval = 0.0 if state.dispatch_needed else DISPATCH_INTERVAL
+    return state.last_dispatch_at + max(interval, state.min_dispatch_interval)
 
 
 def find_next_due(state: state_module.DirectState) -> float:
-    """Tells when `run_timers` has something to do next."""
+    """Computes the time at which `run_timers` next has work; inf if never."""
     due = state.deadlines[0][0] if state.deadlines else float("inf")
-    if _is_anyone_waiting(state):
-        due = min(due, _find_next_look(state))
+    if _is_any_request_waiting(state):
+        due = min(due, _compute_next_dispatch(state))
     if state.running:
         due = min(due, state.stalls_checked_at + STALL_CHECK_INTERVAL)
     return min(due, quarantine.find_next_scan(state.quarantine))
 
 
-def _is_anyone_waiting(state: state_module.DirectState) -> bool:
-    return any(room.by_team for room in state.service_queues.values())
+def _is_any_request_waiting(state: state_module.DirectState) -> bool:
+    return any(queue.by_team for queue in state.service_queues.values())
 
 
 def _expire_requests(
     state: state_module.DirectState, now: float
 ) -> list[effects.Effect]:
-    done: list[effects.Effect] = []
+    pending: list[effects.Effect] = []
     while state.deadlines and state.deadlines[0][0] <= now:
         _, number = heapq.heappop(state.deadlines)
         request = state.requests.get(number)
         if request is None:
             continue
         if now >= request.answer_by:
-            done += outcomes.expire_request(state, request, now)
+            pending += outcomes.expire_request(state, request, now)
         elif now >= request.give_up_at and request.attempt is None:
-            done += outcomes.fail_request(state, request, now)
-    return done
+            pending += outcomes.fail_request(state, request, now)
+    return pending
--- a/sycamorefall/direct/daemon.py
+++ b/sycamorefall/direct/daemon.py
@@ -1,4 +1,4 @@
-"""The program of a router that sends directly to upstreams."""
+"""Process of a router that sends directly to upstreams."""
 
 __all__ = ["Daemon", "run_direct_router"]
 
@@ -39,33 +39,36 @@
 from sycamorefall.observation import metrics as metrics_module
 
 CONNECT_TIMEOUT = 0.4
-"""Seconds until a connection to an upstream or the platform is given up: a
-hundred times the way there and back, and half of the usual target latency."""
+"""Seconds until connecting to an upstream or the platform times out: a hundred
+times the round-trip time, and half of the usual target latency."""
 
-STOP_CHECK = 0.05
-"""Seconds between two looks of a stopping process at whether it is idle."""
+STOP_CHECK_INTERVAL = 0.05
+"""Seconds between two checks whether a stopping process may exit."""
 
 
 @dataclasses.dataclass(slots=True)
 class Daemon:
-    """A process: its decisions and its I/O.
+    """A router process: its decision logic and its I/O.
 
     Attributes:
-        config: Its settings.
-        state: The decisions' state.
-        loop: The root component.
-        client: Sends requests.
-        proxy: Requests in progress.
-        log: Writes the log.
-        servers: For callers, and for the balancer.
-        control: Links to the other routers.
-        exchange: What the routers tell each other.
-        crash_exchange: Crash evidence to be sent to them.
-        incarnation: Number of this process.
+        config: Settings of the process.
+        state: State of the decision logic.
+        loop: Event loop and root component.
+        client: HTTP client for upstreams and the platform.
+        proxy: Forwards requests and responses.
+        log: Log writer.
+        servers: HTTP servers: the first for callers, the second, if configured,
+            for the balancer and operators.
+        control: Control connections to the other routers.
+        exchange: Exchange of load reports with the other routers.
+        incarnation: Number that distinguishes this process from earlier ones.
         ticker: Runs the timers.
-        replicator: Keeps what the platform publishes up to date.
-        stop_check: When a stop in progress is looked at next.
-        backlog_at: When requests that wait are logged next.
+        replicator: Replicates the records that the platform publishes.
+        next_stop_check_at: Time of the next check whether a stopping process
+            may exit; inf if it isn't stopping.
+        next_backlog_log_at: Time from which on waiting requests are logged
+            again.
+        crash_exchange: Exchange of crash reports with the other routers.
     """
 
     config: settings.DirectSettings
@@ -80,30 +83,30 @@
     incarnation: int
     ticker: transport.Ticker | None = None
     replicator: replicator_module.Replicator | None = None
-    stop_check: float = float("inf")
-    backlog_at: float = 0.0
+    next_stop_check_at: float = float("inf")
+    next_backlog_log_at: float = 0.0
     crash_exchange: crash_exchange_module.CrashExchange = dataclasses.field(
         default_factory=crash_exchange_module.CrashExchange
     )
 
     def handle_catalog(self, new: catalog_module.Catalog) -> None:
-        """Takes a configuration that was read."""
+        """Applies a configuration, and logs it if it is newer."""
         now = transport.read_clock()
-        known = self.state.catalog
-        done = core.apply_catalog(self.state, now, new)
-        if self.state.catalog is not known:
+        previous = self.state.catalog
+        pending = core.apply_catalog(self.state, now, new)
+        if self.state.catalog is not previous:
             observation.write_record(
                 observation.Level.INFO,
                 "configuration.in_force",
                 version=new.version,
-                before=known.version if known else None,
+                before=previous.version if previous else None,
             )
-        relay.perform_effects(self.proxy, done)
+        relay.perform_effects(self.proxy, pending)
 
     def handle_listing(
         self, listing: list[upstreams_module.UpstreamEntry]
     ) -> None:
-        """Takes a listing of upstreams that was read."""
+        """Applies a listing of upstreams, and logs what changed."""
         now = transport.read_clock()
         by_name = self.state.table.by_name
         before = {name: one.listed.born for name, one in by_name.items()}
@@ -125,13 +128,15 @@
             )
 
     def handle_proof(self, proven_at: float) -> None:
-        """Takes proof that what is in force was the newest at a time."""
+        """Records that configuration and listing were current at a time."""
         core.record_proof(self.state, transport.read_clock(), proven_at)
 
-    def tell(self, receivers: Iterable[str], message: messages.Message) -> None:
+    def send_message(
+        self, receivers: Iterable[str], message: messages.Message
+    ) -> None:
         """Sends a control message to other routers."""
-        known = self.state.catalog
-        version = known.version if known else 0
+        current = self.state.catalog
+        version = current.version if current else 0
         envelope = messages.Envelope(
             self.config.vm.name, self.incarnation, version, message
         )
@@ -147,9 +152,10 @@
     """Runs a router until it is told to stop.
 
     Args:
-        config: Its settings.
-        dialect: How callers and upstreams put things in HTTP.
-        create_source: Creates what reads the platform for a daemon.
+        config: Settings of the process.
+        dialect: Translation between HTTP messages and the router's types.
+        create_source: Creates the record source of a daemon, which reads the
+            platform.
         reload: Called on SIGHUP.
 
     Raises:
@@ -175,7 +181,7 @@
     config: settings.DirectSettings, dialect: dialects.Dialect
 ) -> Daemon:
     log = observation.open_log(config.log)
-    loop = transport.create_loop(lambda: _begin_stop(daemon), _report_fault)
+    loop = transport.create_loop(lambda: _begin_stop(daemon), _log_fault)
     poller = next(
         part for part in loop.components if isinstance(part, pollers.BasePoller)
     )
@@ -186,7 +192,7 @@
     state = state_module.create_state(
         config.vm.failure_domain, config.bounds, seed=incarnation
     )
-    told = exchange_module.Exchange(
+    load_exchange = exchange_module.Exchange(
         config.vm.name,
         str(config.listen.control),
         config.peers.list_addresses(),
@@ -195,13 +201,15 @@
     )
     control = transport.ControlLinks(
         str(config.listen.control),
-        lambda name: exchange_module.find_address(told, name),
-        lambda envelope: _receive(daemon, envelope),
+        lambda name: exchange_module.find_address(load_exchange, name),
+        lambda envelope: _handle_envelope(daemon, envelope),
         authentication.create_authenticator(config.vm.name, config.security),
         lambda envelope: exchange_module.record_unreadable_sender(
-            told, transport.read_clock(), envelope
+            load_exchange, transport.read_clock(), envelope
+        ),
+        lambda name: exchange_module.classify_domain(
+            load_exchange, state, name
         ),
-        lambda name: exchange_module.classify_domain(told, state, name),
     ).register(loop)
     control.attach(poller)
     proxy = relay.Proxy(state, client, dialect)
@@ -212,7 +220,7 @@
             lambda call: relay.handle_call(proxy, call),
             on_dropped=lambda call: relay.record_dropped_call(proxy, call),
             shedding=transport.Shedding(
-                overload_module.LONGEST_TURN, core.OTHER_ROUTER_RETRY_AFTER
+                overload_module.MAX_TURN_TIME, core.OTHER_ROUTER_RETRY_AFTER
             ),
         ).register(loop)
     ]
@@ -221,7 +229,7 @@
             transport.HttpServer(
                 config.listen.operators,
                 config.limits,
-                lambda call: _answer_operators(daemon, call),
+                lambda call: _handle_operator_call(daemon, call),
                 channel="operators",
             ).register(loop)
         )
@@ -234,18 +242,18 @@
         log,
         servers,
         control,
-        told,
+        load_exchange,
         incarnation,
     )
     daemon.replicator = replicator_module.create_replicator(
         readers.ReaderSelection(config.vm.name, config.vm.failure_domain),
         incarnation,
-        told.control,
-        told.seeds,
+        load_exchange.control,
+        load_exchange.seeds,
         lambda: exchange_module.rank_routers(
-            told, state, transport.read_clock()
+            load_exchange, state, transport.read_clock()
         ),
-        daemon.tell,
+        daemon.send_message,
         daemon.handle_proof,
     )
     daemon.ticker = transport.Ticker(
@@ -254,7 +262,7 @@
     return daemon
 
 
-def _receive(daemon: Daemon, envelope: messages.Envelope) -> None:
+def _handle_envelope(daemon: Daemon, envelope: messages.Envelope) -> None:
     now, message = transport.read_clock(), envelope.message
     exchange = daemon.exchange
     match message:
@@ -263,15 +271,15 @@
                 exchange, daemon.state, now, envelope
             )
             if referral is not None:
-                daemon.tell(referral.receivers, referral.message)
+                daemon.send_message(referral.receivers, referral.message)
         case messages.KnownRouters():
             exchange_module.record_known_routers(exchange, now, message.routers)
         case messages.CrashReports():
             added = crash_exchange_module.handle_reports(
                 daemon.crash_exchange, exchange, daemon.state, now, envelope
             )
-            done = crashes.report_quarantined(daemon.state, now, added)
-            relay.perform_effects(daemon.proxy, done)
+            pending = crashes.report_quarantined(daemon.state, now, added)
+            relay.perform_effects(daemon.proxy, pending)
         case messages.Subscribe():
             exchange_module.record_address(
                 exchange, now, envelope.sender, message.control
@@ -281,35 +289,35 @@
             daemon.replicator.receive(envelope)
 
 
-def _tell_peers(daemon: Daemon, now: float) -> None:
-    reports = exchange_module.build_due_messages(
+def _send_loads(daemon: Daemon, now: float) -> None:
+    outbound = exchange_module.build_due_messages(
         daemon.exchange, daemon.state, now
     )
     daemon.control.keep_only(exchange_module.list_addresses(daemon.exchange))
-    _tell_reports(daemon, reports)
+    _send_messages(daemon, outbound)
 
 
-def _tell_crashes(daemon: Daemon, now: float) -> None:
-    reports = crash_exchange_module.build_due_messages(
+def _send_crash_reports(daemon: Daemon, now: float) -> None:
+    outbound = crash_exchange_module.build_due_messages(
         daemon.crash_exchange, daemon.exchange, daemon.state, now
     )
-    _tell_reports(daemon, reports)
+    _send_messages(daemon, outbound)
 
 
-def _tell_reports(
-    daemon: Daemon, reports: list[exchange_module.OutboundMessage]
+def _send_messages(
+    daemon: Daemon, outbound: list[exchange_module.OutboundMessage]
 ) -> None:
-    for report in reports:
-        daemon.tell(report.receivers, report.message)
+    for one in outbound:
+        daemon.send_message(one.receivers, one.message)
 
 
-def _report_fault(trace: str) -> None:
+def _log_fault(trace: str) -> None:
     observation.write_record(
         observation.Level.ERROR, "process.fault", traceback=trace
     )
 
 
-def _answer_operators(daemon: Daemon, call: transport.IncomingCall) -> None:
+def _handle_operator_call(daemon: Daemon, call: transport.IncomingCall) -> None:
     now = transport.read_clock()
     match call.path:
         case pages.READY_PATH:
@@ -336,35 +344,39 @@
         crash_exchange_module.find_next_due(
             daemon.crash_exchange, daemon.state
         ),
-        daemon.stop_check,
+        daemon.next_stop_check_at,
         *(server.find_next_due() for server in daemon.servers),
     )
 
 
 def _run_timers(daemon: Daemon, now: float) -> None:
-    _note_lateness(daemon, now)
+    _record_lateness(daemon, now)
     daemon.client.expire(now)
     for server in daemon.servers:
         server.expire(now)
     if now >= exchange_module.find_next_due(daemon.exchange, daemon.state):
-        _tell_peers(daemon, now)
+        _send_loads(daemon, now)
     if now >= crash_exchange_module.find_next_due(
         daemon.crash_exchange, daemon.state
     ):
-        _tell_crashes(daemon, now)
+        _send_crash_reports(daemon, now)
     daemon.replicator.run(now)
-    _drop_lapsed(daemon, now)
+    _drop_missing_upstreams(daemon, now)
     daemon.log.flush()
     relay.perform_effects(daemon.proxy, core.run_timers(daemon.state, now))
-    if now >= daemon.backlog_at:
+    if now >= daemon.next_backlog_log_at:
         _log_backlog(daemon, now)
-    if now >= daemon.stop_check:
+    if now >= daemon.next_stop_check_at:
         _continue_stop(daemon, now)
 
 
 def _log_backlog(daemon: Daemon, now: float) -> None:
-    """Logs what waits; a process that is idle wakes up for no line."""
-    daemon.backlog_at = now + backlog.LOG_INTERVAL
+    """Logs the backlogs of waiting requests, if any.
+
+    The log interval is no timer of its own, so an idle process doesn't wake up
+    for it.
+    """
+    daemon.next_backlog_log_at = now + backlog.LOG_INTERVAL
     backlogs = backlog.list_backlogs(daemon.state, now)
     if backlogs:
         ages = totals_module.compute_ages(daemon.exchange.totals, now)
@@ -376,7 +388,7 @@
         )
 
 
-def _drop_lapsed(daemon: Daemon, now: float) -> None:
+def _drop_missing_upstreams(daemon: Daemon, now: float) -> None:
     gone = upstreams_module.drop_missing(daemon.state.table, now)
     if gone:
         observation.write_record(
@@ -388,21 +400,24 @@
         )
 
 
-def _note_lateness(daemon: Daemon, now: float) -> None:
+def _record_lateness(daemon: Daemon, now: float) -> None:
     overload = daemon.state.overload
-    before = overload_module.is_overloaded(overload, now)
+    was_overloaded = overload_module.is_overloaded(overload, now)
     overload_module.record_lateness(overload, now, daemon.ticker.late)
-    if overload_module.is_overloaded(overload, now) and not before:
+    if overload_module.is_overloaded(overload, now) and not was_overloaded:
         observation.write_record(
             observation.Level.WARNING,
             "process.overloaded",
-            late=round(overload.late, 3),
+            late=round(overload.lateness, 3),
             in_progress=len(daemon.state.requests),
         )
 
 
 def _begin_stop(daemon: Daemon) -> None:
-    """Begins a graceful stop: what runs is finished, callers are sent away."""
+    """Begins a graceful stop.
+
+    Requests in progress are finished, and callers are sent to other routers.
+    """
     if daemon.state.stop.since is not None:
         return
     observation.write_record(
@@ -413,22 +428,24 @@
     now = transport.read_clock()
     core.begin_stop(daemon.state, now)
     daemon.servers[0].announce_stop()
-    daemon.stop_check = now
+    daemon.next_stop_check_at = now
 
 
 def _continue_stop(daemon: Daemon, now: float) -> None:
-    """Ends the process once callers are elsewhere and all is answered.
+    """Ends listening, and then the process, as soon as a stop allows it.
 
-    Guards against callers that the balancer still sends here, or that use a
-    connection that they kept: closed, their requests would get no answer.
+    Listening ends once callers use other routers, and the process ends once all
+    requests are answered. Until then the balancer may still send callers here
+    and callers may reuse kept connections; if these were closed, the callers'
+    requests would get no answer.
     """
-    daemon.stop_check = now + STOP_CHECK
+    daemon.next_stop_check_at = now + STOP_CHECK_INTERVAL
     data, stop = daemon.servers[0], daemon.state.stop
     if data.listening:
         if not stopping.may_end_listening(stop, now, data.asked_at):
             return
-        # A late loop has not come to what arrived meanwhile, and would take
-        # its own lateness for callers that come no more.
+        # A late event loop has not read the requests that arrived meanwhile,
+        # and would conclude that no more callers come.
         data.take_arrived()
         if not stopping.may_end_listening(stop, now, data.asked_at):
             return
@@ -438,8 +455,9 @@
             in_progress=len(daemon.state.requests),
             late=round(daemon.ticker.late, 3),
         )
-        # Only once: whoever is on a connection later was not told that it
-        # closes, and has it until the process ends.
+        # Closes idle connections only once: a connection that becomes idle
+        # later stays open until the process ends, as its caller may not have
+        # been told that it closes.
         for server in daemon.servers:
             server.begin_stop()
             server.end_listening()
--- a/sycamorefall/direct/dialects.py
+++ b/sycamorefall/direct/dialects.py
@@ -1,4 +1,4 @@
-"""What an adapter tells of how callers and upstreams put things in HTTP."""
+"""Interface of a dialect: the HTTP headers and statuses of a platform."""
 
 __all__ = ["AnswerHead", "Dialect", "Verdict"]
 
@@ -14,13 +14,14 @@
 
 
 class Verdict(enum.Enum):
-    """What the head of an upstream's answer says.
-
-    SUCCESS: the answer to the request follows.
-    FAILURE: it ran and failed; the answer that says so follows.
-    NOT_RUN: the upstream did not run it.
-    OTHER_INCARNATION: the same, as it is not the process that was meant.
-    INVALID: it can't be the upstream's answer; it may have run.
+    """Classification of an upstream's response by its head.
+
+    SUCCESS: the request ran; the response follows.
+    FAILURE: the request ran and failed; the response that says so follows.
+    NOT_RUN: the upstream did not run the request.
+    OTHER_INCARNATION: the request did not run, because the process at the
+        address is not the upstream that the request was meant for.
+    INVALID: the response can't be from the upstream; the request may have run.
     """
 
     SUCCESS = "success"
@@ -32,12 +33,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class AnswerHead:
-    """The head of an upstream's answer.
+    """The head of an upstream's response.
 
     Attributes:
-        verdict: What it says.
-        status: Its status.
-        headers: Headers that go on to the caller.
+        verdict: Classification of the response.
+        status: HTTP status.
+        headers: Headers to forward to the caller.
         leaving: Whether the upstream announces that it is shutting down.
         retry_after: Seconds for which the upstream asks this router to send
             no further requests; None if it doesn't.
@@ -52,15 +53,18 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Dialect:
-    """How callers and upstreams put things in HTTP.
+    """Translation between HTTP messages and the router's types.
 
     Attributes:
-        read_request: Reads a call; the text of a failure says what is wrong.
-        read_request_id: Reads the id of a call, for logs.
-        write_headers: Writes the headers of a send; the last argument is the
-            id of the last event that the caller has, or empty.
-        is_ours: Tells whether an answer with these headers is to this call.
-        read_answer: Reads the head of an answer.
+        read_request: Parses a caller's HTTP request; a failure holds the reason
+            as text.
+        read_request_id: Returns the id of a caller's request, for logs.
+        write_headers: Builds the headers of the request to an upstream. The
+            last argument is the id of the last event that the caller has
+            received, or empty.
+        is_ours: Tells whether a response with these headers belongs to this
+            caller's request.
+        read_answer: Parses the head of a response.
     """
 
     read_request: Callable[
--- a/sycamorefall/direct/effects.py
+++ b/sycamorefall/direct/effects.py
@@ -1,4 +1,4 @@
-"""What the decisions of direct sending have the shell do."""
+"""Effects: the I/O that the decision logic asks `relay` to perform."""
 
 __all__ = [
     "AbortAttempt",
@@ -23,29 +23,34 @@
 class SendRequest:
     """Send a request to an upstream.
 
+    The fields from `running` on are only logged, except `source`.
+
     Attributes:
-        request: Its number.
-        attempt: Number of the send, from 1.
-        upstream: Incarnation that is meant.
-        address: Where it answers.
-        time_left: Seconds that the upstream may work.
-        team: The team; empty if the route needs none.
+        request: Number of the request.
+        attempt: Number of the attempt, from 1.
+        upstream: Name of the upstream.
+        address: Address of the upstream.
+        time_left: Seconds that the upstream may take.
+        team: Name of the caller's team; empty if the route needs no key.
         fresh: Whether to use a new connection.
-        keep: Idle connections to the upstream that may be kept after it; None
-            if nothing says how many it takes.
-        running: Requests that the upstream runs, this one included.
-        reads: Prompt tokens that it is to read for this request.
-        unread: The same for all requests, this one included.
-        begins_in: Seconds until the answer's first event as reckoned; None
-            for plain services.
-        source: Where the upstream is to fetch what it lacks of the prompt's
-            shared parts; None if it reads all that it lacks.
-        fetches: Tokens that it is expected to find there.
+        keep: Most idle connections to the upstream that may stay open after
+            the request; None if the service states no connection limit.
+        running: Requests that the upstream runs, including this one.
+        reads: Prompt tokens that the engine has to process for this request.
+        unread: Prompt tokens that the engine has to process for all requests,
+            including this one.
+        begins_in: Estimated seconds until the first event of the response;
+            None for plain services.
+        source: Address of the engine from which the upstream fetches cached
+            shared parts of the prompt that it lacks; None if it processes all
+            of them itself.
+        fetches: Tokens that the upstream is expected to fetch from there.
         cost: Cost units that the team is charged.
-        received: What the team received lately before, of all routers.
-        floor: The least that a team received that waits for the upstream at
-            another router; None if none does.
-        idle: Whether the upstream had next to nothing to do.
+        received: Cost units that the team received lately of all routers,
+            before this charge.
+        floor: Least cost units received lately by a team that waits for the
+            upstream at another router; None if no team does.
+        idle: Whether the upstream had almost nothing to do.
     """
 
     request: int
@@ -70,27 +75,31 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class AbortAttempt:
-    """Close the connection to the upstream that has a request."""
+    """Close the upstream connection of a request's attempt.
+
+    Attributes:
+        request: Number of the request.
+    """
 
     request: int
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Refusal:
-    """What decided that a request is refused; for its log line.
+    """The values on which a refusal was based, for its log record.
 
     Attributes:
-        obstacles: How many upstreams could not take it, by what was in the
-            way; see `eligibility.Obstacle`.
-        cost: Cost units that its team would have been charged.
-        received: Cost units that its team received lately, of all routers.
-        most: The most that any team received.
-        floor: The least that a team received that waits for one of the
-            upstreams at another router; None if nothing waits there.
-        routers: Routers whose load was counted, this one included.
-        configuration: Version in force.
-        listing_age: Seconds since the listing of upstreams was the newest
-            for certain; None if it never was.
+        obstacles: Number of upstreams that could not take the request, by
+            reason; see `eligibility.Obstacle`.
+        cost: Cost units that the team would have been charged.
+        received: Cost units that the team received lately of all routers.
+        most: Most cost units that any team received lately.
+        floor: Least cost units received lately by a team that waits for one of
+            the upstreams at another router; None if no team does.
+        routers: Number of routers whose load was counted, including this one.
+        configuration: Version of the configuration in force.
+        listing_age: Seconds since the listing of upstreams was last proven to
+            be the newest; None if it never was.
     """
 
     obstacles: dict[str, int]
@@ -108,12 +117,13 @@
     """Answer a request with an error.
 
     Attributes:
-        request: Its number.
+        request: Number of the request.
         kind: The kind of error.
-        retry_after: Seconds after which asking again can help, if it can.
-        refusal: What decided it, if the router had a choice.
-        ran: Overrides what the table of answers says, where it is known
-            that the request was sent.
+        retry_after: Seconds after which a retry can help; None if it can't.
+        refusal: The values on which the refusal was based; None unless `kind`
+            is `NO_UPSTREAM`.
+        ran: Whether the request ran, where more is known than
+            `errors.ANSWERS` states for the kind; None otherwise.
         fingerprint: Fingerprint of a quarantined request, for its log record.
     """
 
@@ -127,14 +137,22 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class AbortResponse:
-    """Break off an answer that has begun, so that it can't pass for whole."""
+    """Abort a response that has started, so that it can't pass for complete.
+
+    Attributes:
+        request: Number of the request.
+    """
 
     request: int
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ForwardResponse:
-    """Give the caller the upstream's answer that was held."""
+    """Forward the buffered response of the upstream to the caller.
+
+    Attributes:
+        request: Number of the request.
+    """
 
     request: int
 
@@ -144,8 +162,8 @@
     """Check whether an upstream still accepts connections.
 
     Attributes:
-        crash: The process that may have crashed.
-        address: Where it listens.
+        crash: The upstream's process that may have crashed.
+        address: Address of the upstream.
     """
 
     crash: quarantine.Crash
@@ -157,7 +175,7 @@
     """Log that an upstream crashed.
 
     Attributes:
-        crash: The process.
+        crash: The upstream's process that crashed.
         requests: Number of this router's requests in progress there.
     """
 
@@ -170,8 +188,8 @@
     """Log that a request is quarantined.
 
     Attributes:
-        fingerprint: The request's fingerprint.
-        crashes: The crashes at which it was in progress.
+        fingerprint: Fingerprint of the request.
+        crashes: The crashes during which the request was in progress.
     """
 
     fingerprint: bytes
--- a/sycamorefall/direct/metrics.py
+++ b/sycamorefall/direct/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a router that sends directly."""
+"""Metrics of a router that sends directly to upstreams."""
 
 __all__ = ["list_metrics"]
 
@@ -17,11 +17,11 @@
 def list_metrics(
     daemon: "daemon_module.Daemon", now: float
 ) -> Iterator[metrics_core.Metric]:
-    """Lists the metrics of a process.
+    """Collects the metrics of a router process.
 
     Args:
         daemon: The process.
-        now: This process's time.
+        now: Current time of this process's clock.
 
     Yields:
         The metrics.
@@ -98,6 +98,7 @@
 def _count_upstreams(
     table: upstreams_module.UpstreamTable, now: float
 ) -> dict[tuple[str, str], int]:
+    """Counts upstreams by service and by whether they are usable."""
     counts: dict[tuple[str, str], int] = {}
     for service, group in table.by_service.items():
         usable = sum(upstreams_module.is_usable(one, now) for one in group)
--- a/sycamorefall/direct/overload.py
+++ b/sycamorefall/direct/overload.py
@@ -1,13 +1,13 @@
-"""Whether this process gets more work than it can do; no I/O.
+"""Overload detection from the lateness of the event loop; no I/O.
 
 The balancer gives each caller's connections to one router, so one large team
-can be too much for a small VM while others next to it have little to do.
-Everything that the VM serves is late then. A router that reports that it is
-not ready loses new connections to the others and keeps what it has.
+can overload a small VM while its neighbors have little to do. All requests that
+the VM serves are late then. If the router reports that it is not ready, the
+balancer gives new connections to other routers; existing ones stay.
 """
 
 __all__ = [
-    "LONGEST_TURN",
+    "MAX_TURN_TIME",
     "Overload",
     "is_overloaded",
     "record_lateness",
@@ -15,52 +15,54 @@
 
 import dataclasses
 
-LONGEST_PASS = 0.05
-"""Seconds that a pass of the loop may be late without counting: less than the
-pause between two events of a stream, and more than a collection of garbage."""
+MIN_COUNTED_LATENESS = 0.05
+"""Seconds below which the lateness of an event loop pass doesn't count: less
+than the time between two events of a stream, and more than a garbage collection
+takes."""
 
-LONGEST_TURN = 0.1
-"""Seconds of a turn of the loop after which further new requests in it are
-refused unread: half of the shortest target latency that was seen, 0.2 s, so
-that what is served can be on time."""
+MAX_TURN_TIME = 0.1
+"""Seconds of a turn of the event loop after which the turn's remaining new
+requests are refused unread: half of the shortest target latency seen, 0.2 s, so
+that the requests that are served can be on time."""
 
-MEMORY = 1.0
-"""Seconds after which lateness counts half."""
+LATENESS_HALF_LIFE = 1.0
+"""Half-life of the recorded lateness, in seconds."""
 
-MOST_LATE = 0.5
-"""Seconds of lateness within about `MEMORY` from which on a process is
-overloaded: half of its time."""
+OVERLOAD_THRESHOLD = 0.5
+"""Seconds of lateness within about `LATENESS_HALF_LIFE` from which on a process
+counts as overloaded: half of its time."""
 
-REST = 8.0
-"""Seconds that it stays so after that. The balancer needs two to send callers
-elsewhere, and gives them back at once; back and forth would help nobody."""
+OVERLOAD_HOLD_TIME = 8.0
+"""Seconds for which a process then counts as overloaded. The balancer needs 2 s
+to send callers to other routers and sends them back at once, so a shorter time
+would only move callers back and forth."""
 
 
 @dataclasses.dataclass(slots=True)
 class Overload:
-    """How late the process was lately.
+    """Recent lateness of the event loop.
 
     Attributes:
-        late: Seconds of lateness, decaying.
-        noted_at: When that was last brought up to date.
-        until: When the process counts as overloaded no more.
+        lateness: Decayed sum of lateness, in seconds.
+        updated_at: Time at which `lateness` was last updated.
+        overloaded_until: Time until which the process counts as overloaded.
     """
 
-    late: float = 0.0
-    noted_at: float = 0.0
-    until: float = float("-inf")
+    lateness: float = 0.0
+    updated_at: float = 0.0
+    overloaded_until: float = float("-inf")
 
 
 def record_lateness(overload: Overload, now: float, late: float) -> None:
-    """Takes note of how late a pass of the loop was.
+    """Records how late a pass of the event loop was.
 
-    One that is very late stands for a VM that was frozen, which is no
-    overload: it counts as much as a pass may at most.
+    A very late pass means that the VM was frozen, which is no overload.
+    Therefore one pass counts as at most half of `OVERLOAD_THRESHOLD`.
 
     Args:
-        overload: What is known; changed.
-        now: This process's time.
-        late: Seconds between the time when a timer was due and now.
+        overload: Recent lateness; modified.
+        now: Current time of this process's clock.
+        late: Seconds by which a timer ran too late.
 
     Example:
         >>> overload = Overload()
@@ -72,16 +74,16 @@
         >>> is_overloaded(overload, 2.0), is_overloaded(overload, 12.0)
         (True, False)
     """
-    if late < LONGEST_PASS:
+    if late < MIN_COUNTED_LATENESS:
         return
-    age = max(0.0, now - overload.noted_at)
-    before = overload.late * 0.5 ** (age / MEMORY)
-    overload.late = before + min(late, MOST_LATE / 2)
-    overload.noted_at = now
-    if overload.late >= MOST_LATE:
-        overload.until = now + REST
+    age = max(0.0, now - overload.updated_at)
+    decayed = overload.lateness * 0.5 ** (age / LATENESS_HALF_LIFE)
+    overload.lateness = decayed + min(late, OVERLOAD_THRESHOLD / 2)
+    overload.updated_at = now
+    if overload.lateness >= OVERLOAD_THRESHOLD:
+        overload.overloaded_until = now + OVERLOAD_HOLD_TIME
 
 
 def is_overloaded(overload: Overload, now: float) -> bool:
-    """Tells whether new callers had better go to another router."""
-    return now < overload.until
+    """Tells whether the balancer should send new callers to other routers."""
+    return now < overload.overloaded_until
--- a/sycamorefall/direct/relay.py
+++ b/sycamorefall/direct/relay.py
@@ -1,4 +1,4 @@
-"""Carries requests to upstreams and answers back to callers."""
+"""Forwards requests to upstreams and their responses to callers."""
 
 __all__ = [
     "Proxy",
@@ -25,11 +25,11 @@
 )
 from sycamorefall.direct import state as state_module
 
-MOST_UNSENT = 1 << 18
-"""Bytes that may wait for a slow caller before its upstream is paused."""
+MAX_UNSENT_BYTES = 1 << 18
+"""Unsent bytes for a slow caller above which reading its upstream is paused."""
 
 
-_ENDS = {
+_ATTEMPT_ENDS = {
     dialects.Verdict.SUCCESS: outcomes.AttemptEnd.COMPLETE,
     dialects.Verdict.FAILURE: outcomes.AttemptEnd.FAILED,
     dialects.Verdict.NOT_RUN: outcomes.AttemptEnd.NOT_RUN,
@@ -43,21 +43,22 @@
     effects.ReportCrash,
     effects.ReportQuarantine,
 )
-"""Effects that concern an upstream, not a request in progress."""
+"""Effects that concern an upstream instead of a request in progress."""
 
 
-class _Delivery:
-    """A caller's request and the answer to it on its way.
+class _ProxiedRequest:
+    """A caller's request and the forwarding of its response.
 
     Attributes:
-        call: The caller's side.
-        streamed: Whether events go on as they come.
-        splitter: The events that went on.
-        exchange: The present send; None between two.
-        head: The head of its answer, once read.
-        first_head: The head that the caller has, or is to get.
-        held: Parts of an answer that goes on whole.
-        track: What is recorded of the request.
+        call: The caller's HTTP request.
+        streamed: Whether events are forwarded as they arrive.
+        splitter: Splits the response into events to forward.
+        exchange: HTTP exchange of the current attempt; None between attempts.
+        head: Response head of the current attempt; None until it was received.
+        first_head: Head of the first successful response, which the caller
+            gets.
+        buffered: Parts of a response that is forwarded only when complete.
+        track: Log and metric data of the request.
     """
 
     __slots__ = (
@@ -65,7 +66,7 @@
         "exchange",
         "first_head",
         "head",
-        "held",
+        "buffered",
         "splitter",
         "streamed",
         "track",
@@ -81,7 +82,7 @@
         self.exchange: transport.Exchange | None = None
         self.first_head: dialects.AnswerHead | None = None
         self.head: dialects.AnswerHead | None = None
-        self.held: list[bytes] = []
+        self.buffered: list[bytes] = []
         self.splitter = streams.EventSplitter()
         self.streamed = streamed
         self.track = track
@@ -89,14 +90,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Proxy:
-    """The I/O that the decisions drive.
+    """The I/O side of request forwarding, driven by the decision logic.
 
     Attributes:
-        state: The decisions' state.
-        client: Sends requests to upstreams.
-        dialect: How things are put in HTTP.
-        recorder: The process's records.
-        deliveries: Requests in progress by number.
+        state: State of the decision logic.
+        client: HTTP client that sends requests to upstreams.
+        dialect: Translation between HTTP messages and the router's types.
+        recorder: Records requests for logs and metrics.
+        in_flight: Requests in progress by number.
     """
 
     state: state_module.DirectState
@@ -105,21 +106,23 @@
     recorder: observation.Recorder = dataclasses.field(
         default_factory=observation.Recorder
     )
-    deliveries: dict[int, _Delivery] = dataclasses.field(default_factory=dict)
+    in_flight: dict[int, _ProxiedRequest] = dataclasses.field(
+        default_factory=dict
+    )
 
 
 def handle_call(proxy: Proxy, call: transport.IncomingCall) -> None:
-    """Takes a caller's call."""
+    """Handles a caller's HTTP request; answers it if it is malformed."""
     match proxy.dialect.read_request(call):
         case result.Failure(reason):
             observation.count_event(proxy.recorder, "call_refused", "malformed")
             call.fail(errors.ErrorKind.MALFORMED_REQUEST, reason)
         case result.Success(new):
-            _take_request(proxy, call, new)
+            _handle_request(proxy, call, new)
 
 
 def record_dropped_call(proxy: Proxy, call: transport.IncomingCall) -> None:
-    """Takes note of a request that isn't begun, as its caller has left."""
+    """Records a request that is not handled because its caller disconnected."""
     now = transport.read_clock()
     track = observation.begin_request(
         proxy.recorder,
@@ -131,11 +134,11 @@
     observation.end_request(proxy.recorder, track, now, "dropped")
 
 
-def _take_request(
+def _handle_request(
     proxy: Proxy, call: transport.IncomingCall, new: state_module.NewRequest
 ) -> None:
     now = transport.read_clock()
-    number, done = core.handle_request(proxy.state, now, new)
+    number, pending = core.handle_request(proxy.state, now, new)
     request = proxy.state.requests.get(number)
     track = observation.begin_request(
         proxy.recorder,
@@ -147,57 +150,59 @@
         target=round(request.target_at - now, 3) if request else None,
     )
     streamed = request is not None and request.route.kind.streamed
-    proxy.deliveries[number] = _Delivery(call, streamed, track)
+    proxy.in_flight[number] = _ProxiedRequest(call, streamed, track)
     call.on_hangup = lambda: _cancel(proxy, number)
-    perform_effects(proxy, done)
+    perform_effects(proxy, pending)
 
 
 def _cancel(proxy: Proxy, number: int) -> None:
     now = transport.read_clock()
-    done = core.cancel_request(proxy.state, number, now)
-    perform_effects(proxy, done)
-    _forget(proxy, number, "cancelled")
+    pending = core.cancel_request(proxy.state, number, now)
+    perform_effects(proxy, pending)
+    _finish_request(proxy, number, "cancelled")
 
 
-def _forget(proxy: Proxy, number: int, end: str, **fields: object) -> None:
-    delivery = proxy.deliveries.pop(number, None)
-    if delivery is not None:
+def _finish_request(
+    proxy: Proxy, number: int, end: str, **fields: object
+) -> None:
+    proxied = proxy.in_flight.pop(number, None)
+    if proxied is not None:
         now = transport.read_clock()
         observation.end_request(
-            proxy.recorder, delivery.track, now, end, **fields
+            proxy.recorder, proxied.track, now, end, **fields
         )
 
 
-def perform_effects(proxy: Proxy, done: Iterable[effects.Effect]) -> None:
-    """Carries out effects of the decisions."""
-    for effect in done:
+def perform_effects(proxy: Proxy, pending: Iterable[effects.Effect]) -> None:
+    """Performs effects; those of requests that have ended are ignored."""
+    for effect in pending:
         if isinstance(effect, _UPSTREAM_EFFECTS):
             _perform_upstream_effect(proxy, effect)
             continue
-        delivery = proxy.deliveries.get(effect.request)
-        if delivery is None:
+        proxied = proxy.in_flight.get(effect.request)
+        if proxied is None:
             continue
         match effect:
             case effects.SendRequest():
-                _send(proxy, delivery, effect)
+                _send_request(proxy, proxied, effect)
             case effects.AbortAttempt():
-                _abort(proxy, delivery)
+                _abort_exchange(proxy, proxied)
             case effects.AnswerError():
-                _fail(proxy, delivery, effect)
+                _answer_error(proxy, proxied, effect)
             case effects.AbortResponse():
-                _forget(proxy, effect.request, "broken_off")
-                delivery.call.abort()
+                _finish_request(proxy, effect.request, "broken_off")
+                proxied.call.abort()
             case effects.ForwardResponse():
-                _pass_on(proxy, delivery, effect.request)
+                _forward_response(proxy, proxied, effect.request)
 
 
 def _perform_upstream_effect(proxy: Proxy, effect: effects.Effect) -> None:
-    """Carries out an effect that concerns an upstream."""
+    """Performs an effect that concerns an upstream."""
     match effect:
         case effects.CheckUpstream():
             proxy.client.check_reachable(
                 effect.address,
-                lambda found: _take_check(proxy, effect, found),
+                lambda found: _handle_check_result(proxy, effect, found),
             )
         case effects.ReportCrash():
             observation.count_event(proxy.recorder, "upstream", "crashed")
@@ -217,7 +222,7 @@
             )
 
 
-def _take_check(
+def _handle_check_result(
     proxy: Proxy, check: effects.CheckUpstream, found: transport.Reachability
 ) -> None:
     now = transport.read_clock()
@@ -226,60 +231,64 @@
     )
 
 
-def _abort(proxy: Proxy, delivery: _Delivery) -> None:
-    if delivery.exchange is not None:
-        proxy.client.abort(delivery.exchange)
-        delivery.exchange = None
+def _abort_exchange(proxy: Proxy, proxied: _ProxiedRequest) -> None:
+    if proxied.exchange is not None:
+        proxy.client.abort(proxied.exchange)
+        proxied.exchange = None
 
 
-def _fail(
-    proxy: Proxy, delivery: _Delivery, effect: effects.AnswerError
+def _answer_error(
+    proxy: Proxy, proxied: _ProxiedRequest, effect: effects.AnswerError
 ) -> None:
-    why = _list_fields(effect.refusal) if effect.refusal else {}
+    details = _list_fields(effect.refusal) if effect.refusal else {}
     if effect.fingerprint:
-        why["fingerprint"] = effect.fingerprint.hex()
+        details["fingerprint"] = effect.fingerprint.hex()
     ran = effect.ran or errors.ANSWERS[effect.kind].ran
-    _forget(
+    _finish_request(
         proxy,
         effect.request,
         effect.kind.value,
         retry_after=effect.retry_after,
         ran=ran.value,
-        **why,
+        **details,
     )
-    delivery.call.fail(
+    proxied.call.fail(
         effect.kind, ran=effect.ran, retry_after=effect.retry_after
     )
 
 
 def _list_fields(refusal: effects.Refusal) -> dict[str, object]:
-    """Lists what decided a refusal, for its log line.
+    """Returns the fields of a refusal, for its log record.
 
-    A flood's refusals are most of what a small router does. `asdict` copies
-    each value deeply, at 14 us of processor time where this takes 2, both timed
-    alone.
+    Under overload, refusals are most of a small router's work. `asdict` makes
+    deep copies of the values and takes 14 us of processor time, this function
+    2 us, each timed in isolation.
     """
     names = (field.name for field in dataclasses.fields(refusal))
     return {name: getattr(refusal, name) for name in names}
 
 
-def _pass_on(proxy: Proxy, delivery: _Delivery, number: int) -> None:
-    head = delivery.head
-    _forget(proxy, number, "answered", status=head.status)
-    body = b"".join(delivery.held)
-    delivery.call.respond(head.status, body, head.headers)
+def _forward_response(
+    proxy: Proxy, proxied: _ProxiedRequest, number: int
+) -> None:
+    head = proxied.head
+    _finish_request(proxy, number, "answered", status=head.status)
+    body = b"".join(proxied.buffered)
+    proxied.call.respond(head.status, body, head.headers)
 
 
-def _send(proxy: Proxy, delivery: _Delivery, send: effects.SendRequest) -> None:
-    call, number = delivery.call, send.request
+def _send_request(
+    proxy: Proxy, proxied: _ProxiedRequest, send: effects.SendRequest
+) -> None:
+    call, number = proxied.call, send.request
     now = transport.read_clock()
-    left = outcomes.record_sent(proxy.state, now, number)
-    if left < dispatching.MIN_TIME_LEFT:
-        return  # The timers answer it.
-    send = dataclasses.replace(send, time_left=left)
+    remaining = outcomes.record_sent(proxy.state, now, number)
+    if remaining < dispatching.MIN_TIME_LEFT:
+        return  # The expiry timer answers the request.
+    send = dataclasses.replace(send, time_left=remaining)
     observation.note_hand_out(
         proxy.recorder,
-        delivery.track,
+        proxied.track,
         now,
         str(send.attempt),
         send.upstream,
@@ -295,29 +304,29 @@
         idle=send.idle,
         time_left=round(send.time_left, 3),
     )
-    streams.prepare_resume(delivery.splitter)
-    delivery.head, delivery.held = None, []
-    last = delivery.splitter.last_id if call.begun else ""
+    streams.prepare_resume(proxied.splitter)
+    proxied.head, proxied.buffered = None, []
+    last_event_id = proxied.splitter.last_id if call.begun else ""
     request = transport.OutgoingRequest(
         send.address,
         call.method,
         call.target,
-        proxy.dialect.write_headers(call, send, last),
+        proxy.dialect.write_headers(call, send, last_event_id),
         call.body,
         fresh=send.fresh,
         host=call.headers.get("host", ""),
         keep=send.keep,
     )
-    delivery.exchange = proxy.client.send(
+    proxied.exchange = proxy.client.send(
         request,
         transport.Listener(
-            on_head=lambda status, headers: _take_head(
-                proxy, delivery, number, status, headers
+            on_head=lambda status, headers: _handle_head(
+                proxy, proxied, number, status, headers
             ),
-            on_data=lambda data: _take_data(proxy, delivery, number, data),
-            on_end=lambda: _take_end(proxy, delivery, number),
-            on_failure=lambda stage: _take_failure(
-                proxy, delivery, number, stage
+            on_data=lambda data: _handle_data(proxy, proxied, number, data),
+            on_end=lambda: _handle_end(proxy, proxied, number),
+            on_failure=lambda stage: _handle_failure(
+                proxy, proxied, number, stage
             ),
             is_ours=lambda headers: proxy.dialect.is_ours(call, headers),
             on_sent=lambda: outcomes.record_sent(
@@ -325,31 +334,32 @@
             ),
         ),
     )
-    # Once more, as a freeze before the system call is as long as any other.
+    # Recorded again, since the VM may have been frozen until the system call;
+    # that time would count as silence of the upstream.
     outcomes.record_sent(proxy.state, transport.read_clock(), number)
 
 
-def _take_head(
+def _handle_head(
     proxy: Proxy,
-    delivery: _Delivery,
+    proxied: _ProxiedRequest,
     number: int,
     status: int,
     headers: list[tuple[str, str]],
 ) -> None:
-    delivery.head = proxy.dialect.read_answer(status, headers)
-    _note_upstream_state(proxy, number, delivery.head)
-    verdict = delivery.head.verdict
+    proxied.head = proxy.dialect.read_answer(status, headers)
+    _record_upstream_state(proxy, number, proxied.head)
+    verdict = proxied.head.verdict
     if verdict is dialects.Verdict.INVALID:
-        _abort(proxy, delivery)
-        _end(proxy, delivery, number, outcomes.AttemptEnd.BROKEN)
+        _abort_exchange(proxy, proxied)
+        _end_attempt(proxy, proxied, number, outcomes.AttemptEnd.BROKEN)
         return
-    if verdict is dialects.Verdict.SUCCESS and delivery.first_head is None:
-        delivery.first_head = delivery.head
+    if verdict is dialects.Verdict.SUCCESS and proxied.first_head is None:
+        proxied.first_head = proxied.head
     now = transport.read_clock()
     outcomes.record_response(proxy.state, now, number, first=False)
 
 
-def _note_upstream_state(
+def _record_upstream_state(
     proxy: Proxy, number: int, head: dialects.AnswerHead
 ) -> None:
     """Records a shutdown notice or retry delay from an upstream's response."""
@@ -368,66 +378,70 @@
             upstream=upstream,
             seconds=head.retry_after,
         )
-        done = outcomes.refuse_delayed_requests(
+        pending = outcomes.refuse_delayed_requests(
             proxy.state, now, request.service
         )
-        perform_effects(proxy, done)
+        perform_effects(proxy, pending)
 
 
-def _take_data(
-    proxy: Proxy, delivery: _Delivery, number: int, data: bytes
+def _handle_data(
+    proxy: Proxy, proxied: _ProxiedRequest, number: int, data: bytes
 ) -> None:
     if (
-        not delivery.streamed
-        or delivery.head.verdict is not dialects.Verdict.SUCCESS
+        not proxied.streamed
+        or proxied.head.verdict is not dialects.Verdict.SUCCESS
     ):
-        delivery.held.append(data)
+        proxied.buffered.append(data)
         return
-    events = streams.split_events(delivery.splitter, data)
+    events = streams.split_events(proxied.splitter, data)
     now = transport.read_clock()
     outcomes.record_response(proxy.state, now, number, first=bool(events))
     if events:
-        observation.note_piece(proxy.recorder, delivery.track, now)
-        _write(proxy, delivery, events)
+        observation.note_piece(proxy.recorder, proxied.track, now)
+        _forward_events(proxy, proxied, events)
 
 
-def _write(proxy: Proxy, delivery: _Delivery, data: bytes) -> None:
-    call = delivery.call
+def _forward_events(
+    proxy: Proxy, proxied: _ProxiedRequest, data: bytes
+) -> None:
+    call = proxied.call
     if not call.begun:
-        call.begin(delivery.first_head.status, delivery.first_head.headers)
-        call.on_drained = lambda: _resume(proxy, delivery)
+        call.begin(proxied.first_head.status, proxied.first_head.headers)
+        call.on_drained = lambda: _resume_reading(proxy, proxied)
     call.write(data)
-    if call.backlog > MOST_UNSENT and delivery.exchange is not None:
-        proxy.client.pause(delivery.exchange, True)
+    if call.backlog > MAX_UNSENT_BYTES and proxied.exchange is not None:
+        proxy.client.pause(proxied.exchange, True)
 
 
-def _resume(proxy: Proxy, delivery: _Delivery) -> None:
-    if delivery.exchange is not None:
-        proxy.client.pause(delivery.exchange, False)
+def _resume_reading(proxy: Proxy, proxied: _ProxiedRequest) -> None:
+    if proxied.exchange is not None:
+        proxy.client.pause(proxied.exchange, False)
 
 
-def _take_end(proxy: Proxy, delivery: _Delivery, number: int) -> None:
-    delivery.exchange = None
-    end = _ENDS[delivery.head.verdict]
+def _handle_end(proxy: Proxy, proxied: _ProxiedRequest, number: int) -> None:
+    proxied.exchange = None
+    end = _ATTEMPT_ENDS[proxied.head.verdict]
     if end is outcomes.AttemptEnd.COMPLETE:
-        _complete(proxy, delivery, number)
-    _end(proxy, delivery, number, end)
+        _finish_response(proxy, proxied, number)
+    _end_attempt(proxy, proxied, number, end)
 
 
-def _complete(proxy: Proxy, delivery: _Delivery, number: int) -> None:
-    if not delivery.streamed:
-        _pass_on(proxy, delivery, number)
+def _finish_response(
+    proxy: Proxy, proxied: _ProxiedRequest, number: int
+) -> None:
+    if not proxied.streamed:
+        _forward_response(proxy, proxied, number)
         return
-    rest = streams.flush_rest(delivery.splitter)
-    _write(proxy, delivery, rest)
-    delivery.call.end()
-    _forget(proxy, number, "answered", status=delivery.first_head.status)
+    rest = streams.flush_rest(proxied.splitter)
+    _forward_events(proxy, proxied, rest)
+    proxied.call.end()
+    _finish_request(proxy, number, "answered", status=proxied.first_head.status)
 
 
-def _take_failure(
-    proxy: Proxy, delivery: _Delivery, number: int, stage: transport.Stage
+def _handle_failure(
+    proxy: Proxy, proxied: _ProxiedRequest, number: int, stage: transport.Stage
 ) -> None:
-    delivery.exchange = None
+    proxied.exchange = None
     unsent = stage is transport.Stage.NOT_SENT
     end = outcomes.AttemptEnd.NOT_SENT if unsent else outcomes.AttemptEnd.BROKEN
     if not unsent:
@@ -435,12 +449,12 @@
         perform_effects(
             proxy, crashes.record_disconnect(proxy.state, now, number)
         )
-    _end(proxy, delivery, number, end, lost_after_send=not unsent)
+    _end_attempt(proxy, proxied, number, end, lost_after_send=not unsent)
 
 
-def _end(
+def _end_attempt(
     proxy: Proxy,
-    delivery: _Delivery,
+    proxied: _ProxiedRequest,
     number: int,
     end: outcomes.AttemptEnd,
     lost_after_send: bool = False,
@@ -453,7 +467,7 @@
             fingerprint = fingerprints.get_fingerprint(request)
             fields["fingerprint"] = fingerprint.hex()
     observation.note_attempt_end(
-        proxy.recorder, delivery.track, end.value, **fields
+        proxy.recorder, proxied.track, end.value, **fields
     )
     now = transport.read_clock()
     perform_effects(proxy, outcomes.end_attempt(proxy.state, now, number, end))
--- a/sycamorefall/direct/state.py
+++ b/sycamorefall/direct/state.py
@@ -1,4 +1,4 @@
-"""State of a router that sends directly to upstreams."""
+"""State of the decision logic of a router that sends directly to upstreams."""
 
 __all__ = [
     "Attempt",
@@ -34,14 +34,16 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class NewRequest:
-    """A request as a caller sent it.
+    """A request as received from a caller.
 
     Attributes:
         host: Host header.
         path: Path without query.
-        key: The caller's key; empty if none was sent.
-        time_left: Seconds that the caller will wait; None if it didn't say.
-        prompt: What it asks of an engine, if it is for one.
+        key: The caller's API key; empty if none was sent.
+        time_left: Seconds that the caller will wait for the answer; None if
+            the request doesn't state them.
+        prompt: Sizes and shared parts of the prompt; None if the request is not
+            for an engine.
         method: HTTP method.
         target: Path and query, exactly as received.
         body: Complete request body.
@@ -59,19 +61,22 @@
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """A request on its way at an upstream.
+    """An attempt to run a request at an upstream, still in progress.
 
     Attributes:
-        number: Counts the sends of the request, from 1.
-        upstream: The incarnation.
-        born: Its life under that name; see `upstreams.UpstreamEntry`.
-        sent_at: When it was sent.
-        unread: Prompt tokens it adds until it begins to answer.
-        queued: Prompt tokens that were ahead of it, its own included.
-        memory: Tokens it takes of the engine's cache.
-        cost: Cost units that its team was charged.
-        charged_at: When that was.
-        response_started: Whether its answer has begun.
+        number: Number of the attempt among those of its request, from 1.
+        upstream: Name of the upstream.
+        sent_at: Time at which the request was sent.
+        born: Start time of the upstream's process, which tells a restarted
+            process apart; see `upstreams.UpstreamEntry`.
+        unread: Prompt tokens that the engine still has to process for the
+            request before the response starts.
+        queued: Prompt tokens that the engine had to process when the request
+            was sent, including the request's own.
+        memory: Tokens that the request takes up in the engine's KV cache.
+        cost: Cost units that the request's team was charged.
+        charged_at: Time of the charge.
+        response_started: Whether the first part of the response has arrived.
     """
 
     number: int
@@ -91,22 +96,26 @@
     """A request in progress.
 
     Attributes:
-        number: Counts the requests of this process.
-        new: What the caller sent.
-        route: Its route.
-        service: The service chosen for it.
-        team: Its team's name; empty on public routes.
-        arrived_at: When it was whole.
-        answer_by: When its caller or its route's timeout ends.
-        target_at: When the first part of its answer is due.
-        give_up_at: When it is refused if it still waits.
-        sends: Times it was sent.
-        possible_runs: Upstreams that may have run it.
-        tried: Upstreams that had it.
-        attempt: Where it is now; None while it waits.
-        forwarding_started: Whether the caller has a part of the answer.
-        part_uses: How often its last shared part was asked for lately.
-        fingerprint: Its fingerprint; empty until it is computed.
+        number: Number of the request, unique within this process.
+        new: The request as received from the caller.
+        route: Route of the request.
+        service: Name of the service chosen for the request.
+        team: Name of the caller's team; empty on public routes.
+        arrived_at: Time at which the whole request had been received.
+        answer_by: Deadline: the earlier of the caller's deadline and the end of
+            the route's timeout.
+        target_at: Time at which the first part of the response is due.
+        give_up_at: Time at which the request is refused if it still waits.
+        sends: Number of attempts so far.
+        possible_runs: Number of ended attempts in which the upstream may have
+            run the request.
+        tried: Names of the upstreams that the request was sent to.
+        attempt: The attempt in progress; None while the request waits.
+        forwarding_started: Whether the caller has received a part of the
+            response.
+        part_uses: Decayed number of recent requests with the same last shared
+            prompt part.
+        fingerprint: Fingerprint of the request; empty until it is computed.
     """
 
     number: int
@@ -129,13 +138,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Placement:
-    """A prompt that an engine was sent.
+    """A prompt that was sent to an engine.
 
     Attributes:
-        upstream: The incarnation.
+        upstream: Name of the engine.
         prompt: The prompt.
-        new_tokens: Tokens of its shared parts that the engine wasn't known to
-            hold.
+        new_tokens: Tokens of the prompt's shared parts that the engine was not
+            known to have cached.
     """
 
     upstream: str
@@ -148,9 +157,9 @@
     """Connections to an upstream that were lost with requests in progress.
 
     Attributes:
-        since: When the first one was lost.
+        since: Time at which the first connection was lost.
         fingerprints: Fingerprints of the requests.
-        checks: Reachability checks that were started.
+        checks: Number of reachability checks started so far.
         crashed: Whether a check found that the upstream has crashed.
     """
 
@@ -162,40 +171,42 @@
 
 @dataclasses.dataclass(slots=True)
 class DirectState:
-    """Everything a router that sends directly knows.
+    """State of the decision logic of one router process.
 
     Attributes:
-        failure_domain: Where it stands.
-        bounds: Bounds of its settings.
+        failure_domain: Failure domain of the router's VM.
+        bounds: Time and retry bounds from the settings.
         freshness: Lease on the configuration.
-        random: Source of draws and jitter.
-        stop: The process's stop, once it is to end.
-        catalog: Configuration in force; None until the first is known.
-        table: The upstreams.
+        random: Random number generator for routing and jitter.
+        stop: Progress of the process's graceful stop.
+        catalog: Configuration in force; None until the first one is known.
+        table: The listed upstreams.
         requests: Requests in progress by number.
-        running: How many of them are at an upstream. Counted, as the loop
-            asks at each of its passes whether there is one: looking for one
-            among 450 that wait took 20 us, and the whole pass takes 3 us now.
+        running: Number of requests in progress that are at an upstream. Kept as
+            a count because each pass of the event loop reads it: searching 450
+            waiting requests for a running one took 20 us, while the whole pass
+            takes 3 us with the count.
         service_queues: Waiting requests by service.
-        accounts: What teams received, by service.
-        budgets: Second sends, by service.
-        urgency: How soon answers are due, by service.
-        deadlines: Heap of (time, request).
-        uses: How often prompt parts were asked for lately.
-        patience: How long callers are ready to wait, by route.
-        total_unread_sent: Prompt tokens sent to be read since the other routers
-            were last told.
-        placements: Prompts with long shared parts sent since then.
+        accounts: Cost units that the teams received, by service.
+        budgets: Retry budgets by service.
+        recent_targets: Latency targets requested lately, by service.
+        deadlines: Heap of (time, request number).
+        uses: Decayed numbers of recent requests by shared prompt part.
+        patience: Times that callers are willing to wait, by route.
+        total_unread_sent: Prompt tokens that this process has ever sent to
+            engines for processing.
+        placements: Prompts with long shared parts sent since the placements
+            were last collected for a report to the other routers.
         quarantine: Requests suspected of crashing upstreams.
         disconnects: Lost connections, by the process that may have crashed.
-        overload: How late the process was lately.
-        routers: Routers that were heard lately, this one included.
-        dispatch_needed: Whether a place may have come free for a waiting
+        overload: Recent lateness of the event loop.
+        routers: Number of routers heard from lately, including this one.
+        dispatch_needed: Whether capacity may have become free for a waiting
             request.
-        last_dispatch_at: When waiting requests were last looked at.
-        min_dispatch_interval: Seconds until they may be looked at again.
-        stalls_checked_at: When upstreams were last looked at for silence.
-        last_number: Number of the last request.
+        last_dispatch_at: Time of the last try to send waiting requests.
+        min_dispatch_interval: Least seconds from that try to the next one.
+        stalls_checked_at: Time of the last check for stalled upstreams.
+        last_number: Number of the latest request.
     """
 
     failure_domain: str
@@ -218,7 +229,7 @@
     budgets: dict[str, budget.RetryBudget] = dataclasses.field(
         default_factory=dict
     )
-    urgency: dict[str, latency_targets_module.RecentTargets] = (
+    recent_targets: dict[str, latency_targets_module.RecentTargets] = (
         dataclasses.field(default_factory=dict)
     )
     deadlines: list[tuple[float, int]] = dataclasses.field(default_factory=list)
@@ -250,12 +261,12 @@
 def create_state(
     failure_domain: str, bounds: settings.BoundSettings, seed: int
 ) -> DirectState:
-    """Creates the state of a process that knows nothing yet.
+    """Creates the state of a process without configuration or upstreams.
 
     Args:
-        failure_domain: Where the process stands.
-        bounds: Bounds of its settings.
-        seed: Seed of its draws.
+        failure_domain: Failure domain of the process's VM.
+        bounds: Time and retry bounds from the settings.
+        seed: Seed of the random number generator.
 
     Returns:
         The state.
@@ -273,17 +284,22 @@
 def get_or_create_accounts(
     state: DirectState, service: str
 ) -> fair_queue.TeamAccounts:
-    """Finds what teams received of a service."""
-    known = state.accounts.get(service)
-    if known is None:
-        known = state.accounts[service] = fair_queue.TeamAccounts()
-    return known
+    """Returns the team accounts of a service; creates them if missing."""
+    team_accounts = state.accounts.get(service)
+    if team_accounts is None:
+        team_accounts = state.accounts[service] = fair_queue.TeamAccounts()
+    return team_accounts
 
 
 def find_upstream(
     state: DirectState, attempt: Attempt
 ) -> upstreams.Upstream | None:
-    """Finds the upstream of an attempt; None if it is gone or lives anew."""
+    """Finds the upstream of an attempt.
+
+    Returns:
+        The upstream; None if it is no longer listed or its process was
+        restarted since the attempt was sent.
+    """
     upstream = state.table.by_name.get(attempt.upstream)
     if upstream is None or upstream.listed.born != attempt.born:
         return None
@@ -293,8 +309,10 @@
 def get_or_create_recent_targets(
     state: DirectState, service: str
 ) -> latency_targets_module.RecentTargets:
-    """Finds how soon answers of a service are due."""
-    known = state.urgency.get(service)
-    if known is None:
-        known = state.urgency[service] = latency_targets_module.RecentTargets()
-    return known
+    """Returns a service's recent latency targets; creates them if missing."""
+    targets = state.recent_targets.get(service)
+    if targets is None:
+        targets = state.recent_targets[service] = (
+            latency_targets_module.RecentTargets()
+        )
+    return targets
--- a/sycamorefall/direct/stopping.py
+++ b/sycamorefall/direct/stopping.py
@@ -1,9 +1,10 @@
-"""What a router that is told to stop still takes, and for how long; no I/O.
+"""Rules for the graceful stop of a router; no I/O.
 
-A stopping router reports that it is not ready, and the balancer needs two such
-answers, a second apart, to send callers elsewhere; a busy VM adds its own
-lateness. Until no caller comes any more the router listens, and each request
-gets an answer: what can still be served is, the rest is refused as not run.
+A stopping router reports that it is not ready. The balancer needs two such
+responses, one second apart, to send callers to other routers, and a busy VM
+responds late. The router listens until no more callers come, and answers each
+request: it serves those that can still complete and refuses the others as not
+run.
 """
 
 __all__ = [
@@ -15,34 +16,36 @@
 
 import dataclasses
 
-TAKE_ALL = 2.6
-"""Seconds after the signal for which every request is taken: the balancer's
-two questions and their way. A long stream that is taken 3.2 s after it does
-not end before the process is killed."""
+ACCEPT_ALL_PERIOD = 2.6
+"""Seconds after the signal during which every request is accepted: the time of
+the balancer's two readiness checks and their round trips. A long stream that is
+accepted 3.2 s after the signal doesn't end before the process is killed."""
 
-SPARE = 0.5
-"""Seconds that a request taken later must leave before the process is killed,
-for its answer's way and a late loop."""
+KILL_MARGIN = 0.5
+"""Seconds between the deadline of a request accepted after that and the kill of
+the process, for sending the response and a late event loop."""
 
-LINGER = 0.3
-"""Seconds without a request after which no caller is taken to come any more,
-and that a process stays after its last answer was sent. A busy VM gets a
+QUIET_PERIOD = 0.3
+"""Seconds without a request after which the router stops listening, and seconds
+that the process stays after it sent its last response. A busy VM receives a
 request every few milliseconds."""
 
-LISTEN_AT_MOST = 4.1
-"""Seconds after the signal at which listening ends though callers still come:
-the balancer has asked three times by then, or uses all VMs of a failure domain
-in which few are ready, and refusing its callers only keeps this one down."""
+MAX_LISTEN_PERIOD = 4.1
+"""Seconds after the signal at which listening ends even if callers still come.
+By then the balancer has checked readiness three times. If it still sends
+callers, it uses all VMs of a failure domain in which few are ready, and staying
+up to refuse those callers would only delay this router's restart."""
 
 
 @dataclasses.dataclass(slots=True)
 class Stop:
-    """A stop in progress.
+    """Progress of a graceful stop.
 
     Attributes:
-        grace: Seconds between the signal and the process's being killed.
-        since: When the signal came; None before.
-        quiet_since: Since when nothing is in progress, after listening ended.
+        grace: Seconds between the signal and the kill of the process.
+        since: Time of the signal; None before it.
+        quiet_since: Time since which no request or response is in progress,
+            once listening has ended; None while one is.
     """
 
     grace: float
@@ -51,7 +54,14 @@
 
 
 def may_accept(stop: Stop, now: float, answer_by: float) -> bool:
-    """Tells whether a request may be taken: it must end before the process.
+    """Tells whether a request may be accepted.
+
+    A request that arrives late in a stop must end before the process is killed.
+
+    Args:
+        stop: The stop.
+        now: Current time of this process's clock.
+        answer_by: Deadline of the request.
 
     Example:
         >>> stop = Stop(8.0, since=0.0)
@@ -60,36 +70,36 @@
         >>> may_accept(stop, 3.0, 5.5)
         True
     """
-    if stop.since is None or now - stop.since < TAKE_ALL:
+    if stop.since is None or now - stop.since < ACCEPT_ALL_PERIOD:
         return True
-    return answer_by <= stop.since + stop.grace - SPARE
+    return answer_by <= stop.since + stop.grace - KILL_MARGIN
 
 
-def may_end_listening(stop: Stop, now: float, asked_at: float) -> bool:
-    """Tells whether callers have gone elsewhere.
+def may_end_listening(stop: Stop, now: float, last_request_at: float) -> bool:
+    """Tells whether callers use other routers, so that listening may end.
 
     Args:
-        stop: The stop.
-        now: This process's time.
-        asked_at: When the last request came.
+        stop: The stop; the signal has come.
+        now: Current time of this process's clock.
+        last_request_at: Time at which the last request arrived.
     """
-    since = now - stop.since
-    if since < TAKE_ALL:
+    elapsed = now - stop.since
+    if elapsed < ACCEPT_ALL_PERIOD:
         return False
-    return now - asked_at >= LINGER or since >= LISTEN_AT_MOST
+    return now - last_request_at >= QUIET_PERIOD or elapsed >= MAX_LISTEN_PERIOD
 
 
 def may_exit(stop: Stop, now: float, quiet: bool) -> bool:
-    """Tells whether the process may end, once it no longer listens.
+    """Tells whether the process may exit, once it no longer listens.
 
     Args:
-        stop: The stop; changed.
-        now: This process's time.
-        quiet: Whether no request and no answer is under way.
+        stop: The stop; modified.
+        now: Current time of this process's clock.
+        quiet: Whether no request and no response is in progress.
     """
     if not quiet:
         stop.quiet_since = None
         return False
     if stop.quiet_since is None:
         stop.quiet_since = now
-    return now - stop.quiet_since >= LINGER
+    return now - stop.quiet_since >= QUIET_PERIOD
--- a/sycamorefall/direct/streams.py
+++ b/sycamorefall/direct/streams.py
@@ -1,4 +1,4 @@
-"""Splits a stream into whole events and keeps count of what was passed on."""
+"""Splits an event stream into complete events and tracks the last event id."""
 
 __all__ = [
     "EventSplitter",
@@ -9,56 +9,58 @@
 
 import re
 
-_END = re.compile(rb"\r?\n\r?\n")
-_ID = re.compile(rb"^id: ?([^\r\n]*)", re.MULTILINE)
+_EVENT_END = re.compile(rb"\r?\n\r?\n")
+_EVENT_ID = re.compile(rb"^id: ?([^\r\n]*)", re.MULTILINE)
 
 
 class EventSplitter:
-    """One answer's events.
+    """Splits one response into complete events, across resumed streams.
 
-    Guards against an upstream that stops inside an event: what the caller has
-    of a broken stream must end with an event, so that the next upstream can
-    go on after it.
+    An upstream may stop in the middle of an event. Only complete events are
+    forwarded, so that another upstream can resume the stream after the last
+    one.
 
     Attributes:
-        resumed: Whether another upstream went on with the stream.
+        resumed: Whether another upstream resumes the stream.
     """
 
-    __slots__ = ("_last_id", "_newest", "_rest", "resumed")
+    __slots__ = ("_last_id", "_unscanned", "_incomplete", "resumed")
 
     def __init__(self):
         self.resumed = False
-        self._rest = b""
-        self._newest = b""
+        self._incomplete = b""
+        self._unscanned = b""
         self._last_id = ""
 
     @property
     def last_id(self) -> str:
-        """Id of the last event passed on; empty before the first.
+        """Id of the last forwarded event; empty before the first one.
 
-        Looked for when it is asked, which is once a broken stream; at each
-        event it was a quarter of what splitting them cost.
+        The id is searched for only when it is read, which happens once per
+        broken stream. Searching at each event took a quarter of the time of
+        splitting.
         """
-        ids = _ID.findall(self._newest)
+        ids = _EVENT_ID.findall(self._unscanned)
         if ids:
             self._last_id = ids[-1].decode("latin-1")
-        self._newest = b""
+        self._unscanned = b""
         return self._last_id
 
-    def note_id(self, number: str) -> None:
-        """Takes note of the id of an event that is passed on."""
-        self._last_id, self._newest = number, b""
+    def record_id(self, event_id: str) -> None:
+        """Records the id of an event that is forwarded."""
+        self._last_id, self._unscanned = event_id, b""
 
 
 def split_events(splitter: EventSplitter, data: bytes) -> bytes:
-    r"""Takes bytes of a stream.
+    r"""Adds received bytes to a stream and returns the events to forward.
 
     Args:
-        splitter: The stream; changed.
-        data: What has come.
+        splitter: The stream; modified.
+        data: The received bytes.
 
     Returns:
-        The events that are now whole, to the letter.
+        The events that are now complete, byte for byte, without those that the
+        caller has received before a resume.
 
     Example:
         >>> splitter = EventSplitter()
@@ -67,53 +69,60 @@
         >>> splitter.last_id
         '1'
     """
-    text = splitter._rest + data if splitter._rest else data
-    end = max(_find_last(text, b"\n\n"), _find_last(text, b"\n\r\n"))
+    text = splitter._incomplete + data if splitter._incomplete else data
+    end = max(_find_last_end(text, b"\n\n"), _find_last_end(text, b"\n\r\n"))
     if not end:
-        splitter._rest = text
+        splitter._incomplete = text
         return b""
-    splitter._rest = text[end:]
-    whole = text[:end]
+    splitter._incomplete = text[end:]
+    complete = text[:end]
     if splitter.resumed:
-        return _leave_out_known(splitter, whole)
-    if b"id:" in whole:
-        splitter._newest = whole
-    return whole
+        return _drop_known_events(splitter, complete)
+    if b"id:" in complete:
+        splitter._unscanned = complete
+    return complete
 
 
-def _find_last(text: bytes, ending: bytes) -> int:
-    """Finds where the last event ends that ends so; 0 if none does."""
+def _find_last_end(text: bytes, ending: bytes) -> int:
+    """Finds the end of the last event with this ending; 0 if there is none."""
     found = text.rfind(ending)
     return found + len(ending) if found >= 0 else 0
 
 
-def _leave_out_known(splitter: EventSplitter, whole: bytes) -> bytes:
-    """Leaves out the events that the caller has already."""
-    ends = [match.end() for match in _END.finditer(whole)]
+def _drop_known_events(splitter: EventSplitter, complete: bytes) -> bytes:
+    """Drops the events that the caller has already received."""
+    ends = [match.end() for match in _EVENT_END.finditer(complete)]
     starts = [0, *ends[:-1]]
-    events = [whole[a:b] for a, b in zip(starts, ends, strict=True)]
+    events = [complete[a:b] for a, b in zip(starts, ends, strict=True)]
     return b"".join(event for event in events if _is_new(splitter, event))
 
 
 def _is_new(splitter: EventSplitter, event: bytes) -> bool:
-    """Leaves out an event that the caller has: one sent again by a resume."""
-    found = _ID.search(event)
+    """Tells whether the caller lacks an event, and records its id if so.
+
+    A resumed stream may repeat events; an event whose decimal id is not above
+    the last one is a repeat.
+    """
+    found = _EVENT_ID.search(event)
     if found is None:
         return True
-    number, last = found[1].decode("latin-1"), splitter.last_id
-    if number.isdecimal() and last.isdecimal() and int(number) <= int(last):
+    event_id, last = found[1].decode("latin-1"), splitter.last_id
+    if event_id.isdecimal() and last.isdecimal() and int(event_id) <= int(last):
         return False
-    splitter.note_id(number)
+    splitter.record_id(event_id)
     return True
 
 
 def flush_rest(splitter: EventSplitter) -> bytes:
-    """Returns what follows the last whole event of a stream that ended."""
-    rest, splitter._rest = splitter._rest, b""
+    """Removes and returns the bytes after the last complete event."""
+    rest, splitter._incomplete = splitter._incomplete, b""
     return rest
 
 
 def prepare_resume(splitter: EventSplitter) -> None:
-    """Prepares for the answer of another upstream that goes on."""
-    splitter._rest = b""
+    """Prepares for the response of an upstream that resumes the stream.
+
+    The bytes of an incomplete event are dropped.
+    """
+    splitter._incomplete = b""
     splitter.resumed = bool(splitter.last_id)
--- a/sycamorefall/direct/tests/fakes.py
+++ b/sycamorefall/direct/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A router's decisions with a small catalog, for the tests of this package."""
+"""Helpers that create router state, catalogs and requests for tests."""
 
 from sycamorefall import settings
 from sycamorefall.direct import (
@@ -22,8 +22,17 @@
 
 
 def create_catalog(
-    version=1, keys=("mill", "trader"), without=(), fetch_rate=0.0
+    version=1, keys=("mill", "trader"), excluded=(), fetch_rate=0.0
 ):
+    """Creates a catalog with a key for each team in `keys`.
+
+    Args:
+        version: Version of the configuration.
+        keys: Names of the teams that have a key.
+        excluded: Names of the routes to leave out.
+        fetch_rate: Tokens per second that an engine copies from the cache of
+            another one.
+    """
     routes = [
         catalog.Route(
             name=name,
@@ -39,7 +48,7 @@
             public=not kind.streamed,
         )
         for name, kind in _KINDS.items()
-        if name not in without
+        if name not in excluded
     ]
     engine = catalog.Engine(4, 100_000, fetch_rate)
     services = [
@@ -88,6 +97,11 @@
 
 
 def create_request(route, team="mill", time_left=3.0, tokens=1000, parts=()):
+    """Creates a request on one of the routes of `create_catalog`.
+
+    Streaming routes get a prompt of `tokens` tokens, of which the shared
+    `parts`, (key, tokens) each, come first.
+    """
     prompt = None
     if _KINDS[route].streamed:
         own = tokens - sum(size for _, size in parts)
@@ -104,29 +118,29 @@
 
 
 def submit_request(state, now, route, **more):
-    """Takes a request; gives its number and its one effect, if any."""
-    number, done = core.handle_request(
+    """Submits a request; returns its number and its only effect, if any."""
+    number, pending = core.handle_request(
         state, now, create_request(route, **more)
     )
-    assert len(done) <= 1
-    return number, done[0] if done else None
+    assert len(pending) <= 1
+    return number, pending[0] if pending else None
 
 
-def list_error_kinds(done):
+def list_error_kinds(pending):
     return [
         effect.kind
-        for effect in done
+        for effect in pending
         if isinstance(effect, effects.AnswerError)
     ]
 
 
-def list_sends(done):
+def list_sends(pending):
     return [
-        effect for effect in done if isinstance(effect, effects.SendRequest)
+        effect for effect in pending if isinstance(effect, effects.SendRequest)
     ]
 
 
-def list_addresses(told):
-    """Lists where messages may go, by name."""
-    names = exchange.list_addresses(told)
-    return {name: exchange.find_address(told, name) for name in names}
+def list_addresses(load_exchange):
+    """Returns the addresses of the routers that may be sent to, by name."""
+    names = exchange.list_addresses(load_exchange)
+    return {name: exchange.find_address(load_exchange, name) for name in names}
--- a/sycamorefall/direct/tests/test_keys.py
+++ b/sycamorefall/direct/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Keys that operators take away, and configurations that come in any order."""
+"""Tests of revoked keys and of configurations that arrive out of order."""
 
 from hypothesis import stateful, strategies
 
@@ -8,9 +8,9 @@
 
 
 def test_key_that_may_be_gone_is_not_believed():
-    # A router is cut off from the platform, and a key is taken away. Its
-    # holder must not get work done there for more than five seconds. Cause:
-    # the router can't hear of it, so only its lease can end the key.
+    # A router loses contact with the platform, and a key is revoked. The holder
+    # must not get work done for more than five seconds. The router can't learn
+    # of the revocation, so the lease on the configuration has to expire.
     state = fakes.create_state(now=10.0)
     _, sent = fakes.submit_request(state, 13.0, "draft")
     assert isinstance(sent, effects.SendRequest)
@@ -20,17 +20,17 @@
 
 
 def test_routes_without_keys_go_on_while_the_platform_is_away():
-    # The platform is down for a minute. Orders on public routes must go on:
-    # no key can be taken away from them.
+    # The platform is down for a minute. Requests on public routes must still be
+    # served, as they need no key that could be revoked.
     state = fakes.create_state(now=10.0)
     _, sent = fakes.submit_request(state, 70.0, "book", team="")
     assert isinstance(sent, effects.SendRequest)
 
 
 def test_waiting_request_is_not_sent_after_its_key_is_gone():
-    # A request waits for a full engine; its key is taken away meanwhile; the
-    # engine gets free. The request must not run. Cause: it was judged as it
-    # came in, under the older configuration.
+    # A request waits for a full engine, its key is revoked meanwhile, and then
+    # the engine has a free slot. The request ran, because it had been
+    # authorized only on arrival, under the older configuration.
     listing = [fakes.create_upstream_entry("e1")]
     state = fakes.create_state(listing=listing)
     for _ in range(4):
@@ -38,16 +38,17 @@
     number, sent = fakes.submit_request(state, 0.0, "draft", team="trader")
     assert sent is None
     changed = fakes.create_catalog(2, keys=("mill",))
-    done = core.apply_catalog(state, 0.1, changed)
-    assert [(one.request, one.kind) for one in done] == [
+    pending = core.apply_catalog(state, 0.1, changed)
+    assert [(one.request, one.kind) for one in pending] == [
         (number, errors.ErrorKind.UNKNOWN_TEAM)
     ]
     assert number not in state.requests
 
 
 def test_waiting_request_is_not_sent_after_its_lease_ended():
-    # A request waits while the router loses the platform; the lease ends;
-    # then an engine gets free. Sent now, it could run on a key that is gone.
+    # A request waits while the router loses contact with the platform and its
+    # lease expires; then an engine has a free slot. Sent now, the request could
+    # run on a revoked key.
     state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
     running = [
         fakes.submit_request(state, 3.7, "draft", tokens=100)[0]
@@ -60,8 +61,8 @@
 
 
 def test_older_configuration_never_comes_back():
-    # A key is refused, then works again, then is refused: a late answer of a
-    # slow read brought an older version back into force.
+    # A revoked key was refused, then accepted, then refused again: the late
+    # response of a slow read brought an older version back into force.
     state = fakes.create_state()
     core.apply_catalog(state, 1.0, fakes.create_catalog(5, keys=("mill",)))
     core.apply_catalog(state, 1.1, fakes.create_catalog(3))
@@ -70,8 +71,8 @@
 
 
 def test_router_that_knows_no_configuration_promises_nothing_is_wrong():
-    # Right after a start a caller with a good key is told 404, and gives up.
-    # Cause: no configuration yet is not the same as no such route.
+    # Right after the start, a caller with a valid key got a 404 and gave up:
+    # the router took a missing configuration for a missing route.
     state = fakes.create_state()
     state.catalog = None
     _, refused = fakes.submit_request(state, 0.0, "draft")
@@ -79,13 +80,13 @@
 
 
 class LeaseMachine(stateful.RuleBasedStateMachine):
-    """Reads that are sent, lost, late and reordered, and a lease on them."""
+    """Checks the lease against reads that are lost, late or reordered."""
 
     def __init__(self):
         super().__init__()
         self.now = 0.0
         self.lease = freshness.Freshness(revocation_bound=5.0)
-        self.under_way: list[float] = []
+        self.in_progress: list[float] = []
         self.answered: list[float] = []
 
     @stateful.rule(seconds=strategies.floats(0.0, 3.0))
@@ -94,13 +95,13 @@
 
     @stateful.rule()
     def send_read(self):
-        self.under_way.append(self.now)
+        self.in_progress.append(self.now)
 
-    @stateful.precondition(lambda self: self.under_way)
+    @stateful.precondition(lambda self: self.in_progress)
     @stateful.rule(data=strategies.data())
     def take_answer(self, data):
-        sent = data.draw(strategies.sampled_from(self.under_way))
-        self.under_way.remove(sent)
+        sent = data.draw(strategies.sampled_from(self.in_progress))
+        self.in_progress.remove(sent)
         freshness.record_proof(self.lease, sent)
         self.answered.append(sent)
 
--- a/sycamorefall/direct/tests/test_relay.py
+++ b/sycamorefall/direct/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The way from a decision to the send that it asks for."""
+"""Tests of the time between a send decision and the actual send."""
 
 import types
 
@@ -8,11 +8,11 @@
 from sycamorefall.direct import core, dialects, effects, relay
 from sycamorefall.direct.tests import fakes
 
-FREEZE = 0.8
+FREEZE_SECONDS = 0.8
 
 
-class Shell:
-    """A router's decisions with I/O that only notes what it is given."""
+class RecordingRouter:
+    """A router whose HTTP client records requests instead of sending them."""
 
     def __init__(self, monkeypatch):
         self.now = 0.0
@@ -38,7 +38,10 @@
         return object()
 
     def read_request_id(self, _):
-        """Reads an id between decision and send; the VM is frozen there."""
+        """Returns an id; advances the clock as if the VM were frozen here.
+
+        The relay reads the id between the decision and the send.
+        """
         self.now += self.freeze
         return "1"
 
@@ -52,44 +55,45 @@
 def test_freeze_before_a_send_counts_for_neither_its_upstream_nor_its_time(
     monkeypatch,
 ):
-    # A VM is frozen after it chose an upstream and before it sent. As it woke
-    # up, it took the upstream for silent, and the request ran twice; and the
-    # upstream was given time to work that was over.
-    shell = Shell(monkeypatch)
-    shell.freeze = FREEZE
-    shell.handle_call()
-    (sent,) = shell.sent
-    assert sent.time_left == 3.0 - FREEZE
-    done = core.run_timers(shell.state, shell.now + 0.1)
-    assert not [one for one in done if isinstance(one, effects.AbortAttempt)]
+    # The VM freezes between the choice of an upstream and the send. The router
+    # then considered the upstream stalled, so the request ran twice, and gave
+    # the upstream time that had already passed.
+    router = RecordingRouter(monkeypatch)
+    router.freeze = FREEZE_SECONDS
+    router.handle_call()
+    (sent,) = router.sent
+    assert sent.time_left == 3.0 - FREEZE_SECONDS
+    pending = core.run_timers(router.state, router.now + 0.1)
+    assert not [one for one in pending if isinstance(one, effects.AbortAttempt)]
 
 
 def test_request_whose_time_ends_before_its_send_is_not_sent(monkeypatch):
-    # The same for longer than the caller waits: nobody wants the answer.
-    shell = Shell(monkeypatch)
-    shell.freeze = 3.5
-    shell.handle_call()
-    assert shell.sent == []
-    done = core.run_timers(shell.state, shell.now)
-    assert len(fakes.list_error_kinds(done)) == 1
+    # The VM freezes before the send for longer than the caller waits, so nobody
+    # needs the response any more.
+    router = RecordingRouter(monkeypatch)
+    router.freeze = 3.5
+    router.handle_call()
+    assert router.sent == []
+    pending = core.run_timers(router.state, router.now)
+    assert len(fakes.list_error_kinds(pending)) == 1
 
 
 def test_freeze_directly_before_the_system_call_does_not_count(monkeypatch):
-    # The VM is frozen after the log line of a send, before its bytes left.
-    # As it woke up, the upstream counted as silent for all that time.
-    shell = Shell(monkeypatch)
-    shell.freeze_in_send = FREEZE
-    shell.handle_call()
-    done = core.run_timers(shell.state, shell.now + 0.1)
-    assert not [one for one in done if isinstance(one, effects.AbortAttempt)]
+    # The VM freezes after the log record of a send and before its bytes leave.
+    # The whole freeze counted as silence of the upstream.
+    router = RecordingRouter(monkeypatch)
+    router.freeze_in_send = FREEZE_SECONDS
+    router.handle_call()
+    pending = core.run_timers(router.state, router.now + 0.1)
+    assert not [one for one in pending if isinstance(one, effects.AbortAttempt)]
 
 
 def test_wait_for_a_connection_does_not_count_as_silence(monkeypatch):
-    # A VM is frozen while a connection to an upstream is made; the request
-    # leaves as it wakes up. The upstream was taken for silent at once.
-    shell = Shell(monkeypatch)
-    shell.handle_call()
-    shell.now = FREEZE
-    shell.listener.on_sent()
-    done = core.run_timers(shell.state, shell.now + 0.1)
-    assert not [one for one in done if isinstance(one, effects.AbortAttempt)]
+    # The VM freezes while it connects to an upstream, and the request leaves
+    # after the freeze. The upstream was considered stalled at once.
+    router = RecordingRouter(monkeypatch)
+    router.handle_call()
+    router.now = FREEZE_SECONDS
+    router.listener.on_sent()
+    pending = core.run_timers(router.state, router.now + 0.1)
+    assert not [one for one in pending if isinstance(one, effects.AbortAttempt)]
--- a/sycamorefall/direct/tests/test_stopping.py
+++ b/sycamorefall/direct/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""What a router that is told to stop still takes."""
+"""Tests of the requests that a stopping router still accepts."""
 
 import types
 
@@ -10,16 +10,16 @@
 from sycamorefall.transport.tests import test_server
 
 
-def stop_router(grace):
+def create_stopping_router(grace):
     state = fakes.create_state(grace=grace)
     core.begin_stop(state, 0.0)
     return state
 
 
 def test_stopping_router_refuses_what_it_can_not_end():
-    # A caller with 3 s of patience comes 3 s after the signal. Taken, its
-    # stream was cut when the process was killed; it is refused as not run.
-    state = stop_router(grace=6.0)
+    # A caller that waits up to 3 s comes 3 s after the signal. Its stream was
+    # accepted and then cut off when the process was killed.
+    state = create_stopping_router(grace=6.0)
     _, sent = fakes.submit_request(state, 1.0, "draft")
     assert fakes.list_sends([sent])
     _, refused = fakes.submit_request(state, 3.0, "draft")
@@ -29,36 +29,36 @@
 
 
 def test_stopping_router_serves_what_ends_in_time():
-    # A short request that comes at the same moment was turned away too,
-    # though it had ended long before the process.
-    state = stop_router(grace=6.0)
+    # A short request that comes 3 s after the signal was refused too, though it
+    # would have ended long before the process.
+    state = create_stopping_router(grace=6.0)
     _, sent = fakes.submit_request(state, 3.0, "draft", time_left=1.0)
     assert fakes.list_sends([sent])
 
 
 @pytest.mark.parametrize(
-    ("now", "asked_at", "ends"),
+    ("now", "last_request_at", "ends"),
     [
-        (2.5, 0.0, False),  # The balancer can't know yet.
+        (2.5, 0.0, False),  # The balancer has not noticed the stop yet.
         (2.7, 2.6, False),  # Callers still come.
         (3.0, 2.6, True),
-        (4.2, 4.15, True),  # They come all the same.
+        (4.2, 4.15, True),  # The longest time to listen is over.
     ],
 )
-def test_listening_ends_once_callers_are_elsewhere(now, asked_at, ends):
+def test_listening_ends_once_callers_are_elsewhere(now, last_request_at, ends):
     stop = stopping.Stop(8.0, since=0.0)
-    assert stopping.may_end_listening(stop, now, asked_at) is ends
+    assert stopping.may_end_listening(stop, now, last_request_at) is ends
 
 
 def test_process_stays_while_an_answer_is_under_way():
     stop = stopping.Stop(8.0, since=0.0)
-    looks = [(3.0, True), (3.2, False), (3.4, True), (3.6, True), (3.75, True)]
-    over = [stopping.may_exit(stop, now, quiet) for now, quiet in looks]
-    assert over == [False, False, False, False, True]
+    checks = [(3.0, True), (3.2, False), (3.4, True), (3.6, True), (3.75, True)]
+    exits = [stopping.may_exit(stop, now, quiet) for now, quiet in checks]
+    assert exits == [False, False, False, False, True]
 
 
-class Stopping:
-    """A router that is told to stop at 0.0, its loop turned by the test."""
+class StoppingRouter:
+    """A router that stops at time 0.0; the test runs its event loop."""
 
     def __init__(self):
         self.site = test_server.Site()
@@ -69,58 +69,59 @@
             servers=[self.site.server],
             ticker=types.SimpleNamespace(late=0.0),
             loop=self.site.loop,
-            stop_check=0.0,
+            next_stop_check_at=0.0,
         )
 
     def stop(self):
         core.begin_stop(self.state, 0.0)
         self.site.server.announce_stop()
 
-    def look(self, now):
-        """Looks at the stop before input is read, as the loop's timers do."""
+    def check_stop(self, now):
+        """Checks the stop before input is read, as the event loop does."""
         self.site.now = now
         daemon._continue_stop(self.daemon, now)
 
 
 def test_late_router_listens_while_requests_wait_unread():
-    # One pass of a crowded router's loop takes longer than the 0.3 s without
-    # a request after which it ends listening. Requests had arrived all the
-    # time, on kept connections and new ones; it hadn't read them, and later
-    # callers found nobody.
+    # One pass of a busy router's event loop takes longer than the 0.3 s without
+    # a request after which the router stops listening. Requests had arrived on
+    # kept and on new connections, but were not read yet, so the router stopped
+    # listening and refused later callers.
     for connect_late in (False, True):
-        stopping_one = Stopping()
-        site = stopping_one.site
+        router = StoppingRouter()
+        site = router.site
         caller = site.connect()
         if not connect_late:
             site.turn_until(lambda s=site: s.server._connections)
-        stopping_one.stop()
+        router.stop()
         caller.sendall(test_server.GET % b"now")
-        stopping_one.look(2.8)
+        router.check_stop(2.8)
         assert site.server.listening
         assert site.read(caller, b"\r\n\r\nnow").endswith(b"now")
-        stopping_one.look(3.0)
+        router.check_stop(3.0)
         assert site.server.listening
-        stopping_one.look(3.2)
+        router.check_stop(3.2)
         assert not site.server.listening
         caller.close()
 
 
 def test_caller_that_was_not_told_may_ask_again_until_the_process_ends():
-    # A stream that began before the stop ends after listening did; its head
-    # didn't say that the connection closes. The next look at the stop, at
-    # most 0.05 s later, closed it under its caller's next request.
-    stopping_one = Stopping()
-    site = stopping_one.site
+    # A stream that began before the stop ends after listening has ended, and
+    # its head didn't announce that the connection closes. The next check of the
+    # stop, at most 0.05 s later, closed the connection while the caller sent
+    # its next request.
+    router = StoppingRouter()
+    site = router.site
     caller = site.connect()
     caller.sendall(test_server.GET % b"long")
     call = site.turn_until(lambda: site.calls)[0]
     call.begin(200)
-    stopping_one.stop()
-    stopping_one.look(3.0)
+    router.stop()
+    router.check_stop(3.0)
     assert not site.server.listening
     call.end()
     assert site.read(caller, b"0\r\n\r\n").endswith(b"0\r\n\r\n")
-    stopping_one.look(3.05)
+    router.check_stop(3.05)
     assert site.server.is_quiet()
     caller.sendall(test_server.GET % b"now")
     assert not site.server.is_quiet()
