--- a/sycamorefall/direct/stopping.py
+++ b/sycamorefall/direct/stopping.py
@@ -22,8 +22,9 @@
 accepted 3.2 s after the signal doesn't end before the process is killed."""
 
 KILL_MARGIN = 0.5
-"""Seconds between the deadline of a request accepted after that and the kill of
-the process, for sending the response and a late event loop."""
+"""Least seconds between the deadline of a request that is accepted after
+`ACCEPT_ALL_PERIOD` and the kill of the process, for sending the response and a
+late event loop."""
 
 QUIET_PERIOD = 0.3
 """Seconds without a request after which the router stops listening, and seconds
--- a/sycamorefall/direct/tests/test_keys.py
+++ b/sycamorefall/direct/tests/test_keys.py
@@ -7,7 +7,7 @@
 from sycamorefall.direct.tests import fakes
 
 
-def test_key_that_may_be_gone_is_not_believed():
+def test_possibly_revoked_key_is_refused():
     # A router loses contact with the platform, and a key is revoked. The holder
     # must not get work done for more than five seconds. The router can't learn
     # of the revocation, so the lease on the configuration has to expire.
@@ -19,7 +19,7 @@
     assert refused.retry_after
 
 
-def test_routes_without_keys_go_on_while_the_platform_is_away():
+def test_public_routes_are_served_while_the_platform_is_down():
     # The platform is down for a minute. Requests on public routes must still be
     # served, as they need no key that could be revoked.
     state = fakes.create_state(now=10.0)
@@ -27,7 +27,7 @@
     assert isinstance(sent, effects.SendRequest)
 
 
-def test_waiting_request_is_not_sent_after_its_key_is_gone():
+def test_waiting_request_is_not_sent_after_its_key_is_revoked():
     # A request waits for a full engine, its key is revoked meanwhile, and then
     # the engine has a free slot. The request ran, because it had been
     # authorized only on arrival, under the older configuration.
@@ -45,7 +45,7 @@
     assert number not in state.requests
 
 
-def test_waiting_request_is_not_sent_after_its_lease_ended():
+def test_waiting_request_is_not_sent_after_the_lease_expired():
     # A request waits while the router loses contact with the platform and its
     # lease expires; then an engine has a free slot. Sent now, the request could
     # run on a revoked key.
@@ -60,7 +60,7 @@
     assert not fakes.list_sends(core.run_timers(state, 3.9))
 
 
-def test_older_configuration_never_comes_back():
+def test_older_configuration_is_never_applied():
     # A revoked key was refused, then accepted, then refused again: the late
     # response of a slow read brought an older version back into force.
     state = fakes.create_state()
@@ -70,7 +70,7 @@
     assert refused.kind is errors.ErrorKind.UNKNOWN_TEAM
 
 
-def test_router_that_knows_no_configuration_promises_nothing_is_wrong():
+def test_router_without_configuration_answers_not_ready():
     # Right after the start, a caller with a valid key got a 404 and gave up:
     # the router took a missing configuration for a missing route.
     state = fakes.create_state()
@@ -106,7 +106,7 @@
         self.answered.append(sent)
 
     @stateful.invariant()
-    def believes_only_what_was_newest_lately(self):
+    def is_fresh_only_within_the_bound(self):
         if freshness.is_fresh(self.lease, self.now):
             newest = max(self.answered)
             run_by = self.now + freshness.DISPATCH_ALLOWANCE
--- a/sycamorefall/direct/tests/test_overload.py
+++ b/sycamorefall/direct/tests/test_overload.py
@@ -13,7 +13,7 @@
         )
 
 
-def test_looks_at_waiting_requests_take_a_bounded_part_of_the_time():
+def test_dispatch_of_waiting_requests_takes_bounded_time():
     # One team sends far more requests than a small VM of a large fleet can
     # serve. Each load report of another router made the router try all waiting
     # requests at all engines, so that even callers of plain services got no
@@ -35,7 +35,7 @@
     assert due > state.last_dispatch_at + core.DISPATCH_INTERVAL
 
 
-def test_place_that_comes_free_is_used_at_once_in_a_small_fleet():
+def test_free_slot_is_used_at_once_in_a_small_fleet():
     # The bound on the time for trying waiting requests must not delay callers
     # where a try costs next to nothing.
     state = fakes.create_state()
@@ -45,7 +45,7 @@
     assert core.find_next_due(state) < 0.011
 
 
-def test_router_that_is_late_all_the_time_is_not_ready():
+def test_router_that_is_always_late_is_not_ready():
     # All callers of a large team reach one small VM. Its event loop is late by
     # seconds, while other VMs idle. The balancer can move callers only if the
     # router reports that it is not ready.
@@ -58,7 +58,7 @@
     ) != ["overloaded"]
 
 
-def test_router_that_was_frozen_is_not_taken_for_overloaded():
+def test_frozen_router_does_not_count_as_overloaded():
     # A VM freezes for seconds, and so may all VMs at once. Afterwards all of
     # them are needed, so none may report that it is not ready.
     state = fakes.create_state()
--- a/sycamorefall/direct/tests/test_relay.py
+++ b/sycamorefall/direct/tests/test_relay.py
@@ -52,7 +52,7 @@
         relay.handle_call(self.proxy, call)
 
 
-def test_freeze_before_a_send_counts_for_neither_its_upstream_nor_its_time(
+def test_freeze_before_send_is_not_charged_to_the_upstream(
     monkeypatch,
 ):
     # The VM freezes between the choice of an upstream and the send. The router
@@ -67,7 +67,7 @@
     assert not [one for one in pending if isinstance(one, effects.AbortAttempt)]
 
 
-def test_request_whose_time_ends_before_its_send_is_not_sent(monkeypatch):
+def test_request_that_expires_before_its_send_is_not_sent(monkeypatch):
     # The VM freezes before the send for longer than the caller waits, so nobody
     # needs the response any more.
     router = RecordingRouter(monkeypatch)
@@ -78,7 +78,7 @@
     assert len(fakes.list_error_kinds(pending)) == 1
 
 
-def test_freeze_directly_before_the_system_call_does_not_count(monkeypatch):
+def test_freeze_before_the_system_call_does_not_count_as_stall(monkeypatch):
     # The VM freezes after the log record of a send and before its bytes leave.
     # The whole freeze counted as silence of the upstream.
     router = RecordingRouter(monkeypatch)
@@ -88,7 +88,7 @@
     assert not [one for one in pending if isinstance(one, effects.AbortAttempt)]
 
 
-def test_wait_for_a_connection_does_not_count_as_silence(monkeypatch):
+def test_connecting_does_not_count_as_stall(monkeypatch):
     # The VM freezes while it connects to an upstream, and the request leaves
     # after the freeze. The upstream was considered stalled at once.
     router = RecordingRouter(monkeypatch)
--- a/sycamorefall/direct/tests/test_running.py
+++ b/sycamorefall/direct/tests/test_running.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_running_is_the_number_of_requests_at_upstreams(seed):
+def test_running_equals_the_number_of_requests_at_upstreams(seed):
     # A hanging engine goes unnoticed until a caller's deadline: if the count of
     # running requests falls to 0 too early, the event loop schedules no stall
     # checks.
--- a/sycamorefall/direct/tests/test_stopping.py
+++ b/sycamorefall/direct/tests/test_stopping.py
@@ -16,7 +16,7 @@
     return state
 
 
-def test_stopping_router_refuses_what_it_can_not_end():
+def test_stopping_router_refuses_requests_it_cannot_complete():
     # A caller that waits up to 3 s comes 3 s after the signal. Its stream was
     # accepted and then cut off when the process was killed.
     state = create_stopping_router(grace=6.0)
@@ -28,7 +28,7 @@
     assert core.list_unready_reasons(state, 3.0)[0] == "stopping"
 
 
-def test_stopping_router_serves_what_ends_in_time():
+def test_stopping_router_serves_requests_that_end_in_time():
     # A short request that comes 3 s after the signal was refused too, though it
     # would have ended long before the process.
     state = create_stopping_router(grace=6.0)
@@ -45,12 +45,14 @@
         (4.2, 4.15, True),  # The longest time to listen is over.
     ],
 )
-def test_listening_ends_once_callers_are_elsewhere(now, last_request_at, ends):
+def test_listening_ends_once_callers_use_other_routers(
+    now, last_request_at, ends
+):
     stop = stopping.Stop(8.0, since=0.0)
     assert stopping.may_end_listening(stop, now, last_request_at) is ends
 
 
-def test_process_stays_while_an_answer_is_under_way():
+def test_process_stays_while_a_response_is_in_progress():
     stop = stopping.Stop(8.0, since=0.0)
     checks = [(3.0, True), (3.2, False), (3.4, True), (3.6, True), (3.75, True)]
     exits = [stopping.may_exit(stop, now, quiet) for now, quiet in checks]
@@ -82,7 +84,7 @@
         daemon._continue_stop(self.daemon, now)
 
 
-def test_late_router_listens_while_requests_wait_unread():
+def test_late_router_listens_while_requests_are_unread():
     # One pass of a busy router's event loop takes longer than the 0.3 s without
     # a request after which the router stops listening. Requests had arrived on
     # kept and on new connections, but were not read yet, so the router stopped
@@ -105,7 +107,7 @@
         caller.close()
 
 
-def test_caller_that_was_not_told_may_ask_again_until_the_process_ends():
+def test_connection_stays_open_if_its_close_was_not_announced():
     # A stream that began before the stop ends after listening has ended, and
     # its head didn't announce that the connection closes. The next check of the
     # stop, at most 0.05 s later, closed the connection while the caller sent
