--- a/sycamorefall/direct/core.py
+++ b/sycamorefall/direct/core.py
@@ -341,9 +341,9 @@
     """Computes when the router next tries to send waiting requests.
 
     The next try is due immediately if capacity may have become free, but not
-    before `min_dispatch_interval` has passed. This bounds the share of time that
-    the process spends on these tries, whatever the number of waiting requests
-    and engines.
+    before `min_dispatch_interval` has passed. This bounds the process's share
+    of time for these tries, whatever the number of waiting requests and
+    engines.
     """
     interval = 0.0 if state.dispatch_needed else DISPATCH_INTERVAL
     return state.last_dispatch_at + max(interval, state.min_dispatch_interval)
