--- a/benchmarks/ablations.py
+++ b/benchmarks/ablations.py
@@ -13,7 +13,7 @@
 
 from benchmarks import fleet, loads, results
 from sycamorefall import sharing
-from sycamorefall.sharing import estimates
+from sycamorefall.sharing import cost_estimates
 
 LOADS = ("even", "skewed", "flood", "hints", "returning", "idle at 0.9")
 
@@ -36,12 +36,14 @@
 
 
 def _patch_lift() -> object:
-    return unittest.mock.patch.object(sharing, "lift_team", lambda *_: None)
+    return unittest.mock.patch.object(
+        sharing, "raise_to_floor", lambda *_: None
+    )
 
 
 def _patch_horizon(requests: float) -> Callable[[], object]:
     return lambda: unittest.mock.patch.object(
-        estimates, "HORIZON_REQUESTS", requests
+        cost_estimates, "MAX_LEAD_REQUESTS", requests
     )
 
 
--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -16,7 +16,7 @@
 import random
 
 from sycamorefall import configuration, effects, membership, messages
-from sycamorefall.router import core, handout, intake
+from sycamorefall.router import attempt_lifecycle, core, intake
 from sycamorefall.router import effects as router_effects
 from sycamorefall.router import state as state_module
 
@@ -106,16 +106,18 @@
         """Carries out the router's effects."""
         for effect in outcome:
             match effect:
-                case router_effects.HandOut():
+                case router_effects.SendRequest():
                     self.start(now, effect)
                 case router_effects.AnswerError():
                     self.fail(now, effect, effect.request == admitting)
                 case router_effects.AbortAttempt():
                     self.running.pop(effect.attempt_id, None)
-                case effects.Send(message=messages.AttemptQuery() as query):
+                case effects.SendMessage(
+                    message=messages.AttemptQuery() as query
+                ):
                     self.report(now, query.attempt_id)
 
-    def start(self, now: float, effect: router_effects.HandOut) -> None:
+    def start(self, now: float, effect: router_effects.SendRequest) -> None:
         """Starts a request at a slot."""
         attempt = effect.order.attempt_id
         length = self.rng.lognormvariate(-0.5, 1.0) * MEAN_RUN
@@ -134,8 +136,8 @@
         """Ends a request and frees its slot."""
         if self.running.pop(attempt, None):
             self.results["in time"] += 1
-            end = handout.AttemptEnd.COMPLETE
-            handout.end_attempt(self.state, now, attempt, end, True)
+            end = attempt_lifecycle.AttemptEnd.COMPLETE
+            attempt_lifecycle.end_attempt(self.state, now, attempt, end, True)
         self.claim(now)
 
     def fail(self, now: float, effect, at_once: bool) -> None:
@@ -176,7 +178,9 @@
 
     def pass_over(self, team: str, outcome) -> None:
         """Counts a refused request that had more haste than one served."""
-        served = [e for e in outcome if isinstance(e, router_effects.HandOut)]
+        served = [
+            e for e in outcome if isinstance(e, router_effects.SendRequest)
+        ]
         for effect in served:
             _, _, deadline = self.arrivals[effect.request]
             hasty = [d for d in self.shadows[team] if d < deadline]
@@ -199,7 +203,7 @@
     text = f"[service {SERVICE}]\nkind = engine\n" + "".join(
         f"[team {team}]\n" for team in teams
     )
-    configuration.offer_text(state.versions, 1, text)
+    configuration.submit_text(state.versions, 1, text)
     upstream = membership.VmEntry(
         SIDECAR,
         membership.VmRole.UPSTREAM,
@@ -208,8 +212,8 @@
         "127.0.0.1:2",
         SERVICE,
     )
-    membership.replace_list(state.directory, membership.VmList(1, (upstream,)))
-    membership.note_heartbeat(state.directory, 0.0, SIDECAR, 1, False)
+    membership.apply_vm_list(state.directory, membership.VmList(1, (upstream,)))
+    membership.record_peer_message(state.directory, 0.0, SIDECAR, 1, False)
     return state
 
 
--- a/benchmarks/capacity_fleet.py
+++ b/benchmarks/capacity_fleet.py
@@ -95,8 +95,8 @@
 def prepare(state, now: float) -> None:
     """Gives a node the configuration and the VMs."""
     text = capacity_state.write_teams(TEAMS)
-    configuration.offer_text(state.versions, 1, text)
-    membership.replace_list(state.directory, list_vms())
+    configuration.submit_text(state.versions, 1, text)
+    membership.apply_vm_list(state.directory, list_vms())
     hear_peers(state, now)
 
 
@@ -105,20 +105,20 @@
     view = (state.links, state.directory, now, state.vm)
     if isinstance(state, router_state.RouterState):
         peers = itertools.chain.from_iterable(
-            membership.list_sidecars(*view, f"model-{index}")
+            membership.list_linked_sidecars(*view, f"model-{index}")
             for index in range(MODELS)
         )
     else:
-        membership.list_routers(*view)
+        membership.list_linked_routers(*view)
         peers = [*state.links.routers, *state.links.siblings]
     for name in peers:
-        membership.note_heartbeat(state.directory, now, name, 1, False)
+        membership.record_peer_message(state.directory, now, name, 1, False)
 
 
 def note_sends(state, count: Count, outcome, table) -> None:
     """Counts the messages among what is to be done."""
     for effect in outcome:
-        if isinstance(effect, effects.Send):
+        if isinstance(effect, effects.SendMessage):
             envelope = messages.Envelope(state.vm, 10**15, 1000, effect.message)
             compact = names.compact_envelope(table, effect.to, envelope)
             encoded = messages.encode_envelope(compact)
@@ -142,7 +142,7 @@
     """
     count, begun, now = Count(), 100.0, 100.0
     table = names.NameTable()
-    names.learn_names(table, state.versions.configuration.teams)
+    names.update_digests(table, state.versions.configuration.teams)
     next_beat = begun
     while now < begun + 5.0 + SECONDS:
         if now >= next_beat:
--- a/benchmarks/capacity_spreading.py
+++ b/benchmarks/capacity_spreading.py
@@ -32,7 +32,7 @@
     defaults = settings.PlatformSettings(settings.Address("127.0.0.1", 1))
     names = [f"vm-{index}" for index in range(NODES)]
     schedules = {
-        (name, path): configuration.create_schedule(
+        (name, path): configuration.create_read_schedule(
             defaults.poll_interval,
             defaults.start_spread,
             index * len(PATHS) + place,
@@ -43,28 +43,28 @@
     }
     counts: collections.Counter[int] = collections.Counter()
     epoch, watchers = -1, set()
-    due = [(s.next_at, key) for key, s in schedules.items()]
+    due = [(s.next_read_at, key) for key, s in schedules.items()]
     heapq.heapify(due)
     while due[0][0] < SECONDS:
         now, key = heapq.heappop(due)
         schedule = schedules[key]
-        if now < schedule.next_at:
-            heapq.heappush(due, (schedule.next_at, key))
+        if now < schedule.next_read_at:
+            heapq.heappush(due, (schedule.next_read_at, key))
             continue
-        if int(now / polling.EPOCH) != epoch:
-            epoch = int(now / polling.EPOCH)
+        if int(now / polling.EPOCH_SECONDS) != epoch:
+            epoch = int(now / polling.EPOCH_SECONDS)
             watchers = configuration.choose_watchers(
                 names, epoch, defaults.watchers
             )
             for (name, path), other in schedules.items():
                 polling.set_watching(other, now, name in watchers)
                 if name in watchers:
-                    heapq.heappush(due, (other.next_at, (name, path)))
+                    heapq.heappush(due, (other.next_read_at, (name, path)))
         counts[int(now)] += 1
         read = polling.plan_read(schedule, 1)
         lasted = min(read.wait, _find_next_change(now, key[1]) - now)
-        polling.note_answer(schedule, now + lasted, read, True)
-        heapq.heappush(due, (schedule.next_at, key))
+        polling.record_response(schedule, now + lasted, read, True)
+        heapq.heappush(due, (schedule.next_read_at, key))
     return [counts[second] for second in range(int(SECONDS))]
 
 
@@ -103,8 +103,8 @@
     directory = membership.Directory()
     state = replication.create_state(vm, versions, directory)
     state.settled = True
-    replication.take_published_text(state, revision, text)
-    replication.take_published_list(state, capacity_fleet.list_vms())
+    replication.apply_published_text(state, revision, text)
+    replication.apply_published_list(state, capacity_fleet.list_vms())
     return state
 
 
@@ -118,11 +118,11 @@
     text_module._parse_block.cache_clear()
     behind = build_replica("entry-001", text, 1)
     begun = time.process_time()
-    request = offers.make_request(behind)
-    offer = offers.make_offer(ahead, request)
-    wanted = offers.plan_blocks(behind, offer)
-    blocks = offers.make_blocks(ahead, wanted)
-    _, whole = offers.take_blocks(behind, offer, blocks)
+    request = offers.create_offer_request(behind)
+    offer = offers.create_offer(ahead, request)
+    wanted = offers.create_block_request(behind, offer)
+    blocks = offers.collect_blocks(ahead, wanted)
+    _, whole = offers.apply_offer(behind, offer, blocks)
     spent = time.process_time() - begun
     if not whole or behind.versions.in_force != 2:
         raise RuntimeError("the change did not arrive")
--- a/benchmarks/capacity_state.py
+++ b/benchmarks/capacity_state.py
@@ -42,9 +42,9 @@
 def build_directory(count: int) -> membership.Directory:
     """Builds the view of VMs that were all heard from."""
     directory = membership.Directory()
-    membership.replace_list(directory, membership.VmList(1, build_vms(count)))
+    membership.apply_vm_list(directory, membership.VmList(1, build_vms(count)))
     for name in directory.vms:
-        membership.note_heartbeat(directory, 1.0, name, 10**15, False)
+        membership.record_peer_message(directory, 1.0, name, 10**15, False)
     return directory
 
 
@@ -78,10 +78,10 @@
         f"[service {SERVICE}]\nkind = engine\n",
         f"waiting_per_team = {count + 1}\nwaiting_per_router = {count + 1}",
     )
-    configuration.offer_text(state.versions, 1, text)
+    configuration.submit_text(state.versions, 1, text)
     vms = membership.VmList(1, build_vms(1))
-    membership.replace_list(state.directory, vms)
-    membership.note_heartbeat(state.directory, 1.0, "engine-0", 1, False)
+    membership.apply_vm_list(state.directory, vms)
+    membership.record_peer_message(state.directory, 1.0, "engine-0", 1, False)
     for index in range(count):
         new = router_state.NewRequest(
             SERVICE,
@@ -109,7 +109,7 @@
     """Builds the state after a text with teams came into force."""
     text_module._parse_block.cache_clear()
     state = configuration.VersionState()
-    configuration.offer_text(state, 1, write_teams(count))
+    configuration.submit_text(state, 1, write_teams(count))
     return state
 
 
@@ -120,7 +120,7 @@
     # A process that has just started knows no block of it.
     text_module._parse_block.cache_clear()
     begun = time.process_time()
-    configuration.offer_text(state, 1, text)
+    configuration.submit_text(state, 1, text)
     return time.process_time() - begun
 
 
@@ -130,7 +130,7 @@
     directory = build_directory(count)
     begun = time.process_time()
     vms = msgspec.json.decode(data, type=membership.VmList)
-    membership.replace_list(directory, vms)
+    membership.apply_vm_list(directory, vms)
     return float(len(data)), time.process_time() - begun
 
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -17,7 +17,7 @@
 import tracemalloc
 
 from sycamorefall import configuration, membership, messages
-from sycamorefall.router import core, effects, handout, intake, sweep
+from sycamorefall.router import attempt_lifecycle, core, effects, intake, sweep
 from sycamorefall.router import state as state_module
 from sycamorefall.sidecar import claiming, running
 from sycamorefall.sidecar import core as sidecar_core
@@ -115,10 +115,10 @@
     in_force = _create_configuration(teams)
     for state in (world.router, world.sidecar):
         state.versions.configuration = in_force
-        membership.replace_list(state.directory, _list_vms(teams))
+        membership.apply_vm_list(state.directory, _list_vms(teams))
     sidecar_core.apply_configuration(world.sidecar)
     for index in range(UPSTREAMS[teams]):
-        membership.note_heartbeat(
+        membership.record_peer_message(
             world.router.directory, 1.0, f"engine-{index}", 1, False
         )
     for index, team in enumerate(world.backlogged):
@@ -157,7 +157,7 @@
     names = [
         f"team-{i}" for i in range(len(router.versions.configuration.teams))
     ]
-    handed: list[effects.HandOut] = []
+    handed: list[effects.SendRequest] = []
     claimed: list[messages.Claim] = []
 
     def sweep_queues(serial: int) -> None:
@@ -179,7 +179,7 @@
         claim = claimed[serial % len(claimed)]
         envelope = messages.Envelope("engine-0", 1, 1, claim)
         outcome = core.receive_message(router, 1.0, envelope)
-        handed.extend(e for e in outcome if isinstance(e, effects.HandOut))
+        handed.extend(e for e in outcome if isinstance(e, effects.SendRequest))
 
     def start_and_finish(serial: int) -> None:
         order = handed[serial % len(handed)].order
@@ -189,8 +189,8 @@
 
     def end(serial: int) -> None:
         attempt = handed[serial % len(handed)].order.attempt_id
-        done = handout.AttemptEnd.COMPLETE
-        handout.end_attempt(router, 1.0, attempt, done, True)
+        done = attempt_lifecycle.AttemptEnd.COMPLETE
+        attempt_lifecycle.end_attempt(router, 1.0, attempt, done, True)
 
     return {
         "admit (router)": lambda n: (
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -12,9 +12,9 @@
 from benchmarks import upstream as upstream_module
 from standins import measures
 from sycamorefall import configuration, effects, membership, messages
+from sycamorefall.router import attempt_lifecycle, intake
 from sycamorefall.router import core as router_core
 from sycamorefall.router import effects as router_effects
-from sycamorefall.router import handout, intake
 from sycamorefall.router import state as router_state
 from sycamorefall.sidecar import claiming, running
 from sycamorefall.sidecar import core as sidecar_core
@@ -158,8 +158,8 @@
         node = _create_node(vm, options)
         fleet.nodes[vm.name] = node
         node.apart = vm.name in apart
-        configuration.offer_text(node.state.versions, 1, text)
-        membership.replace_list(
+        configuration.submit_text(node.state.versions, 1, text)
+        membership.apply_vm_list(
             node.state.directory, membership.VmList(1, tuple(vms))
         )
         if node.upstream is not None:
@@ -215,9 +215,9 @@
     """Does what a core asks for, then sets its timer anew."""
     for effect in wanted:
         match effect:
-            case effects.Send():
+            case effects.SendMessage():
                 _send(fleet, node, effect)
-            case router_effects.HandOut():
+            case router_effects.SendRequest():
                 _hand_out(fleet, node, effect)
             case router_effects.AnswerError():
                 _end_wait(fleet, node.state.vm, effect.request)
@@ -234,7 +234,7 @@
     return one.apart != other.apart and begin <= fleet.events.now < end
 
 
-def _send(fleet: _Fleet, node: _Node, send: effects.Send) -> None:
+def _send(fleet: _Fleet, node: _Node, send: effects.SendMessage) -> None:
     envelope = messages.Envelope(
         node.state.vm, node.state.incarnation, 1, send.message
     )
@@ -256,7 +256,7 @@
 
 
 def _hand_out(
-    fleet: _Fleet, router: _Node, hand_out: router_effects.HandOut
+    fleet: _Fleet, router: _Node, hand_out: router_effects.SendRequest
 ) -> None:
     order = hand_out.order
     fleet.outcome.sent["AttemptOrder"] += 1
@@ -265,14 +265,14 @@
     # Not `waiting`: an idempotent request whose sidecar went silent runs again.
     arrival = fleet.arrivals[order.router, hand_out.request]
 
-    def end(how: handout.AttemptEnd) -> None:
+    def end(how: attempt_lifecycle.AttemptEnd) -> None:
         now = fleet.events.now
-        wanted = handout.end_attempt(
+        wanted = attempt_lifecycle.end_attempt(
             router.state, now, order.attempt_id, how, False
         )
         _perform(fleet, router, wanted)
 
-    def answer(how: handout.AttemptEnd) -> None:
+    def answer(how: attempt_lifecycle.AttemptEnd) -> None:
         at = fleet.events.now + fleet.options.delay
         events_module.schedule(fleet.events, at, lambda: end(how))
 
@@ -283,10 +283,10 @@
         if accepted is running.Acceptance.STARTED:
             _run_upstream(fleet, sidecar, hand_out, arrival, answer)
         else:
-            answer(handout.AttemptEnd.REFUSED)
+            answer(attempt_lifecycle.AttemptEnd.REFUSED)
 
     if _is_cut(fleet, router, sidecar):
-        answer(handout.AttemptEnd.BROKEN)
+        answer(attempt_lifecycle.AttemptEnd.BROKEN)
         return
     at = fleet.events.now + fleet.options.delay
     events_module.schedule(fleet.events, at, arrive)
@@ -295,7 +295,7 @@
 def _run_upstream(
     fleet: _Fleet,
     sidecar: _Node,
-    hand_out: router_effects.HandOut,
+    hand_out: router_effects.SendRequest,
     arrival: loads.Arrival,
     answer,
 ) -> None:
@@ -320,7 +320,7 @@
             state.estimates.teams.clear()
             state.estimates.overall = 0.0
         _perform(fleet, sidecar, claiming.make_claims(state, now))
-        answer(handout.AttemptEnd.COMPLETE)
+        answer(attempt_lifecycle.AttemptEnd.COMPLETE)
 
     work = upstream_module.Work(arrival.cost, start, charge, end)
     upstream_module.offer_work(fleet.events, sidecar.upstream, work)
--- a/benchmarks/results.py
+++ b/benchmarks/results.py
@@ -16,7 +16,7 @@
 
 from benchmarks import fleet, loads, upstream
 from standins import measures
-from sycamorefall.sharing import bound
+from sycamorefall.sharing import fairness_bound
 
 FOLDER = pathlib.Path(__file__).parent.parent / ".benchmarks"
 """Where results go; not kept in the repository."""
@@ -110,7 +110,7 @@
         return 0.0
     slots = options.upstreams * options.slots
     ahead = 1 if options.ahead is None else options.ahead
-    return bound.compute_gap_bound(
+    return fairness_bound.compute_gap_bound(
         in_flight=slots + ahead * options.upstreams,
         largest_cost=loads.LARGEST_COST,
         staleness=staleness,
--- a/benchmarks/spreading.py
+++ b/benchmarks/spreading.py
@@ -60,7 +60,7 @@
             continue
         own = membership.Links()
         for index in range(SERVICES):
-            for sidecar in membership.list_sidecars(
+            for sidecar in membership.list_linked_sidecars(
                 own, directory, 0.0, name, f"service-{index}"
             ):
                 links[name].append(sidecar)
@@ -80,12 +80,12 @@
     """Creates a fleet in which all have revision 1 in force."""
     listed = list_vms(routers, sidecars)
     vms = {vm.name: vm for vm in listed.vms}
-    document = membership.create_list_document(listed)
+    document = membership.create_vm_list_document(listed)
     source = random.Random(seed)
     replicas = {}
     for number, name in enumerate(vms):
         versions = configuration.VersionState()
-        configuration.offer_text(versions, 1, write_text(1))
+        configuration.submit_text(versions, 1, write_text(1))
         directory = membership.Directory(document=document, vms=vms)
         held = replica.create_state(name, versions, directory, seed=number)
         held.settled = True
@@ -102,24 +102,26 @@
         if now < fleet.beats[name]:
             continue
         fleet.beats[name] = now + PAUSES[fleet.vms[name].role]
-        message = peers.stamp_message(held, messages.Heartbeat())
+        message = peers.add_replica_info(held, messages.Heartbeat())
         envelope = messages.Envelope(name, 1, held.versions.in_force, message)
         for peer in fleet.links[name]:
-            peers.note_envelope(fleet.replicas[peer], now, envelope)
+            peers.record_envelope(fleet.replicas[peer], now, envelope)
 
 
 def fetch(fleet: Fleet, now: float, served: collections.Counter) -> None:
     """Fetches what is due; who adopts something tells so at once."""
     for name, held in fleet.replicas.items():
-        if not held.ahead:
+        if not held.peers_ahead:
             continue
-        for address in peers.choose_addresses(held, now):
+        for address in peers.start_due_fetches(held, now):
             other = fleet.replicas[fleet.names[address]]
-            offer = offers.make_offer(other, offers.make_request(held))
-            wanted = offers.plan_blocks(held, offer)
-            blocks = offers.make_blocks(other, wanted)
-            events, _ = offers.take_blocks(held, offer, blocks)
-            peers.note_success(held, now, address, offer.settled)
+            offer = offers.create_offer(
+                other, offers.create_offer_request(held)
+            )
+            wanted = offers.create_block_request(held, offer)
+            blocks = offers.collect_blocks(other, wanted)
+            events, _ = offers.apply_offer(held, offer, blocks)
+            peers.record_success(held, now, address, offer.settled)
             served[other.vm] += 1
             if events:
                 fleet.beats[name] = now
@@ -136,7 +138,7 @@
     fleet = create_fleet(routers, sidecars, seed)
     served: collections.Counter = collections.Counter()
     for name in configuration.choose_watchers(fleet.vms, seed, WATCHERS):
-        replica.take_published_text(fleet.replicas[name], 2, write_text(2))
+        replica.apply_published_text(fleet.replicas[name], 2, write_text(2))
         fleet.beats[name] = 0.0
     reached: dict[str, float] = {}
     now = 0.0
--- a/benchmarks/tests/test_generated_loads.py
+++ b/benchmarks/tests/test_generated_loads.py
@@ -5,7 +5,7 @@
 
 from benchmarks import fleet, loads, results, upstream
 from standins import measures
-from sycamorefall.sharing import bound
+from sycamorefall.sharing import fairness_bound
 
 OPTIONS = fleet.Options(routers=2, upstreams=3, slots=2, seconds=32.0)
 
@@ -59,7 +59,7 @@
     weights = {sender.team: sender.weight for sender in case.senders}
     gap = measures.measure_gap(outcome.services, outcome.waits, weights)
     slots = options.upstreams * options.slots
-    assert gap <= bound.compute_gap_bound(
+    assert gap <= fairness_bound.compute_gap_bound(
         in_flight=slots + options.upstreams,
         largest_cost=max(service.cost for service in outcome.services),
         staleness=2 * delay + 0.1,
--- a/benchmarks/upstreams.py
+++ b/benchmarks/upstreams.py
@@ -113,7 +113,7 @@
         The figures.
     """
     rng = random.Random(7)
-    gate = gate_module.Gate(limit)
+    gate = gate_module.ConcurrencyGate(limit)
     idle = queue = busy = most_queue = most_in_flight = answers = serial = 0
     steps = round(seconds / STEP)
 
@@ -125,30 +125,30 @@
         change(now)
         published = _report(upstream, now) if step % 50 == 0 else None
         if adapt and published and reports:
-            note = admission.note_load
+            note = admission.adjust_to_load
             if upstream.shares:
-                note = admission.note_foreign
+                note = admission.record_foreign
             note(limit, now, published)
-            gate_module.open_gate(gate, now)
-        own = len(gate.passed) + len(gate.held)
-        for _ in range(admission.count_room(limit, own, 0)):
+            gate_module.start_held_runs(gate, now)
+        own = len(gate.started_at) + len(gate.held)
+        for _ in range(admission.count_claimable(limit, own, 0)):
             serial += 1
             name = f"own-{serial}"
             begin = start(name, rng.lognormvariate(-0.5, 1.0) * mean_work)
             if adapt:
-                gate_module.pass_gate(gate, now, name, begin)
+                gate_module.submit_run(gate, now, name, begin)
             else:
-                gate.passed[name] = now
+                gate.started_at[name] = now
                 begin()
         ended = _work(upstream)
         for name in ended:
             answers += 1
             if adapt:
-                gate_module.leave_gate(
+                gate_module.release_run(
                     gate, now, name, True, is_engine=not upstream.shares
                 )
             else:
-                gate.passed.pop(name, None)
+                gate.started_at.pop(name, None)
         inside = len(upstream.left)
         idle += max(0, upstream.capacity - inside)
         busy += upstream.capacity
@@ -156,7 +156,7 @@
         queue += surplus
         if step > steps / 4:
             most_queue = max(most_queue, surplus)
-        most_in_flight = max(most_in_flight, len(gate.passed))
+        most_in_flight = max(most_in_flight, len(gate.started_at))
     return Figures(
         idle / busy, queue / steps, most_queue, most_in_flight, answers
     )
@@ -165,7 +165,7 @@
 def _create_limit(cap: int, low: bool) -> admission.ConcurrencyLimit:
     limit = admission.ConcurrencyLimit(cap=cap)
     if low:
-        admission.begin_low(limit)
+        admission.start_at_minimum(limit)
     return limit
 
 
--- a/benchmarks/world.py
+++ b/benchmarks/world.py
@@ -14,9 +14,9 @@
 import random
 
 from sycamorefall import configuration, effects, membership, messages, names
+from sycamorefall.router import attempt_lifecycle, intake
 from sycamorefall.router import core as router_core
 from sycamorefall.router import effects as router_effects
-from sycamorefall.router import handout, intake
 from sycamorefall.router import state as router_state
 from sycamorefall.sidecar import claiming, running
 from sycamorefall.sidecar import core as sidecar_core
@@ -133,7 +133,7 @@
         self.names = {name: names.NameTable() for name in self.nodes}
         digests = names.NameTable()
         known = [f"member-{index:05d}" for index in range(case.teams)]
-        names.learn_names(digests, known)
+        names.update_digests(digests, known)
         for table in self.names.values():
             table.digests = digests.digests
             table.by_digest = digests.by_digest
@@ -189,13 +189,13 @@
     def perform(self, name: str, outcome) -> None:
         """Carries out a node's effects."""
         for effect in outcome:
-            if isinstance(effect, effects.Send):
+            if isinstance(effect, effects.SendMessage):
                 self.send(name, effect)
-            elif isinstance(effect, router_effects.HandOut):
+            elif isinstance(effect, router_effects.SendRequest):
                 self.at(self.now + TRIP, lambda e=effect: self.start(name, e))
         self.plan_tick(name)
 
-    def send(self, name: str, effect: effects.Send) -> None:
+    def send(self, name: str, effect: effects.SendMessage) -> None:
         """Sends a control message and counts it."""
         node = self.nodes[name]
         envelope = messages.Envelope(name, node.incarnation, 1, effect.message)
@@ -223,11 +223,11 @@
         node = self.nodes[name]
         if unknown:
             question = messages.UnknownNames(unknown)
-            self.send(name, effects.Send(decoded.sender, question))
+            self.send(name, effects.SendMessage(decoded.sender, question))
         if envelope is None:
             return
         if isinstance(envelope.message, messages.UnknownNames):
-            names.forget_told(
+            names.mark_undefined(
                 self.names[name], envelope.sender, envelope.message.indexes
             )
         core = _find_core(node)
@@ -256,13 +256,13 @@
         self.perform(router, outcome)
         self.at(self.now + self.chance.expovariate(case.rate), self.arrive)
 
-    def start(self, router: str, effect: router_effects.HandOut) -> None:
+    def start(self, router: str, effect: router_effects.SendRequest) -> None:
         """Lets a hand-out reach its sidecar."""
         name, order = effect.sidecar, effect.order
         node = self.nodes[name]
         accepted = running.accept_attempt(node, self.now, order)
         if accepted is not running.Acceptance.STARTED:
-            end = handout.AttemptEnd.REFUSED
+            end = attempt_lifecycle.AttemptEnd.REFUSED
             self.at(
                 self.now + TRIP,
                 lambda: self.finish(router, order.attempt_id, end),
@@ -301,14 +301,14 @@
         running.charge_run(node, attempt_id, seconds * 1000.0)
         running.finish_run(node, self.now, attempt_id)
         self.perform(name, claiming.make_claims(node, self.now))
-        end = handout.AttemptEnd.COMPLETE
+        end = attempt_lifecycle.AttemptEnd.COMPLETE
         self.at(self.now + TRIP, lambda: self.finish(router, attempt_id, end))
 
     def finish(
-        self, router: str, attempt_id: str, end: handout.AttemptEnd
+        self, router: str, attempt_id: str, end: attempt_lifecycle.AttemptEnd
     ) -> None:
         """Lets an attempt's end reach its router."""
-        outcome = handout.end_attempt(
+        outcome = attempt_lifecycle.end_attempt(
             self.nodes[router], self.now, attempt_id, end, False
         )
         self.perform(router, outcome)
@@ -325,7 +325,7 @@
         for index in range(case.services)
     )
     versions = configuration.VersionState()
-    configuration.offer_text(versions, 1, text)
+    configuration.submit_text(versions, 1, text)
     vms = membership.VmList(1, tuple(_list_vms(case)))
     nodes: dict = {}
     for vm in vms.vms:
@@ -335,7 +335,7 @@
             node = sidecar_state.create_state(vm.name, INCARNATION, vm.service)
             node.versions = versions
             sidecar_core.apply_configuration(node)
-        membership.replace_list(node.directory, vms)
+        membership.apply_vm_list(node.directory, vms)
         nodes[vm.name] = node
     return nodes
 
--- a/standins/report.py
+++ b/standins/report.py
@@ -6,7 +6,7 @@
 from standins import fleet as fleet_module
 from standins import load, measures
 from standins import runs as runs_module
-from sycamorefall.sharing import bound
+from sycamorefall.sharing import fairness_bound
 
 EXCHANGE_SECONDS = 0.1
 """Time taken until an account entry is seen by all, for the stated bound."""
@@ -176,7 +176,7 @@
         report.slots["assistant"] + CLAIMS_AHEAD * report.upstreams["assistant"]
     )
     total = sum(service.cost for service in services)
-    return bound.compute_gap_bound(
+    return fairness_bound.compute_gap_bound(
         in_flight,
         max((service.cost for service in services), default=0.0),
         EXCHANGE_SECONDS,
--- a/sycamorefall/admission/__init__.py
+++ b/sycamorefall/admission/__init__.py
@@ -1,63 +1,63 @@
 """Admission: an upstream's concurrency limit, and estimates of the wait."""
 
 __all__ = [
+    "PARENT_HEADER",
+    "RATE_LIFETIME",
     "ConcurrencyLimit",
     "DrainRate",
     "LoadReport",
-    "PARENT_HEADER",
     "Parent",
-    "RATE_LIFETIME",
     "RunTime",
-    "begin_low",
-    "count_own",
-    "count_room",
+    "adjust_to_latency",
+    "adjust_to_load",
+    "compute_departure_interval",
+    "compute_own_limit",
+    "count_claimable",
     "count_startable",
     "estimate_wait",
     "exceeds_deadline",
-    "find_interval",
     "is_stale",
     "issue_token",
-    "note_departure",
-    "note_end",
-    "note_foreign",
-    "note_latency",
-    "note_load",
-    "note_run",
-    "note_start",
-    "read_token",
+    "record_departure",
+    "record_end",
+    "record_foreign",
+    "record_run_time",
+    "record_start",
+    "start_at_minimum",
     "suggest_retry_after",
+    "verify_token",
 ]
 
-from sycamorefall.admission.latency import note_latency
+from sycamorefall.admission.latency import adjust_to_latency
 from sycamorefall.admission.limit import (
     ConcurrencyLimit,
-    begin_low,
-    count_own,
-    count_room,
+    compute_own_limit,
+    count_claimable,
     count_startable,
-    note_end,
-    note_start,
+    record_end,
+    record_start,
+    start_at_minimum,
 )
-from sycamorefall.admission.parents import (
+from sycamorefall.admission.load_reports import (
+    LoadReport,
+    adjust_to_load,
+    record_foreign,
+)
+from sycamorefall.admission.parent_tokens import (
     PARENT_HEADER,
     Parent,
     issue_token,
-    read_token,
-)
-from sycamorefall.admission.reports import (
-    LoadReport,
-    note_foreign,
-    note_load,
+    verify_token,
 )
-from sycamorefall.admission.waits import (
+from sycamorefall.admission.wait_estimates import (
     RATE_LIFETIME,
     DrainRate,
     RunTime,
+    compute_departure_interval,
     estimate_wait,
     exceeds_deadline,
-    find_interval,
     is_stale,
-    note_departure,
-    note_run,
+    record_departure,
+    record_run_time,
     suggest_retry_after,
 )
--- a/sycamorefall/admission/latency.py
+++ b/sycamorefall/admission/latency.py
@@ -1,9 +1,11 @@
 """Follows a plain service by the latency of its answers."""
 
-__all__ = ["note_latency"]
+__all__ = [
+    "adjust_to_latency",
+]
 
 from sycamorefall.admission import limit as limit_module
-from sycamorefall.admission import reports
+from sycamorefall.admission import load_reports
 
 LATENCY_WINDOW = 128
 """Requests whose mean latency is compared with the baseline."""
@@ -33,7 +35,7 @@
 """Share of a slow window's latency that counts as no better."""
 
 
-def note_latency(
+def adjust_to_latency(
     limit: limit_module.ConcurrencyLimit,
     now: float,
     latency: float,
@@ -53,12 +55,12 @@
         latency: Seconds the upstream took.
         is_engine: Whether the upstream is a model engine.
     """
-    reports_come = now - limit.reported <= reports.REPORT_LIFETIME
+    reports_come = now - limit.reported <= load_reports.REPORT_LIFETIME
     if not reports_come:
         limit.foreign = 0
     in_use = (
         limit.in_flight.current
-        >= limit_module.IN_USE * limit_module.count_own(limit)
+        >= limit_module.IN_USE * limit_module.compute_own_limit(limit)
     )
     if is_engine:
         if in_use and not reports_come:
--- a/sycamorefall/admission/limit.py
+++ b/sycamorefall/admission/limit.py
@@ -2,27 +2,28 @@
 
 An engine admits what it is given and knows no priorities, so the order of
 requests is the fleet's only while they wait at routers: the engine's inner
-queue must stay near empty. It must not run dry either. `note_load` follows
-the engine's lagged load reports; `note_latency` follows plain services, which
+queue must stay near empty. It must not run dry either. `adjust_to_load` follows
+the engine's lagged load reports; `adjust_to_latency` follows plain services,
+which
 report no queue, by the latency of their answers.
 """
 
 __all__ = [
     "ConcurrencyLimit",
-    "begin_low",
-    "count_own",
-    "count_room",
+    "compute_own_limit",
+    "count_claimable",
     "count_startable",
     "grow",
-    "note_end",
-    "note_start",
+    "record_end",
+    "record_start",
     "set_capacity",
+    "start_at_minimum",
 ]
 
 import dataclasses
 import math
 
-from sycamorefall.admission import history
+from sycamorefall.admission import count_history
 
 LONGEST_LAG = 2.0
 """Seconds by which a load report may lag behind what it describes."""
@@ -64,8 +65,8 @@
     foreign: int = 0
     capacity: float = math.inf
     probing: bool = True
-    in_flight: history.CountHistory = dataclasses.field(
-        default_factory=lambda: history.CountHistory(LONGEST_LAG)
+    in_flight: count_history.CountHistory = dataclasses.field(
+        default_factory=lambda: count_history.CountHistory(LONGEST_LAG)
     )
     reported: float = -math.inf
     busiest: int = -1
@@ -78,7 +79,7 @@
     latency_count: int = 0
 
 
-def begin_low(limit: ConcurrencyLimit) -> None:
+def start_at_minimum(limit: ConcurrencyLimit) -> None:
     """Starts at one request, because what runs at the upstream is unknown.
 
     Guards against a restart of the sidecar beside a busy upstream: with the
@@ -90,16 +91,16 @@
     limit.probing = True
 
 
-def note_start(limit: ConcurrencyLimit, now: float) -> None:
+def record_start(limit: ConcurrencyLimit, now: float) -> None:
     """Notes that an own request was passed to the upstream."""
     in_flight = limit.in_flight.current + 1
-    history.note_count(limit.in_flight, now, in_flight)
+    count_history.note_count(limit.in_flight, now, in_flight)
 
 
-def note_end(limit: ConcurrencyLimit, now: float) -> None:
+def record_end(limit: ConcurrencyLimit, now: float) -> None:
     """Notes that an own request left the upstream."""
     in_flight = max(0, limit.in_flight.current - 1)
-    history.note_count(limit.in_flight, now, in_flight)
+    count_history.note_count(limit.in_flight, now, in_flight)
 
 
 def grow(limit: ConcurrencyLimit, most: float) -> None:
@@ -114,7 +115,7 @@
     limit.capacity = max(1.0, min(float(limit.cap), capacity))
 
 
-def count_own(limit: ConcurrencyLimit) -> int:
+def compute_own_limit(limit: ConcurrencyLimit) -> int:
     """Counts the own requests that the upstream can work on at once.
 
     Guards against a limit stuck at zero: foreign requests may fill the
@@ -126,7 +127,7 @@
     return min(limit.cap, max(1, capacity - limit.foreign))
 
 
-def count_room(limit: ConcurrencyLimit, running: int, claimed: int) -> int:
+def count_claimable(limit: ConcurrencyLimit, running: int, claimed: int) -> int:
     """Counts further claims that may be made now.
 
     Args:
@@ -137,7 +138,7 @@
     Returns:
         Number of claims, not negative.
     """
-    return max(0, count_own(limit) + limit.ahead - running - claimed)
+    return max(0, compute_own_limit(limit) + limit.ahead - running - claimed)
 
 
 def count_startable(limit: ConcurrencyLimit) -> int:
@@ -148,7 +149,7 @@
 
     Example:
         >>> limit = ConcurrencyLimit(cap=8)
-        >>> begin_low(limit)
+        >>> start_at_minimum(limit)
         >>> count_startable(limit)
         2
         >>> set_capacity(limit, 6)
@@ -156,5 +157,5 @@
         >>> count_startable(limit)
         3
     """
-    most = min(limit.cap, count_own(limit) + limit.ahead)
+    most = min(limit.cap, compute_own_limit(limit) + limit.ahead)
     return max(0, most - limit.in_flight.current)
--- a/sycamorefall/admission/reports.py
+++ b/sycamorefall/admission/load_reports.py
@@ -1,11 +1,16 @@
 """Follows a model engine's load reports, which lag behind."""
 
-__all__ = ["REPORT_LIFETIME", "LoadReport", "note_foreign", "note_load"]
+__all__ = [
+    "REPORT_LIFETIME",
+    "LoadReport",
+    "adjust_to_load",
+    "record_foreign",
+]
 
 import dataclasses
 import math
 
-from sycamorefall.admission import history
+from sycamorefall.admission import count_history
 from sycamorefall.admission import limit as limit_module
 
 REPORT_LIFETIME = 10.0
@@ -27,7 +32,7 @@
     slots: int = 0
 
 
-def note_foreign(
+def record_foreign(
     limit: limit_module.ConcurrencyLimit, now: float, report: LoadReport
 ) -> None:
     """Takes over how many requests of others an upstream reports.
@@ -40,12 +45,12 @@
         now: This process's time.
         report: The report.
     """
-    _, most = history.find_range(limit.in_flight, now)
+    _, most = count_history.find_range(limit.in_flight, now)
     limit.foreign = max(0, report.running + report.queued - most)
     limit.reported = now
 
 
-def note_load(
+def adjust_to_load(
     limit: limit_module.ConcurrencyLimit, now: float, report: LoadReport
 ) -> None:
     """Takes over a load report of a model engine.
@@ -64,7 +69,7 @@
         report: The report.
     """
     is_first = limit.reported == -math.inf
-    note_foreign(limit, now, report)
+    record_foreign(limit, now, report)
     surplus = report.queued > limit.ahead
     if surplus:
         _shrink_to(limit, report.running, is_first)
@@ -76,9 +81,9 @@
 
 
 def _was_used_up(limit: limit_module.ConcurrencyLimit, now: float) -> bool:
-    least, _ = history.find_range(limit.in_flight, now)
+    least, _ = count_history.find_range(limit.in_flight, now)
     return least >= max(
-        1.0, limit_module.IN_USE * limit_module.count_own(limit)
+        1.0, limit_module.IN_USE * limit_module.compute_own_limit(limit)
     )
 
 
--- a/sycamorefall/admission/parents.py
+++ b/sycamorefall/admission/parent_tokens.py
@@ -11,7 +11,12 @@
 forge a token of its own team, which it can call as anyway.
 """
 
-__all__ = ["PARENT_HEADER", "Parent", "issue_token", "read_token"]
+__all__ = [
+    "PARENT_HEADER",
+    "Parent",
+    "issue_token",
+    "verify_token",
+]
 
 import base64
 import binascii
@@ -78,7 +83,7 @@
     return base64.urlsafe_b64encode(token).decode("ascii")
 
 
-def read_token(
+def verify_token(
     in_force: configuration.Configuration, text: str
 ) -> Parent | None:
     """Reads and checks a token.
--- a/sycamorefall/admission/tests/test_limit.py
+++ b/sycamorefall/admission/tests/test_limit.py
@@ -11,7 +11,7 @@
 
 def create_limit(cap):
     limit = admission.ConcurrencyLimit(cap=cap)
-    admission.begin_low(limit)
+    admission.start_at_minimum(limit)
     return limit
 
 
@@ -40,27 +40,31 @@
 @hypothesis.given(EVENTS, strategies.booleans())
 def test_limit_is_never_above_the_cap_nor_stuck_at_zero(events, is_engine):
     limit = create_limit(8)
-    gate = gate_module.Gate(limit)
+    gate = gate_module.ConcurrencyGate(limit)
     now, serial = 0.0, 0
     for event, *values in events:
         now += 0.3
         if event == "report":
             report = admission.LoadReport(*values)
-            note = admission.note_load if is_engine else admission.note_foreign
+            note = (
+                admission.adjust_to_load
+                if is_engine
+                else admission.record_foreign
+            )
             note(limit, now, report)
         elif event == "run":
             now += min(values[1], 100.0)
             serial += 1
-            gate_module.pass_gate(gate, now, f"run-{serial}", lambda: None)
-            assert len(gate.passed) <= limit.cap
-        elif event == "end" and gate.passed:
-            first = next(iter(gate.passed))
-            gate_module.leave_gate(gate, now, first, values[0], is_engine)
-        elif event == "cap" and values[0] >= len(gate.passed):
+            gate_module.submit_run(gate, now, f"run-{serial}", lambda: None)
+            assert len(gate.started_at) <= limit.cap
+        elif event == "end" and gate.started_at:
+            first = next(iter(gate.started_at))
+            gate_module.release_run(gate, now, first, values[0], is_engine)
+        elif event == "cap" and values[0] >= len(gate.started_at):
             limit.cap = values[0]
-        assert 1 <= admission.count_own(limit) <= limit.cap
-        assert admission.count_room(limit, 0, 0) >= 1
-        if not gate.passed:
+        assert 1 <= admission.compute_own_limit(limit) <= limit.cap
+        assert admission.count_claimable(limit, 0, 0) >= 1
+        if not gate.started_at:
             assert not gate.held
 
 
@@ -116,40 +120,40 @@
 
 def test_foreign_requests_are_not_mistaken_for_own_ones_that_ended():
     limit = create_limit(8)
-    admission.note_load(limit, 0.0, admission.LoadReport(0, 0, 8))
+    admission.adjust_to_load(limit, 0.0, admission.LoadReport(0, 0, 8))
     for _ in range(8):
-        admission.note_start(limit, 1.0)
+        admission.record_start(limit, 1.0)
     for _ in range(8):
-        admission.note_end(limit, 1.6)
+        admission.record_end(limit, 1.6)
     # The report still shows the eight that have just ended.
-    admission.note_load(limit, 1.7, admission.LoadReport(8, 0, 8))
+    admission.adjust_to_load(limit, 1.7, admission.LoadReport(8, 0, 8))
     assert limit.foreign == 0
-    admission.note_load(limit, 9.0, admission.LoadReport(3, 0, 8))
+    admission.adjust_to_load(limit, 9.0, admission.LoadReport(3, 0, 8))
     assert limit.foreign == 3
 
 
 def test_burst_that_the_engine_is_just_admitting_is_no_full_queue():
     limit = create_limit(8)
-    admission.note_load(limit, 0.0, admission.LoadReport(0, 0, 8))
-    admission.note_load(limit, 0.5, admission.LoadReport(1, 6, 8))
-    admission.note_load(limit, 1.0, admission.LoadReport(7, 0, 8))
+    admission.adjust_to_load(limit, 0.0, admission.LoadReport(0, 0, 8))
+    admission.adjust_to_load(limit, 0.5, admission.LoadReport(1, 6, 8))
+    admission.adjust_to_load(limit, 1.0, admission.LoadReport(7, 0, 8))
     assert limit.capacity == 8
-    admission.note_load(limit, 1.5, admission.LoadReport(5, 3, 8))
-    admission.note_load(limit, 2.0, admission.LoadReport(5, 3, 8))
+    admission.adjust_to_load(limit, 1.5, admission.LoadReport(5, 3, 8))
+    admission.adjust_to_load(limit, 2.0, admission.LoadReport(5, 3, 8))
     assert limit.capacity == 5
 
 
 def test_limit_stays_usable_when_reports_end_while_foreign_work_runs():
     limit = create_limit(8)
-    admission.note_load(limit, 0.0, admission.LoadReport(8, 4, 8))
-    assert admission.count_own(limit) == 1
-    gate = gate_module.Gate(limit)
+    admission.adjust_to_load(limit, 0.0, admission.LoadReport(8, 4, 8))
+    assert admission.compute_own_limit(limit) == 1
+    gate = gate_module.ConcurrencyGate(limit)
     for index in range(20):
         now = 11.0 + index
-        gate_module.pass_gate(gate, now, f"run-{index}", lambda: None)
-        gate_module.leave_gate(gate, now + 0.5, f"run-{index}", True, True)
+        gate_module.submit_run(gate, now, f"run-{index}", lambda: None)
+        gate_module.release_run(gate, now + 0.5, f"run-{index}", True, True)
     assert limit.foreign == 0
-    assert admission.count_own(limit) == 8
+    assert admission.compute_own_limit(limit) == 8
 
 
 def test_plain_service_is_not_driven_far_beyond_its_capacity():
--- a/sycamorefall/admission/waits.py
+++ b/sycamorefall/admission/wait_estimates.py
@@ -3,12 +3,12 @@
 __all__ = [
     "DrainRate",
     "RunTime",
+    "compute_departure_interval",
     "estimate_wait",
     "exceeds_deadline",
-    "find_interval",
     "is_stale",
-    "note_departure",
-    "note_run",
+    "record_departure",
+    "record_run_time",
     "suggest_retry_after",
 ]
 
@@ -67,7 +67,7 @@
     last_answer: float = 0.0
 
 
-def note_run(run_time: RunTime, now: float, seconds: float) -> None:
+def record_run_time(run_time: RunTime, now: float, seconds: float) -> None:
     """Learns from an answer.
 
     A quantile and not the mean, because a few long answers say little about
@@ -88,7 +88,7 @@
         run_time.seconds /= 1.0 + RUN_STEP * (1.0 - RUN_QUANTILE)
 
 
-def note_departure(rate: DrainRate, now: float, busy_since: float) -> None:
+def record_departure(rate: DrainRate, now: float, busy_since: float) -> None:
     """Counts one request that left the queue for an upstream.
 
     Args:
@@ -107,7 +107,7 @@
     return max(SMOOTHING, 1.0 / rate.departures)
 
 
-def find_interval(
+def compute_departure_interval(
     rate: DrainRate, now: float, busy_since: float | None
 ) -> float:
     """Finds the mean time between departures, the current pause included.
@@ -160,7 +160,8 @@
 
     Args:
         rate: The queue's drain rate.
-        interval: Mean seconds between departures, of `find_interval`.
+        interval: Mean seconds between departures, of
+            `compute_departure_interval`.
         ahead: Requests that leave before it.
         left: Seconds until it would have to be handed out.
 
--- a/sycamorefall/authentication.py
+++ b/sycamorefall/authentication.py
@@ -64,7 +64,7 @@
         digest = _digest(self._keys[0], b"control", to, counter, data)
         return digest[:DIGEST_SIZE] + counter + data
 
-    def open_message(self, data: bytes) -> messages.Envelope:
+    def verify_message(self, data: bytes) -> messages.Envelope:
         """Checks and decodes a control message.
 
         Guards against repetition by a third party: a counter that is not
@@ -121,7 +121,7 @@
             return ""
         return _sign_order(self._keys[0], sidecar, order, body)
 
-    def check_order(self, order: str, body: bytes, digest: str) -> bool:
+    def verify_order(self, order: str, body: bytes, digest: str) -> bool:
         """Tells whether a hand-out to this sidecar is signed with a key."""
         if not self._keys:
             return True
@@ -145,7 +145,7 @@
         """
         return _sign_body(self._keys[0], path, body) if self._keys else ""
 
-    def check_body(self, path: str, body: bytes, digest: str) -> bool:
+    def verify_body(self, path: str, body: bytes, digest: str) -> bool:
         """Tells whether a body between replicas is signed with a key."""
         if not self._keys:
             return True
--- a/sycamorefall/configuration/__init__.py
+++ b/sycamorefall/configuration/__init__.py
@@ -1,7 +1,6 @@
 """The operators' text: parsing, checking, versions, spreading."""
 
 __all__ = [
-    "Adoption",
     "Block",
     "Configuration",
     "Document",
@@ -12,19 +11,20 @@
     "ReadSchedule",
     "Service",
     "ServiceKind",
+    "SubmitOutcome",
     "Team",
     "VersionState",
     "assemble_document",
     "choose_watchers",
     "create_document",
-    "create_schedule",
+    "create_manifest",
+    "create_read_schedule",
     "hash_key",
-    "list_missing",
-    "make_manifest",
-    "note_rival",
-    "offer_document",
-    "offer_text",
+    "list_missing_blocks",
     "parse_configuration",
+    "record_rival",
+    "submit_document",
+    "submit_text",
 ]
 
 from sycamorefall.configuration.documents import (
@@ -35,13 +35,13 @@
     Manifest,
     assemble_document,
     create_document,
-    list_missing,
-    make_manifest,
+    create_manifest,
+    list_missing_blocks,
 )
 from sycamorefall.configuration.polling import (
     ReadSchedule,
     choose_watchers,
-    create_schedule,
+    create_read_schedule,
 )
 from sycamorefall.configuration.schema import (
     Configuration,
@@ -55,9 +55,9 @@
     parse_configuration,
 )
 from sycamorefall.configuration.versions import (
-    Adoption,
+    SubmitOutcome,
     VersionState,
-    note_rival,
-    offer_document,
-    offer_text,
+    record_rival,
+    submit_document,
+    submit_text,
 )
--- a/sycamorefall/configuration/documents.py
+++ b/sycamorefall/configuration/documents.py
@@ -12,8 +12,8 @@
     "Manifest",
     "assemble_document",
     "create_document",
-    "list_missing",
-    "make_manifest",
+    "create_manifest",
+    "list_missing_blocks",
     "split_blocks",
 ]
 
@@ -24,10 +24,10 @@
 
 import msgspec
 
-BLOCK_SECTIONS = 32
+MEAN_BLOCK_SECTIONS = 32
 """Sections in a block, on average."""
 
-LARGEST_BLOCK = 256
+MAX_BLOCK_SECTIONS = 256
 """Sections after which a block ends in any case."""
 
 _SECTION_STARTS = ("[", "{")
@@ -132,7 +132,7 @@
     r"""Cuts a value into blocks whose boundaries depend on content alone.
 
     A block ends before a section whose own hash says so, in one of
-    `BLOCK_SECTIONS` cases; an inserted section therefore moves no boundary
+    `MEAN_BLOCK_SECTIONS` cases; an inserted section therefore moves no boundary
     but the nearest ones, and all other blocks keep their names.
 
     Args:
@@ -148,8 +148,8 @@
     blocks: list[str] = []
     current: list[str] = []
     for section in _split_sections(text):
-        ends = int(_hash_text(section, 4), 16) % BLOCK_SECTIONS == 0
-        if current and (ends or len(current) >= LARGEST_BLOCK):
+        ends = int(_hash_text(section, 4), 16) % MEAN_BLOCK_SECTIONS == 0
+        if current and (ends or len(current) >= MAX_BLOCK_SECTIONS):
             blocks.append("".join(current))
             current = []
         current.append(section)
@@ -167,13 +167,15 @@
     return ["".join(lines) for lines in sections]
 
 
-def make_manifest(kind: DocumentKind, document: Document) -> Manifest:
+def create_manifest(kind: DocumentKind, document: Document) -> Manifest:
     """Lists a document's blocks by name."""
     head = DocumentHead(kind, document.revision, document.digest)
     return Manifest(head, tuple(block.name for block in document.blocks))
 
 
-def list_missing(manifest: Manifest, held: Iterable[Block]) -> tuple[str, ...]:
+def list_missing_blocks(
+    manifest: Manifest, held: Iterable[Block]
+) -> tuple[str, ...]:
     """Lists the blocks of a manifest that are not among the held ones."""
     known = {block.name for block in held}
     return tuple(
--- a/sycamorefall/configuration/polling.py
+++ b/sycamorefall/configuration/polling.py
@@ -6,16 +6,16 @@
 """
 
 __all__ = [
-    "EPOCH",
+    "EPOCH_SECONDS",
     "WATCH_WAIT",
     "PlannedRead",
     "ReadSchedule",
     "choose_watchers",
-    "create_schedule",
-    "hasten_read",
-    "note_answer",
-    "note_failure",
+    "create_read_schedule",
     "plan_read",
+    "record_failure",
+    "record_response",
+    "schedule_read_soon",
     "set_watching",
 ]
 
@@ -25,25 +25,25 @@
 import heapq
 import random
 
-EPOCH = 300.0
+EPOCH_SECONDS = 300.0
 """Seconds after which other processes watch."""
 
 WATCH_WAIT = 30.0
 """Seconds that a watch may wait for a change."""
 
-WATCH_PAUSE = 0.2
+MAX_WATCH_PAUSE = 0.2
 """Longest pause between two watches, in seconds."""
 
-TURN_SPREAD = 2.0
+WATCH_START_SPREAD = 2.0
 """Seconds over which new watchers begin."""
 
-FIRST_BACKOFF = 2.0
+INITIAL_BACKOFF = 2.0
 """Seconds until the next read after a first failure, before jitter."""
 
-LONGEST_BACKOFF = 30.0
+MAX_BACKOFF = 30.0
 """Seconds until the next read after many failures, before jitter."""
 
-LONGEST_ADVICE = 120.0
+MAX_RETRY_AFTER = 120.0
 """Most seconds that a platform's Retry-After is followed."""
 
 
@@ -67,19 +67,20 @@
     Attributes:
         interval: Seconds between two polls, before jitter.
         random: Source of the jitter.
-        next_at: When the next read is due.
+        next_read_at: When the next read is due.
         watching: Whether this process holds a watch.
-        whole: Whether the next read asks for the value in any case.
-        prompt: Whether the next read is to be answered at once.
+        read_unconditionally: Whether the next read asks for the value in any
+            case.
+        skip_wait: Whether the next read is to be answered at once.
         failures: Reads in a row that gave nothing usable.
     """
 
     interval: float
     random: random.Random
-    next_at: float
+    next_read_at: float
     watching: bool = False
-    whole: bool = True
-    prompt: bool = False
+    read_unconditionally: bool = True
+    skip_wait: bool = False
     failures: int = 0
 
 
@@ -110,7 +111,7 @@
     return set(heapq.nlargest(count, names, key=score))
 
 
-def create_schedule(
+def create_read_schedule(
     interval: float, start_spread: float, seed: int, now: float
 ) -> ReadSchedule:
     """Creates a schedule whose first read comes at a random time.
@@ -139,20 +140,20 @@
     revision in use, a platform that was set back would never answer.
     """
     if watching and not schedule.watching:
-        schedule.whole = True
-        hasten_read(schedule, now)
+        schedule.read_unconditionally = True
+        schedule_read_soon(schedule, now)
     schedule.watching = watching
 
 
-def hasten_read(schedule: ReadSchedule, now: float) -> None:
+def schedule_read_soon(schedule: ReadSchedule, now: float) -> None:
     """Makes the next read due soon, unless it is backed off.
 
     It doesn't wait for a change: what the platform shows now is in question.
     """
-    schedule.prompt = True
+    schedule.skip_wait = True
     if not schedule.failures:
-        soon = now + schedule.random.uniform(0.0, TURN_SPREAD)
-        schedule.next_at = min(schedule.next_at, soon)
+        soon = now + schedule.random.uniform(0.0, WATCH_START_SPREAD)
+        schedule.next_read_at = min(schedule.next_read_at, soon)
 
 
 def plan_read(schedule: ReadSchedule, known: int) -> PlannedRead:
@@ -165,14 +166,14 @@
     Returns:
         What to ask for.
     """
-    if schedule.whole or not known:
+    if schedule.read_unconditionally or not known:
         return PlannedRead(None, 0.0)
-    waits = schedule.watching and not schedule.prompt
+    waits = schedule.watching and not schedule.skip_wait
     wait = WATCH_WAIT if waits else 0.0
     return PlannedRead(known, wait)
 
 
-def note_answer(
+def record_response(
     schedule: ReadSchedule, now: float, read: PlannedRead, useful: bool
 ) -> None:
     """Plans on after an answer.
@@ -189,19 +190,19 @@
             or came after most of the wait.
     """
     if not useful:
-        note_failure(schedule, now)
+        record_failure(schedule, now)
         return
     schedule.failures = 0
-    schedule.whole = False
-    schedule.prompt = False
+    schedule.read_unconditionally = False
+    schedule.skip_wait = False
     if schedule.watching:
-        pause = schedule.random.uniform(0.0, WATCH_PAUSE)
+        pause = schedule.random.uniform(0.0, MAX_WATCH_PAUSE)
     else:
         pause = schedule.interval * schedule.random.uniform(0.5, 1.5)
-    schedule.next_at = now + pause
+    schedule.next_read_at = now + pause
 
 
-def note_failure(
+def record_failure(
     schedule: ReadSchedule, now: float, retry_after: float = 0.0
 ) -> None:
     """Backs off after a read that gave nothing usable.
@@ -215,9 +216,9 @@
         now: This process's time.
         retry_after: Seconds that the platform asked to stay away.
     """
-    doubled = FIRST_BACKOFF * 2.0 ** min(schedule.failures, 16)
-    pause = min(LONGEST_BACKOFF, doubled) * schedule.random.uniform(0.5, 1.5)
-    advised = min(retry_after, LONGEST_ADVICE)
+    doubled = INITIAL_BACKOFF * 2.0 ** min(schedule.failures, 16)
+    pause = min(MAX_BACKOFF, doubled) * schedule.random.uniform(0.5, 1.5)
+    advised = min(retry_after, MAX_RETRY_AFTER)
     advised *= schedule.random.uniform(1.0, 1.5)
     schedule.failures += 1
-    schedule.next_at = now + max(pause, advised)
+    schedule.next_read_at = now + max(pause, advised)
--- a/sycamorefall/configuration/tests/test_documents.py
+++ b/sycamorefall/configuration/tests/test_documents.py
@@ -21,8 +21,8 @@
     # day. Sent whole, that is 31 KB/s at each process, over its budget of 7.
     old = documents.create_document(1, write_large())
     new = documents.create_document(2, write_large(changed=4000))
-    manifest = documents.make_manifest(KIND, new)
-    missing = documents.list_missing(manifest, old.blocks)
+    manifest = documents.create_manifest(KIND, new)
+    missing = documents.list_missing_blocks(manifest, old.blocks)
     fetched = [block for block in new.blocks if block.name in missing]
     size = sum(len(block.text) for block in fetched)
     assert 2700 * (size + 18 * len(manifest.blocks)) / 86400 < 7000 / 2
@@ -33,7 +33,7 @@
 def test_document_of_mixed_or_missing_blocks_is_not_taken():
     old = documents.create_document(1, "[a]\nx = 1\n")
     new = documents.create_document(2, "[a]\nx = 2\n")
-    manifest = documents.make_manifest(KIND, new)
+    manifest = documents.create_manifest(KIND, new)
     assert documents.assemble_document(manifest, old.blocks) is None
     forged = documents.Block(new.blocks[0].name, old.blocks[0].text)
     assert documents.assemble_document(manifest, [forged]) is None
--- a/sycamorefall/configuration/tests/test_polling.py
+++ b/sycamorefall/configuration/tests/test_polling.py
@@ -11,7 +11,7 @@
 
 def start_all(now=0.0):
     return [
-        polling.create_schedule(120.0, SPREAD, seed, now)
+        polling.create_read_schedule(120.0, SPREAD, seed, now)
         for seed in range(2 * FLEET)
     ]
 
@@ -32,7 +32,7 @@
     # A failed update restarts all processes in the same second. Reading both
     # values at once they would send 2,560 reads, more than the platform
     # serves, and most would start without a configuration.
-    assert count_peak(one.next_at for one in start_all()) < LIMIT / 2
+    assert count_peak(one.next_read_at for one in start_all()) < LIMIT / 2
 
 
 def test_fleet_backs_off_from_a_platform_that_refuses():
@@ -41,43 +41,43 @@
     schedules = start_all()
     times = []
     for schedule in schedules:
-        while schedule.next_at < 120.0:
-            times.append(schedule.next_at)
-            polling.note_failure(schedule, schedule.next_at)
+        while schedule.next_read_at < 120.0:
+            times.append(schedule.next_read_at)
+            polling.record_failure(schedule, schedule.next_read_at)
     assert count_peak(times) < LIMIT
     late = [time for time in times if time > 60.0]
     assert count_peak(late) < LIMIT / 10
 
 
 def test_platforms_advice_is_followed():
-    schedule = polling.create_schedule(120.0, 0.0, 1, 0.0)
-    polling.note_failure(schedule, 0.0, retry_after=50.0)
-    assert 50.0 <= schedule.next_at <= 75.0
-    polling.note_failure(schedule, 0.0, retry_after=1e9)
-    assert schedule.next_at <= 1.5 * polling.LONGEST_ADVICE
+    schedule = polling.create_read_schedule(120.0, 0.0, 1, 0.0)
+    polling.record_failure(schedule, 0.0, retry_after=50.0)
+    assert 50.0 <= schedule.next_read_at <= 75.0
+    polling.record_failure(schedule, 0.0, retry_after=1e9)
+    assert schedule.next_read_at <= 1.5 * polling.MAX_RETRY_AFTER
 
 
 def test_watch_that_is_answered_at_once_with_nothing_is_backed_off():
     # A platform that doesn't know `wait` answers each watch at once. A
     # watcher that went on at once would send reads without pause.
-    schedule = polling.create_schedule(120.0, 0.0, 1, 0.0)
+    schedule = polling.create_read_schedule(120.0, 0.0, 1, 0.0)
     polling.set_watching(schedule, 0.0, True)
     first = polling.plan_read(schedule, known=0)
-    polling.note_answer(schedule, 0.0, first, useful=True)
-    now, reads = schedule.next_at, 0
+    polling.record_response(schedule, 0.0, first, useful=True)
+    now, reads = schedule.next_read_at, 0
     while now < 60.0:
         read = polling.plan_read(schedule, known=5)
         assert read == polling.PlannedRead(5, polling.WATCH_WAIT)
-        polling.note_answer(schedule, now, read, useful=False)
-        now, reads = schedule.next_at, reads + 1
+        polling.record_response(schedule, now, read, useful=False)
+        now, reads = schedule.next_read_at, reads + 1
     assert reads < 12
 
 
 def test_new_watcher_reads_whole_so_that_a_platform_set_back_is_seen():
-    schedule = polling.create_schedule(120.0, 0.0, 1, 0.0)
+    schedule = polling.create_read_schedule(120.0, 0.0, 1, 0.0)
     read = polling.plan_read(schedule, known=5)
-    polling.note_answer(schedule, 0.0, read, useful=True)
+    polling.record_response(schedule, 0.0, read, useful=True)
     assert polling.plan_read(schedule, known=5) == polling.PlannedRead(5, 0.0)
     polling.set_watching(schedule, 0.0, True)
     assert polling.plan_read(schedule, known=5).after is None
-    assert schedule.next_at <= polling.TURN_SPREAD
+    assert schedule.next_read_at <= polling.WATCH_START_SPREAD
--- a/sycamorefall/configuration/tests/test_versions.py
+++ b/sycamorefall/configuration/tests/test_versions.py
@@ -4,7 +4,7 @@
 
 from sycamorefall import configuration
 
-Adoption = configuration.Adoption
+SubmitOutcome = configuration.SubmitOutcome
 
 
 def write_text(weight):
@@ -23,8 +23,11 @@
     # The platform comes back from an old backup and shows revision 1. Taken,
     # it would undo what operators changed since.
     state = configuration.VersionState()
-    configuration.offer_text(state, 2, write_text(2))
-    assert configuration.offer_text(state, 1, write_text(1)) is Adoption.OLDER
+    configuration.submit_text(state, 2, write_text(2))
+    assert (
+        configuration.submit_text(state, 1, write_text(1))
+        is SubmitOutcome.OLDER
+    )
     assert state.configuration.teams["a"].weight == 2
     assert state.older_seen == 1
 
@@ -37,7 +40,7 @@
         state = configuration.VersionState()
         keys = [(0, "")]
         for revision, text in order:
-            configuration.offer_text(state, revision, text)
+            configuration.submit_text(state, revision, text)
             keys.append(state.document.key if state.document else (0, ""))
         assert keys == sorted(keys)
         if set(order) == set(OFFERS):
@@ -52,10 +55,10 @@
 
 def test_bad_text_under_the_revision_in_force_changes_nothing():
     state = configuration.VersionState()
-    configuration.offer_text(state, 2, write_text(2))
-    assert configuration.offer_text(state, 2, "bad") in (
-        Adoption.REFUSED,
-        Adoption.CONFLICT,
+    configuration.submit_text(state, 2, write_text(2))
+    assert configuration.submit_text(state, 2, "bad") in (
+        SubmitOutcome.REFUSED,
+        SubmitOutcome.CONFLICT,
     )
     assert state.configuration.teams["a"].weight == 2
     assert state.conflict
@@ -63,7 +66,10 @@
 
 def test_good_text_after_a_bad_one_clears_the_refusal():
     state = configuration.VersionState()
-    configuration.offer_text(state, 2, "bad")
+    configuration.submit_text(state, 2, "bad")
     assert state.refusal
-    assert configuration.offer_text(state, 3, write_text(1)) is Adoption.ADOPTED
+    assert (
+        configuration.submit_text(state, 3, write_text(1))
+        is SubmitOutcome.ADOPTED
+    )
     assert (state.refusal, state.in_force) == ("", 3)
--- a/sycamorefall/configuration/text.py
+++ b/sycamorefall/configuration/text.py
@@ -19,11 +19,11 @@
 from returns import result
 
 from sycamorefall import errors, ini
-from sycamorefall.configuration import documents, reading, schema
+from sycamorefall.configuration import documents, ini_reader, schema
 
 Named = TypeVar("Named", schema.Team, schema.Service)
 
-KEPT_BLOCKS = 512
+PARSED_BLOCK_CACHE_SIZE = 512
 """Parsed blocks that are kept: a megabyte's, and those of texts before it."""
 
 _NAME = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")
@@ -102,7 +102,7 @@
     return parts
 
 
-@functools.lru_cache(maxsize=KEPT_BLOCKS)
+@functools.lru_cache(maxsize=PARSED_BLOCK_CACHE_SIZE)
 def _parse_block(text: str) -> _Part | errors.ConfigurationRefused:
     try:
         return _parse(text)
@@ -111,9 +111,9 @@
 
 
 def _parse(text: str) -> _Part:
-    reading.check_unicode(text)
+    ini_reader.check_unicode(text)
     lines = ini.Lines(text)
-    parser = reading.read_ini(text)
+    parser = ini_reader.read_ini(text)
     teams = {
         name: _parse_team(name, dict(parser[section]), lines)
         for section, name in _select_sections(parser, "team", lines)
--- a/sycamorefall/configuration/versions.py
+++ b/sycamorefall/configuration/versions.py
@@ -1,11 +1,11 @@
 """Which revision of the operators' text is in force at a process."""
 
 __all__ = [
-    "Adoption",
+    "SubmitOutcome",
     "VersionState",
-    "note_rival",
-    "offer_document",
-    "offer_text",
+    "record_rival",
+    "submit_document",
+    "submit_text",
 ]
 
 import dataclasses
@@ -17,7 +17,7 @@
 from sycamorefall.configuration import text as text_module
 
 
-class Adoption(enum.Enum):
+class SubmitOutcome(enum.Enum):
     """What came of a text that was offered.
 
     ADOPTED: it is in force now.
@@ -86,7 +86,7 @@
         return self.document.text if self.document else ""
 
 
-def offer_text(state: VersionState, revision: int, text: str) -> Adoption:
+def submit_text(state: VersionState, revision: int, text: str) -> SubmitOutcome:
     """Takes a text into force if it is newer and valid.
 
     Args:
@@ -97,12 +97,12 @@
     Returns:
         What came of it.
     """
-    return offer_document(state, documents.create_document(revision, text))
+    return submit_document(state, documents.create_document(revision, text))
 
 
-def offer_document(
+def submit_document(
     state: VersionState, document: documents.Document
-) -> Adoption:
+) -> SubmitOutcome:
     """Takes a text into force if it is newer and valid.
 
     Guards against a stale platform: after it restarts from an old copy it
@@ -119,18 +119,18 @@
         What came of it.
     """
     if document in (state.document, state.refused):
-        return Adoption.KNOWN
+        return SubmitOutcome.KNOWN
     if document.revision < state.in_force:
         state.older_seen += 1
-        return Adoption.OLDER
+        return SubmitOutcome.OLDER
     if document.revision == state.in_force:
-        note_rival(state, document.revision, document.digest)
+        record_rival(state, document.revision, document.digest)
         if document.key < state.document.key:
-            return Adoption.CONFLICT
+            return SubmitOutcome.CONFLICT
     return _judge(state, document)
 
 
-def _judge(state: VersionState, document: documents.Document) -> Adoption:
+def _judge(state: VersionState, document: documents.Document) -> SubmitOutcome:
     match text_module.parse_blocks(one.text for one in document.blocks):
         case result.Success(configuration):
             replaced, state.document = state.document, document
@@ -142,15 +142,15 @@
             if state.refused and state.refused.key < document.key:
                 state.refused = None
                 state.refusal = ""
-            return Adoption.ADOPTED
+            return SubmitOutcome.ADOPTED
         case result.Failure(fault):
             if state.refused is None or state.refused.key < document.key:
                 state.refused = document
                 state.refusal = str(fault)
-    return Adoption.REFUSED
+    return SubmitOutcome.REFUSED
 
 
-def note_rival(state: VersionState, revision: int, digest: str) -> None:
+def record_rival(state: VersionState, revision: int, digest: str) -> None:
     """Notes that another text goes about under the revision in force.
 
     It is not taken where ours goes before it, but operators are to see the
--- a/sycamorefall/direct/records.py
+++ b/sycamorefall/direct/records.py
@@ -76,11 +76,11 @@
     """
     current = records.by_key.get(record.key)
     if current is None:
-        if record.changed_at <= records.tombstones.get(record.key, 0):
+        if record.changed_revision <= records.tombstones.get(record.key, 0):
             return False
         records.fingerprint ^= _hash_key(record.key)
         records.tombstones.pop(record.key, None)
-    elif record.changed_at <= current.changed_at:
+    elif record.changed_revision <= current.changed_revision:
         return False
     records.by_key[record.key] = record
     return True
@@ -98,7 +98,7 @@
         Whether it was deleted.
     """
     current = records.by_key.get(key)
-    if current is None or current.changed_at > revision:
+    if current is None or current.changed_revision > revision:
         return False
     del records.by_key[key]
     records.fingerprint ^= _hash_key(key)
@@ -158,7 +158,9 @@
     if records.revision < changes.since:
         return UpdateOutcome.INCOMPLETE
     puts = [_put(records, record) for record in changes.records]
-    drops = [_delete(records, key, changes.revision) for key in changes.gone]
+    drops = [
+        _delete(records, key, changes.revision) for key in changes.deleted_keys
+    ]
     if records.fingerprint != changes.fingerprint:
         return UpdateOutcome.INCOMPLETE
     records.revision = changes.revision
@@ -190,15 +192,15 @@
     changed = tuple(
         record
         for record in records.by_key.values()
-        if not since or record.changed_at > since
+        if not since or record.changed_revision > since
     )
-    gone = tuple(
+    deleted_keys = tuple(
         key for key, revision in records.tombstones.items() if revision > since
     )
     return messages.RecordChanges(
         since,
         records.revision,
         changed,
-        gone if since else (),
+        deleted_keys if since else (),
         records.fingerprint,
     )
--- a/sycamorefall/direct/replica.py
+++ b/sycamorefall/direct/replica.py
@@ -354,7 +354,7 @@
     readers = replica.readers
     if sender in readers.subscriptions:
         readers.subscriptions[sender].heard_at = now
-    if state.able:
+    if state.reads_succeed:
         readers.excluded_until.pop(sender, None)
     elif readers.excluded_until.get(sender, now) <= now:
         readers_module.exclude_reader(readers, now, sender)
--- a/sycamorefall/direct/tests/replicas.py
+++ b/sycamorefall/direct/tests/replicas.py
@@ -47,7 +47,7 @@
     def put(self, key, now):
         self.revision += 1
         known = self.records.get(key)
-        made = known.made_at if known else self.revision
+        made = known.created_revision if known else self.revision
         self.records[key] = messages.Record(key, made, self.revision, b"v")
         self.changed_at[self.revision] = now
 
--- a/sycamorefall/direct/tests/test_records.py
+++ b/sycamorefall/direct/tests/test_records.py
@@ -6,8 +6,8 @@
 from sycamorefall.direct import records
 
 
-def make_record(key, changed_at, made_at=1):
-    return messages.Record(key, made_at, changed_at, b"")
+def make_record(key, changed_revision, created_revision=1):
+    return messages.Record(key, created_revision, changed_revision, b"")
 
 
 def test_later_record_is_not_replaced_by_an_earlier_one():
@@ -18,7 +18,7 @@
     records.apply_snapshot(replica, 9, [make_record("e1", 8)])
     older = messages.RecordChanges(0, 9, (make_record("e1", 3),), (), 0)
     records.apply_changes(replica, older)
-    assert replica.by_key["e1"].changed_at == 8
+    assert replica.by_key["e1"].changed_revision == 8
 
 
 def test_deleted_record_does_not_reappear():
@@ -75,8 +75,10 @@
     def put(self, key):
         self.revision += 1
         current = self.store.get(key)
-        made_at = current.made_at if current else self.revision
-        self.store[key] = make_record(key, self.revision, made_at)
+        created_revision = (
+            current.created_revision if current else self.revision
+        )
+        self.store[key] = make_record(key, self.revision, created_revision)
 
     @stateful.rule(key=keys)
     def delete(self, key):
@@ -118,7 +120,7 @@
     def knows_every_change_up_to_its_revision(self):
         for replica in self.replicas:
             for key, record in self.store.items():
-                if record.changed_at <= replica.revision:
+                if record.changed_revision <= replica.revision:
                     assert replica.by_key[key] == record
             if replica.revision == self.revision:
                 assert replica.by_key == self.store
@@ -128,8 +130,8 @@
         for number, replica in enumerate(self.replicas):
             for key, record in replica.by_key.items():
                 before = self.last_changes.get((number, key), 0)
-                assert record.changed_at >= before
-                self.last_changes[number, key] = record.changed_at
+                assert record.changed_revision >= before
+                self.last_changes[number, key] = record.changed_revision
 
 
 TestRecords = RecordsMachine.TestCase
--- a/sycamorefall/dispatch/claims.py
+++ b/sycamorefall/dispatch/claims.py
@@ -24,14 +24,14 @@
         claim_id: Number of the claim at this sidecar's incarnation.
         router: Where the request waits.
         team: Whose request it is.
-        expires: When the lease ends, by this process's clock.
+        expires_at: When the lease ends, by this process's clock.
         reserved: Cost units reserved for it.
     """
 
     claim_id: int
     router: str
     team: str
-    expires: float
+    expires_at: float
     reserved: float
 
 
@@ -88,7 +88,7 @@
     if claim is None or (claim.router, claim.team) != (router, team):
         return None
     del table.open[claim_id]
-    return claim if now < claim.expires else None
+    return claim if now < claim.expires_at else None
 
 
 def release_claim(table: ClaimTable, claim_id: int) -> OpenClaim | None:
@@ -106,7 +106,7 @@
     Returns:
         The ended claims.
     """
-    over = [claim for claim in table.open.values() if claim.expires <= now]
+    over = [claim for claim in table.open.values() if claim.expires_at <= now]
     for claim in over:
         del table.open[claim.claim_id]
     return over
--- a/sycamorefall/dispatch/outcomes.py
+++ b/sycamorefall/dispatch/outcomes.py
@@ -6,8 +6,8 @@
     "SettledRecord",
     "answer_query",
     "expire_records",
-    "find_outcome",
-    "record_outcome",
+    "find_attempt_state",
+    "record_settled_state",
     "try_start",
 ]
 
@@ -51,7 +51,7 @@
     settled: dict[str, SettledRecord] = dataclasses.field(default_factory=dict)
 
 
-def find_outcome(
+def find_attempt_state(
     outcomes: OutcomeRecords, attempt_id: str
 ) -> messages.AttemptState | None:
     """Tells what became of an attempt, or None if it was never seen."""
@@ -61,7 +61,7 @@
     return record.state if record else None
 
 
-def record_outcome(
+def record_settled_state(
     outcomes: OutcomeRecords,
     now: float,
     attempt_id: str,
@@ -83,7 +83,7 @@
     Returns:
         Whether the attempt may start.
     """
-    if find_outcome(outcomes, attempt_id) is not None:
+    if find_attempt_state(outcomes, attempt_id) is not None:
         return False
     outcomes.started.add(attempt_id)
     return True
@@ -109,10 +109,12 @@
         >>> try_start(records, "router-1/1/1/1")
         False
     """
-    known = find_outcome(outcomes, attempt_id)
+    known = find_attempt_state(outcomes, attempt_id)
     if known is not None:
         return known
-    record_outcome(outcomes, now, attempt_id, messages.AttemptState.REFUSED)
+    record_settled_state(
+        outcomes, now, attempt_id, messages.AttemptState.REFUSED
+    )
     return messages.AttemptState.NEVER_SEEN
 
 
--- a/sycamorefall/dispatch/tests/model.py
+++ b/sycamorefall/dispatch/tests/model.py
@@ -9,9 +9,9 @@
 import dataclasses
 
 from sycamorefall import configuration, effects, errors, membership, messages
+from sycamorefall.router import attempt_lifecycle, intake
 from sycamorefall.router import core as router_core
 from sycamorefall.router import effects as router_effects
-from sycamorefall.router import handout, intake
 from sycamorefall.router import state as router_state
 from sycamorefall.sidecar import core as sidecar_core
 from sycamorefall.sidecar import running
@@ -74,7 +74,7 @@
         }
         self.mail: list[tuple[str, messages.Envelope]] = []
         self.hand_outs: list[str] = []
-        self.replies: list[tuple[str, handout.AttemptEnd]] = []
+        self.replies: list[tuple[str, attempt_lifecycle.AttemptEnd]] = []
         self.links: dict[str, Link] = {}
         self.runs: dict[str, str] = {}
         self.starts: collections.Counter[str] = collections.Counter()
@@ -126,12 +126,12 @@
         process = self.processes[name]
         for effect in outcome:
             match effect:
-                case effects.Send():
+                case effects.SendMessage():
                     envelope = messages.Envelope(
                         name, process.incarnation, 1, effect.message
                     )
                     self.mail.append((effect.to, envelope))
-                case router_effects.HandOut():
+                case router_effects.SendRequest():
                     attempt_id = effect.order.attempt_id
                     self.links[attempt_id] = Link(
                         effect.order,
@@ -146,7 +146,9 @@
                 case router_effects.AbortAttempt():
                     self.links[effect.attempt_id].open = False
                 case _:
-                    self.end_run(effect.attempt_id, handout.AttemptEnd.FAILED)
+                    self.end_run(
+                        effect.attempt_id, attempt_lifecycle.AttemptEnd.FAILED
+                    )
 
     def answer(
         self, name: str, number: int, kind: str, ran: errors.Ran
@@ -177,8 +179,8 @@
         sidecar = self.processes[order.sidecar]
         now = self.clock(order.sidecar)
         ends = {
-            running.Acceptance.REFUSED: handout.AttemptEnd.REFUSED,
-            running.Acceptance.REPEATED: handout.AttemptEnd.BROKEN,
+            running.Acceptance.REFUSED: attempt_lifecycle.AttemptEnd.REFUSED,
+            running.Acceptance.REPEATED: attempt_lifecycle.AttemptEnd.BROKEN,
         }
         accepted = running.accept_attempt(sidecar.state, now, order)
         if accepted in ends:
@@ -187,7 +189,7 @@
         link.at = (order.sidecar, sidecar.incarnation)
         self.runs[attempt_id] = link.request
         if not reachable:
-            self.end_run(attempt_id, handout.AttemptEnd.NOT_RUN)
+            self.end_run(attempt_id, attempt_lifecycle.AttemptEnd.NOT_RUN)
             return
         self.starts[link.request] += 1
         told = self.final.get(link.request)
@@ -195,13 +197,15 @@
         if not self.idempotent[link.request]:
             assert self.starts[link.request] == 1, "ran twice"
 
-    def end_run(self, attempt_id: str, end: handout.AttemptEnd) -> None:
+    def end_run(
+        self, attempt_id: str, end: attempt_lifecycle.AttemptEnd
+    ) -> None:
         """Ends a run at the upstream; the answer begins its way back."""
         if self.runs.pop(attempt_id, None) is None:
             return
         name, incarnation = self.links[attempt_id].at
         assert self.processes[name].incarnation == incarnation
-        ran = end is not handout.AttemptEnd.NOT_RUN
+        ran = end is not attempt_lifecycle.AttemptEnd.NOT_RUN
         state = self.processes[name].state
         running.finish_run(state, self.clock(name), attempt_id, ran)
         self.replies.append((attempt_id, end))
@@ -210,23 +214,25 @@
         """Lets a sidecar see that a router closed an attempt's connection."""
         link = self.links[attempt_id]
         if not link.open and link.order.idempotent:
-            self.end_run(attempt_id, handout.AttemptEnd.FAILED)
+            self.end_run(attempt_id, attempt_lifecycle.AttemptEnd.FAILED)
 
     def break_link(self, attempt_id: str) -> None:
-        self.replies.append((attempt_id, handout.AttemptEnd.BROKEN))
+        self.replies.append((attempt_id, attempt_lifecycle.AttemptEnd.BROKEN))
 
-    def deliver_reply(self, attempt_id: str, end: handout.AttemptEnd) -> None:
+    def deliver_reply(
+        self, attempt_id: str, end: attempt_lifecycle.AttemptEnd
+    ) -> None:
         link = self.links[attempt_id]
         name, incarnation = link.router
         process = self.processes[name]
         if not link.open or process.incarnation != incarnation:
             return
         link.open = False
-        number = process.state.by_attempt.get(attempt_id)
-        if end is handout.AttemptEnd.COMPLETE and number is not None:
+        number = process.state.request_by_attempt.get(attempt_id)
+        if end is attempt_lifecycle.AttemptEnd.COMPLETE and number is not None:
             assert process.callers.get(number) == link.request, "another's"
             self.answer(name, number, "", errors.Ran.YES)
-        outcome = handout.end_attempt(
+        outcome = attempt_lifecycle.end_attempt(
             process.state, self.clock(name), attempt_id, end, False
         )
         self.perform(name, outcome)
@@ -287,14 +293,14 @@
 
 def _create_router(name: str, incarnation: int) -> router_state.RouterState:
     state = router_state.RouterState(name, incarnation)
-    configuration.offer_text(state.versions, 1, TEXT)
-    membership.replace_list(state.directory, LIST)
+    configuration.submit_text(state.versions, 1, TEXT)
+    membership.apply_vm_list(state.directory, LIST)
     return state
 
 
 def _create_sidecar(name: str, incarnation: int) -> sidecar_state.SidecarState:
     state = sidecar_state.create_state(name, incarnation, SERVICE)
-    configuration.offer_text(state.versions, 1, TEXT)
-    membership.replace_list(state.directory, LIST)
+    configuration.submit_text(state.versions, 1, TEXT)
+    membership.apply_vm_list(state.directory, LIST)
     sidecar_core.apply_configuration(state)
     return state
--- a/sycamorefall/dispatch/tests/test_outcomes_machine.py
+++ b/sycamorefall/dispatch/tests/test_outcomes_machine.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from sycamorefall.dispatch.tests import model
-from sycamorefall.router import handout
+from sycamorefall.router import attempt_lifecycle
 
 INDEX = st.integers(0, 1 << 16)
 NAMES = st.sampled_from((*model.ROUTERS, *model.SIDECARS))
@@ -92,7 +92,7 @@
             self.fleet.break_link(attempt_id)
         elif self.fleet.links[attempt_id].at is None:
             self.fleet.hand_outs.remove(attempt_id)
-            reply = (attempt_id, handout.AttemptEnd.REFUSED)
+            reply = (attempt_id, attempt_lifecycle.AttemptEnd.REFUSED)
             self.fleet.replies.append(reply)
 
     @stateful.precondition(lambda self: self.fleet.links)
@@ -108,9 +108,9 @@
     @stateful.rule(index=INDEX, whole=st.booleans())
     def end_run(self, index, whole):
         attempt_id = pick(list(self.fleet.runs), index)
-        end = handout.AttemptEnd.COMPLETE
+        end = attempt_lifecycle.AttemptEnd.COMPLETE
         if not whole:
-            end = handout.AttemptEnd.FAILED
+            end = attempt_lifecycle.AttemptEnd.FAILED
         if self.awake(self.fleet.links[attempt_id].at[0]):
             self.fleet.end_run(attempt_id, end)
 
@@ -148,14 +148,14 @@
             fleet.deliver_all_hand_outs()
             fleet.deliver_all_replies()
             for attempt_id in list(fleet.runs):
-                fleet.end_run(attempt_id, handout.AttemptEnd.COMPLETE)
+                fleet.end_run(attempt_id, attempt_lifecycle.AttemptEnd.COMPLETE)
             fleet.advance(seconds)
         for name, process in fleet.processes.items():
             assert not process.callers, "a caller is left waiting"
             if name in model.ROUTERS:
                 state = process.state
-                assert not state.requests and not state.by_attempt
-                assert not state.asking and not state.checks
+                assert not state.requests and not state.request_by_attempt
+                assert not state.awaiting_outcome and not state.checks
         asked = set(fleet.idempotent)
         assert asked == set(fleet.final) | fleet.gone
         for name in model.SIDECARS:
--- a/sycamorefall/dispatch/tests/test_outcomes_scenarios.py
+++ b/sycamorefall/dispatch/tests/test_outcomes_scenarios.py
@@ -4,10 +4,10 @@
 
 from sycamorefall import errors
 from sycamorefall.dispatch.tests import model
-from sycamorefall.router import checks, handout
+from sycamorefall.router import attempt_lifecycle, stalls
 
 UNKNOWN = ("outcome_unknown", errors.Ran.UNKNOWN)
-COMPLETE = handout.AttemptEnd.COMPLETE
+COMPLETE = attempt_lifecycle.AttemptEnd.COMPLETE
 
 
 def hand_out(idempotent=False, timeout=3000.0, offered=False):
@@ -34,7 +34,7 @@
     Then the first hand-out arrives after all, its claim still in force.
     """
     fleet, first = hand_out()
-    fleet.deliver_reply(first, handout.AttemptEnd.BROKEN)
+    fleet.deliver_reply(first, attempt_lifecycle.AttemptEnd.BROKEN)
     fleet.deliver_all_mail()
     assert len(fleet.hand_outs) == 2
     fleet.deliver_all_hand_outs()
@@ -54,7 +54,7 @@
     fleet.processes["router-0"].frozen = True
     fleet.advance_connected(700.0)
     fleet.processes["router-0"].frozen = False
-    fleet.deliver_reply(first, handout.AttemptEnd.BROKEN)
+    fleet.deliver_reply(first, attempt_lifecycle.AttemptEnd.BROKEN)
     fleet.advance_connected(1.0)
     fleet.deliver_all_hand_outs()
     assert fleet.final["request-0"] == UNKNOWN
@@ -87,7 +87,7 @@
     """
     fleet, first = hand_out()
     fleet.deliver_hand_out(first, reachable=False)
-    fleet.deliver_reply(first, handout.AttemptEnd.BROKEN)
+    fleet.deliver_reply(first, attempt_lifecycle.AttemptEnd.BROKEN)
     fleet.deliver_all_mail()
     fleet.hand_outs.remove(first)
     fleet.deliver_all_hand_outs()
@@ -109,7 +109,7 @@
     if not frozen:
         fleet.end_run(first, COMPLETE)
     fleet.processes[fleet.links[first].order.sidecar].frozen = frozen
-    fleet.advance_connected(checks.FIRST_CHECK + 12.0)
+    fleet.advance_connected(stalls.FIRST_CHECK_DELAY + 12.0)
     if idempotent:
         assert fleet.hand_outs, "not handed out again"
     else:
@@ -149,7 +149,7 @@
     fleet, first = hand_out(idempotent=True, timeout=30.0)
     fleet.deliver_all_hand_outs()
     state = fleet.processes["router-0"].state
-    checks.note_progress(state, fleet.clock("router-0"), first, 9, begun)
+    stalls.record_progress(state, fleet.clock("router-0"), first, 9, begun)
     fleet.advance(31.0)
     ran = errors.Ran.YES if begun else errors.Ran.UNKNOWN
     assert fleet.final["request-0"] == ("deadline_exceeded", ran)
@@ -166,11 +166,11 @@
     sidecar = fleet.processes[fleet.links[first].order.sidecar].state
     router = fleet.processes["router-0"].state
     sidecar.runs[first].sent = 20
-    checks.note_progress(router, fleet.clock("router-0"), first, 9, True)
-    checks.note_pause(router, first, True)
+    stalls.record_progress(router, fleet.clock("router-0"), first, 9, True)
+    stalls.record_pause(router, first, True)
     fleet.advance_connected(12.0)
     assert not fleet.final, "a slow caller is no stalled link"
-    checks.note_pause(router, first, False)
+    stalls.record_pause(router, first, False)
     fleet.advance_connected(30.0)
     assert fleet.final["request-0"] == ("answer_incomplete", errors.Ran.YES)
 
--- a/sycamorefall/effects.py
+++ b/sycamorefall/effects.py
@@ -1,6 +1,8 @@
 """Effects shared by the decision cores: what a process should do next."""
 
-__all__ = ["Send"]
+__all__ = [
+    "SendMessage",
+]
 
 import dataclasses
 
@@ -8,7 +10,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Send:
+class SendMessage:
     """Send a control message.
 
     Attributes:
--- a/sycamorefall/membership/directory.py
+++ b/sycamorefall/membership/directory.py
@@ -9,16 +9,16 @@
     "VmList",
     "VmRole",
     "VmState",
-    "create_list_document",
-    "forget_departed",
+    "apply_vm_list",
+    "create_vm_list_document",
+    "drop_departed",
+    "has_usable_upstream",
     "is_outdated",
-    "is_upstream",
-    "has_upstream",
-    "note_heartbeat",
-    "read_list_document",
-    "replace_list",
-    "select_routers",
-    "select_upstreams",
+    "is_usable_upstream",
+    "list_router_vms",
+    "list_usable_upstreams",
+    "parse_vm_list_document",
+    "record_peer_message",
 ]
 
 import dataclasses
@@ -126,14 +126,14 @@
         return self.document.revision if self.document else 0
 
 
-def create_list_document(vms: VmList) -> documents.Document:
+def create_vm_list_document(vms: VmList) -> documents.Document:
     """Writes a list as a document, one VM a line, for passing it on."""
     lines = (msgspec.json.encode(vm).decode("utf-8") for vm in vms.vms)
     text = "".join(f"{line}\n" for line in lines)
     return documents.create_document(vms.revision, text)
 
 
-def read_list_document(document: documents.Document) -> VmList | None:
+def parse_vm_list_document(document: documents.Document) -> VmList | None:
     """Reads a list from its document; None if it is not a list of VMs."""
     try:
         vms = tuple(
@@ -145,7 +145,7 @@
     return VmList(document.revision, vms)
 
 
-def replace_list(directory: Directory, vms: VmList) -> bool:
+def apply_vm_list(directory: Directory, vms: VmList) -> bool:
     """Takes a newer list of VMs into use.
 
     Guards against a platform that was restored from an old copy: its list
@@ -166,7 +166,7 @@
     if vms.revision < directory.revision:
         directory.older_seen += 1
         return False
-    document = create_list_document(vms)
+    document = create_vm_list_document(vms)
     if directory.document and document.key <= directory.document.key:
         return False
     directory.document = document
@@ -188,7 +188,7 @@
     return True
 
 
-def forget_departed(directory: Directory, now: float) -> bool:
+def drop_departed(directory: Directory, now: float) -> bool:
     """Drops departed VMs whose processes have fallen silent.
 
     Args:
@@ -246,7 +246,7 @@
     return True
 
 
-def note_heartbeat(
+def record_peer_message(
     directory: Directory,
     now: float,
     name: str,
@@ -285,7 +285,7 @@
     return now - peer.heard_at <= SUSPECT_AFTER
 
 
-def select_upstreams(
+def list_usable_upstreams(
     directory: Directory, now: float, service: str
 ) -> list[VmEntry]:
     """Lists upstream VMs of a service that may get new work.
@@ -316,7 +316,7 @@
     return directory.by_service.get(service, []) if service else []
 
 
-def is_upstream(
+def is_usable_upstream(
     directory: Directory, now: float, name: str, service: str
 ) -> bool:
     """Tells whether a VM is an upstream of a service and may get new work."""
@@ -325,12 +325,12 @@
     return known and _is_usable(directory, now, vm)
 
 
-def has_upstream(directory: Directory, now: float, service: str) -> bool:
+def has_usable_upstream(directory: Directory, now: float, service: str) -> bool:
     """Tells whether a service has an upstream that may get new work."""
     listed = _list_service(directory, service)
     return any(_is_usable(directory, now, vm) for vm in listed)
 
 
-def select_routers(directory: Directory) -> list[VmEntry]:
+def list_router_vms(directory: Directory) -> list[VmEntry]:
     """Lists all router VMs; a leaving router still has work to hand out."""
     return [vm for vm in directory.vms.values() if vm.role is VmRole.ROUTER]
--- a/sycamorefall/membership/links.py
+++ b/sycamorefall/membership/links.py
@@ -7,12 +7,12 @@
 
 __all__ = [
     "Links",
+    "choose_full_sync_senders",
     "choose_sidecars",
-    "choose_tellers",
-    "list_routers",
+    "list_linked_routers",
+    "list_linked_sidecars",
     "list_siblings",
-    "list_sidecars",
-    "list_unlinked",
+    "list_unlinked_routers",
 ]
 
 from collections.abc import Sequence
@@ -22,13 +22,13 @@
 
 from sycamorefall.membership import directory as directory_module
 
-LEAST_SIDECARS = 3
+MIN_SIDECARS_PER_SERVICE = 3
 """Sidecars of each service that every router is linked to, if there are."""
 
-LEAST_ROUTERS = 12
+MIN_ROUTERS_PER_SIDECAR = 12
 """Routers that a sidecar is linked to on average, if there are."""
 
-TELLERS = 2
+FULL_SYNC_SENDERS = 2
 """Sidecars that tell a new one the entries of all owners."""
 
 Vms = Sequence[directory_module.VmEntry]
@@ -84,7 +84,10 @@
         (['s'], 1)
     """
     live = sum(_is_live(vm) for vm in sidecars)
-    count = max(LEAST_SIDECARS, math.ceil(live * LEAST_ROUTERS / routers))
+    count = max(
+        MIN_SIDECARS_PER_SERVICE,
+        math.ceil(live * MIN_ROUTERS_PER_SIDECAR / routers),
+    )
     ordered = sorted(sidecars, key=lambda vm: _score(router.name, vm.name))
     domain = router.failure_domain
     near = [vm for vm in ordered if vm.failure_domain == domain]
@@ -95,7 +98,9 @@
     return names, _count_until(ranked, count)
 
 
-def choose_tellers(newcomer: str, sidecars: Sequence[str]) -> list[str]:
+def choose_full_sync_senders(
+    newcomer: str, sidecars: Sequence[str]
+) -> list[str]:
     """Chooses the sidecars that tell a new one the entries of all owners.
 
     Args:
@@ -106,7 +111,9 @@
         A few VM names, the same at every sidecar.
     """
     others = (name for name in sidecars if name != newcomer)
-    return sorted(others, key=lambda name: _score(newcomer, name))[:TELLERS]
+    return sorted(others, key=lambda name: _score(newcomer, name))[
+        :FULL_SYNC_SENDERS
+    ]
 
 
 def _score(router: str, sidecar: str) -> bytes:
@@ -127,7 +134,7 @@
     return len(vms)
 
 
-def list_sidecars(
+def list_linked_sidecars(
     links: Links,
     directory: directory_module.Directory,
     now: float,
@@ -172,7 +179,7 @@
     return now - heard_at > directory_module.SUSPECT_AFTER
 
 
-def list_routers(
+def list_linked_routers(
     links: Links, directory: directory_module.Directory, now: float, own: str
 ) -> list[str]:
     """Lists the routers that a sidecar is linked to or that it just heard.
@@ -197,7 +204,7 @@
     return links.routers + heard
 
 
-def list_unlinked(
+def list_unlinked_routers(
     links: Links, directory: directory_module.Directory, now: float, own: str
 ) -> list[str]:
     """Lists the routers that a sidecar is not linked to."""
--- a/sycamorefall/membership/tests/test_directory.py
+++ b/sycamorefall/membership/tests/test_directory.py
@@ -24,7 +24,7 @@
 @pytest.fixture
 def directory():
     created = membership.Directory()
-    membership.replace_list(
+    membership.apply_vm_list(
         created,
         make_list(5, make_entry("engine"), make_entry("router", "router")),
     )
@@ -32,12 +32,12 @@
 
 
 def list_usable(directory, now):
-    usable = membership.select_upstreams(directory, now, "assistant")
+    usable = membership.list_usable_upstreams(directory, now, "assistant")
     return [vm.name for vm in usable]
 
 
 def beat(directory, now, incarnation, stopping=False, name="engine"):
-    return membership.note_heartbeat(
+    return membership.record_peer_message(
         directory, now, name, incarnation, stopping
     )
 
@@ -87,9 +87,9 @@
     # about to be taken away.
     beat(directory, 1.0, incarnation=10)
     leaving = make_entry("engine", state="leaving")
-    membership.replace_list(directory, make_list(6, leaving))
+    membership.apply_vm_list(directory, make_list(6, leaving))
     assert list_usable(directory, 1.1) == []
-    assert not membership.replace_list(
+    assert not membership.apply_vm_list(
         directory, make_list(5, make_entry("engine"))
     )
     assert list_usable(directory, 1.2) == []
@@ -100,24 +100,24 @@
     # An upstream is dropped from the list with work in progress. If it were
     # forgotten at once, the outcome of that work could not be asked for.
     beat(directory, 1.0, incarnation=10)
-    membership.replace_list(
+    membership.apply_vm_list(
         directory, make_list(6, make_entry("router", "router"))
     )
     assert "engine" in directory.vms
     assert list_usable(directory, 1.1) == []
     beat(directory, 20.0, incarnation=10)
-    assert not membership.forget_departed(directory, 40.0)
-    assert membership.forget_departed(directory, 60.0)
+    assert not membership.drop_departed(directory, 40.0)
+    assert membership.drop_departed(directory, 60.0)
     assert "engine" not in directory.vms
 
 
 def test_vm_dropped_and_listed_again_is_live_again(directory):
     beat(directory, 1.0, incarnation=10)
-    membership.replace_list(directory, make_list(6))
-    membership.replace_list(directory, make_list(7, make_entry("engine")))
+    membership.apply_vm_list(directory, make_list(6))
+    membership.apply_vm_list(directory, make_list(7, make_entry("engine")))
     beat(directory, 2.0, incarnation=10)
     assert list_usable(directory, 2.1) == ["engine"]
-    assert not membership.forget_departed(directory, 99.0)
+    assert not membership.drop_departed(directory, 99.0)
 
 
 def test_two_lists_under_one_revision_become_the_same_one(directory):
@@ -125,7 +125,7 @@
     two = make_list(6, make_entry("engine", state="leaving"))
     other = membership.Directory()
     for offered in (one, two):
-        membership.replace_list(directory, offered)
+        membership.apply_vm_list(directory, offered)
     for offered in (two, one):
-        membership.replace_list(other, offered)
+        membership.apply_vm_list(other, offered)
     assert directory.document == other.document
--- a/sycamorefall/membership/tests/test_links.py
+++ b/sycamorefall/membership/tests/test_links.py
@@ -36,16 +36,18 @@
 
 def build_directory(vms):
     directory = membership.Directory()
-    membership.replace_list(directory, membership.VmList(1, tuple(vms)))
+    membership.apply_vm_list(directory, membership.VmList(1, tuple(vms)))
     return directory
 
 
 def link_sidecar(directory, name, now=0.0):
-    return membership.list_routers(membership.Links(), directory, now, name)
+    return membership.list_linked_routers(
+        membership.Links(), directory, now, name
+    )
 
 
 def link_router(directory, name, service="service-0", now=0.0):
-    return membership.list_sidecars(
+    return membership.list_linked_sidecars(
         membership.Links(), directory, now, name, service
     )
 
@@ -131,17 +133,17 @@
     name = "router-5"
 
     def find(now):
-        return membership.list_sidecars(
+        return membership.list_linked_sidecars(
             links, directory, now, name, "service-0"
         )
 
     old = find(0.0)
     for sidecar in old[1:]:
-        membership.note_heartbeat(directory, 9.0, sidecar, 1, False)
+        membership.record_peer_message(directory, 9.0, sidecar, 1, False)
     new = find(10.0)
     assert new[: len(old)] == old
     assert len(new) == len(old) + 1
     at_sidecar = build_directory(build_vms(370, 48, 8))
     assert name not in link_sidecar(at_sidecar, new[-1])
-    membership.note_heartbeat(at_sidecar, 10.0, name, 1, False)
+    membership.record_peer_message(at_sidecar, 10.0, name, 1, False)
     assert name in link_sidecar(at_sidecar, new[-1], now=10.5)
--- a/sycamorefall/messages/__init__.py
+++ b/sycamorefall/messages/__init__.py
@@ -14,6 +14,7 @@
     "AccountEntry",
     "AccountUpdate",
     "AttemptOrder",
+    "AttemptOutcome",
     "AttemptQuery",
     "AttemptReport",
     "AttemptState",
@@ -29,7 +30,6 @@
     "Name",
     "NameEntry",
     "NoWork",
-    "Outcome",
     "ReaderState",
     "Record",
     "RecordChanges",
@@ -58,10 +58,10 @@
     SIGNATURE_HEADER,
     UNCLAIMED,
     AttemptOrder,
+    AttemptOutcome,
     AttemptQuery,
     AttemptReport,
     AttemptState,
-    Outcome,
     decode_order,
     encode_order,
 )
@@ -96,7 +96,7 @@
     RecordChanges,
     Subscribe,
 )
-from sycamorefall.messages.work import (
+from sycamorefall.messages.scheduling import (
     AccountEntry,
     AccountUpdate,
     Claim,
--- a/sycamorefall/messages/attempts.py
+++ b/sycamorefall/messages/attempts.py
@@ -8,10 +8,10 @@
     "SIGNATURE_HEADER",
     "UNCLAIMED",
     "AttemptOrder",
+    "AttemptOutcome",
     "AttemptQuery",
     "AttemptReport",
     "AttemptState",
-    "Outcome",
     "decode_order",
     "encode_order",
 ]
@@ -37,14 +37,15 @@
 """Header of a hand-out with the digest of its order and body."""
 
 OUTCOME_HEADER = "Sycamorefall-Outcome"
-"""Header of a sidecar's answer in place of the upstream's: an `Outcome`."""
+"""Header of a sidecar's answer in place of the upstream's: an
+`AttemptOutcome`."""
 
 
 UNCLAIMED = 0
 """Claim number of an offer: a hand-out that nobody claimed."""
 
 
-class Outcome(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """Why a sidecar answers a hand-out without the upstream's answer.
 
     REFUSED: it did not start the attempt and never will.
--- a/sycamorefall/messages/envelope.py
+++ b/sycamorefall/messages/envelope.py
@@ -10,14 +10,14 @@
 import msgspec
 
 from sycamorefall import errors
-from sycamorefall.messages import attempts, loads, naming, records, work
+from sycamorefall.messages import attempts, loads, naming, records, scheduling
 
 Message = (
-    work.Heartbeat
-    | work.Waiting
-    | work.Claim
-    | work.NoWork
-    | work.AccountUpdate
+    scheduling.Heartbeat
+    | scheduling.Waiting
+    | scheduling.Claim
+    | scheduling.NoWork
+    | scheduling.AccountUpdate
     | attempts.AttemptQuery
     | attempts.AttemptReport
     | naming.UnknownNames
@@ -71,7 +71,7 @@
         errors.MessageRefused: The bytes are not an envelope.
 
     Example:
-        >>> sent = Envelope("router-1", 1, 7, work.Heartbeat())
+        >>> sent = Envelope("router-1", 1, 7, scheduling.Heartbeat())
         >>> decode_envelope(encode_envelope(sent)) == sent
         True
     """
--- a/sycamorefall/messages/records.py
+++ b/sycamorefall/messages/records.py
@@ -16,14 +16,14 @@
 
     Attributes:
         key: Its key.
-        made_at: Revision at which the key was made.
-        changed_at: Revision of its last change.
+        created_revision: Revision at which the key was made.
+        changed_revision: Revision of its last change.
         value: Its bytes.
     """
 
     key: str
-    made_at: int
-    changed_at: int
+    created_revision: int
+    changed_revision: int
     value: bytes
 
 
@@ -56,13 +56,13 @@
         revision: Up to which the sender knows the records.
         proven_at: When the sender's records were the newest for certain, by
             the subscriber's clock in seconds, or earlier.
-        able: Whether the sender's reads of the platform succeed.
+        reads_succeed: Whether the sender's reads of the platform succeed.
     """
 
     process: int
     revision: int
     proven_at: float
-    able: bool
+    reads_succeed: bool
 
 
 class FetchRecords(msgspec.Struct, frozen=True, array_like=True, tag="f"):
@@ -78,12 +78,12 @@
         since: The earlier revision; 0 if these are all records.
         revision: The later one.
         records: Those made or changed.
-        gone: Keys of those deleted.
+        deleted_keys: Keys of those deleted.
         fingerprint: Of the keys of all records at the later revision.
     """
 
     since: int
     revision: int
     records: tuple[Record, ...]
-    gone: tuple[str, ...]
+    deleted_keys: tuple[str, ...]
     fingerprint: int
--- a/sycamorefall/messages/work.py
+++ b/sycamorefall/messages/scheduling.py
@@ -20,20 +20,21 @@
 
     Attributes:
         stopping: Whether the sender takes nothing new.
-        room: Of a sidecar: slots that are free and that it knows no work
+        free_slots: Of a sidecar: slots that are free and that it knows no work
             for, a hint for routers; 0 of a router.
         vms_revision: Revision of the VM list in use.
         fingerprint: Differs between processes whose documents differ; 0 of
             a process that is starting.
-        second: Of a sidecar with room: its clock, in whole seconds. An offer
+        clock_seconds: Of a sidecar with room: its clock, in whole seconds. An
+            offer
             on this hint brings it back.
     """
 
     stopping: bool = False
-    room: int = 0
+    free_slots: int = 0
     vms_revision: int = 0
     fingerprint: int = 0
-    second: int = 0
+    clock_seconds: int = 0
 
 
 class TeamWaiting(msgspec.Struct, frozen=True, array_like=True):
@@ -92,7 +93,7 @@
 
     Attributes:
         team: The team's name.
-        label: The owner: VM name and incarnation.
+        owner: The owner: VM name and incarnation.
         sequence: Grows with each change by the owner.
         served: Cost units charged so far.
         reserved: Estimated units of claims and runs in flight.
@@ -100,7 +101,7 @@
     """
 
     team: Name
-    label: Name
+    owner: Name
     sequence: int
     served: float
     reserved: float
--- a/sycamorefall/names.py
+++ b/sycamorefall/names.py
@@ -14,9 +14,9 @@
     "compact_envelope",
     "compact_envelopes",
     "expand_envelope",
-    "forget_told",
-    "keep_peers",
-    "learn_names",
+    "mark_undefined",
+    "retain_peers",
+    "update_digests",
 ]
 
 from collections.abc import Callable, Collection, Iterable, Iterator
@@ -31,11 +31,11 @@
 Rename = Callable[[str | int], str | int]
 
 
-DIGESTS = 1 << 31
+DIGEST_FLAG = 1 << 31
 """Numbers from here on are digests of teams in the operators' text."""
 
 
-MOST_NUMBERED = 1000
+MAX_NUMBERED_TEAMS = 1000
 """Teams of a text up to which each is numbered rather than digested."""
 
 
@@ -73,7 +73,7 @@
     lacking: dict[str, set[int]] = dataclasses.field(default_factory=dict)
 
 
-def learn_names(table: NameTable, names: Collection[str]) -> None:
+def update_digests(table: NameTable, names: Collection[str]) -> None:
     """Learns the teams in the operators' text, in place of an older text's.
 
     A few teams get no digests: a number is shorter and soon defined on every
@@ -88,12 +88,12 @@
 
     Example:
         >>> table = NameTable()
-        >>> learn_names(table, [f"member-{n}" for n in range(2000)])
+        >>> update_digests(table, [f"member-{n}" for n in range(2000)])
         >>> len(table.by_digest)
         2000
     """
     before = table.digests
-    if len(names) <= MOST_NUMBERED:
+    if len(names) <= MAX_NUMBERED_TEAMS:
         names = ()
     table.digests, table.by_digest = {}, {}
     shared: set[int] = set()
@@ -115,7 +115,7 @@
 
 def _digest(name: str) -> int:
     data = hashlib.blake2b(name.encode(), digest_size=4).digest()
-    return int.from_bytes(data, "big") | DIGESTS
+    return int.from_bytes(data, "big") | DIGEST_FLAG
 
 
 def compact_envelope(
@@ -254,7 +254,7 @@
     def find_name(index: str | int) -> str:
         if isinstance(index, str):
             return index  # A sender may also write a name out.
-        known = table.by_digest if index >= DIGESTS else peer.names
+        known = table.by_digest if index >= DIGEST_FLAG else peer.names
         name = known.get(index)
         if name is None:
             unknown[index] = None
@@ -267,7 +267,9 @@
     return msgspec.structs.replace(envelope, message=message, names=()), ()
 
 
-def forget_told(table: NameTable, peer: str, indexes: Collection[int]) -> None:
+def mark_undefined(
+    table: NameTable, peer: str, indexes: Collection[int]
+) -> None:
     """Notes that a peer lacks names, so that they are defined to it again."""
     told = table.told.get(peer, 0)
     for index in indexes:
@@ -278,7 +280,7 @@
     table.told[peer] = told
 
 
-def keep_peers(table: NameTable, names: Collection[str]) -> None:
+def retain_peers(table: NameTable, names: Collection[str]) -> None:
     """Forgets peers that are not among the named VMs."""
     for part in (table.told, table.peers, table.lacking):
         for name in part.keys() - set(names):
@@ -302,7 +304,7 @@
             entries = tuple(
                 messages.AccountEntry(
                     rename(entry.team),
-                    rename(entry.label),
+                    rename(entry.owner),
                     entry.sequence,
                     entry.served,
                     entry.reserved,
--- a/sycamorefall/node.py
+++ b/sycamorefall/node.py
@@ -15,7 +15,7 @@
     membership,
     messages,
     observation,
-    publication,
+    platform_reader,
     replication,
     settings,
     transport,
@@ -42,7 +42,7 @@
         run_timers: Does what has come due.
         find_next_due: Tells when something is due next.
         apply_configuration: Called after a text or list came into force.
-        perform: Carries out effects that are not messages.
+        perform_effects: Carries out effects that are not messages.
         is_idle: Whether nothing is in progress, so a stopping node may end.
         begin_stop: Makes the decisions take nothing new.
     """
@@ -55,7 +55,7 @@
     run_timers: Callable[[float], Iterable]
     find_next_due: Callable[[], float]
     apply_configuration: Callable[[], None]
-    perform: Callable[[object], None]
+    perform_effects: Callable[[object], None]
     is_idle: Callable[[], bool]
     begin_stop: Callable[[], None]
 
@@ -88,11 +88,11 @@
     control: transport.ControlLinks
     client: transport.HttpClient
     server: transport.HttpServer
-    reader: publication.PlatformReader
+    reader: platform_reader.PlatformReader
     authenticator: authentication.Authenticator
     log: observation.LogWriter
     replica: replication.ReplicaState
-    exchanger: replication.Exchanger
+    exchanger: replication.DocumentExchanger
     settings: settings.RouterSettings | settings.SidecarSettings
     operators: transport.HttpServer | None = None
     watch_turn: tuple[int, int] = (0, 0)
@@ -146,7 +146,7 @@
     server = transport.HttpServer(
         config.listen.data,
         config.limits,
-        lambda call: node.exchanger.answer(call) or on_call(call),
+        lambda call: node.exchanger.handle_call(call) or on_call(call),
     ).register(loop)
     replica = replication.create_state(
         core.vm,
@@ -155,14 +155,14 @@
         config.peers.list_addresses(),
         seed=core.incarnation,
     )
-    reader = publication.PlatformReader(
+    reader = platform_reader.PlatformReader(
         config.platform,
         client,
         _make_takers(replica, lambda events: _handle_events(node, events)),
         core.vm,
         seed=core.incarnation,
     )
-    exchanger = replication.Exchanger(
+    exchanger = replication.DocumentExchanger(
         replica,
         client,
         authenticator,
@@ -245,19 +245,19 @@
             server.begin_stop()
 
 
-def perform(node: Node, outcome: Iterable) -> None:
+def perform_effects(node: Node, outcome: Iterable) -> None:
     """Carries out effects: messages here, all others by the node's shell."""
     for effect in outcome:
-        if isinstance(effect, effects.Send):
+        if isinstance(effect, effects.SendMessage):
             envelope = messages.Envelope(
                 node.core.vm,
                 node.core.incarnation,
                 node.core.versions.in_force,
-                replication.stamp_message(node.replica, effect.message),
+                replication.add_replica_info(node.replica, effect.message),
             )
             node.control.send(effect.to, envelope)
         else:
-            node.core.perform(effect)
+            node.core.perform_effects(effect)
 
 
 def _find_control(directory: membership.Directory, name: str) -> str | None:
@@ -291,7 +291,7 @@
         server.expire(now)
     _run_replica(node, now)
     node.log.flush()
-    perform(node, node.core.run_timers(now))
+    perform_effects(node, node.core.run_timers(now))
     if node.stopping:
         _continue_stop(node, now)
 
@@ -326,7 +326,7 @@
     node.reader.run(now)
     node.exchanger.run(now)
     _handle_events(node, replication.try_settle(node.replica, now))
-    if membership.forget_departed(directory, now):
+    if membership.drop_departed(directory, now):
         node.control.keep_only(set(directory.vms))
 
 
@@ -337,7 +337,7 @@
     the number of watchers depends on it.
     """
     directory = node.core.directory
-    turn = (int(time.time() / polling.EPOCH), directory.revision)
+    turn = (int(time.time() / polling.EPOCH_SECONDS), directory.revision)
     if turn == node.watch_turn:
         return
     node.watch_turn = turn
@@ -354,25 +354,27 @@
 
 def _receive(node: Node, envelope: messages.Envelope) -> None:
     now = transport.read_clock()
-    replication.note_envelope(node.replica, now, envelope)
-    perform(node, node.core.receive(now, envelope))
+    replication.record_envelope(node.replica, now, envelope)
+    perform_effects(node, node.core.receive(now, envelope))
 
 
 def _make_takers(
     replica: replication.ReplicaState,
     handle: Callable[[list[replication.Event]], None],
-) -> publication.Takers:
-    return publication.Takers(
+) -> platform_reader.Takers:
+    return platform_reader.Takers(
         text=lambda published: handle(
-            replication.take_published_text(
+            replication.apply_published_text(
                 replica, published.revision, published.text
             )
         ),
-        vms=lambda vms: handle(replication.take_published_list(replica, vms)),
-        unchanged=lambda kind, revision: replication.take_unchanged(
+        vms=lambda vms: handle(replication.apply_published_list(replica, vms)),
+        unchanged=lambda kind, revision: replication.record_published_revision(
             replica, kind, revision
         ),
-        find_known=lambda kind: replication.find_known(replica, kind),
+        get_known_revision=lambda kind: replication.get_known_revision(
+            replica, kind
+        ),
     )
 
 
@@ -395,7 +397,7 @@
         _apply_changes(node, events)
     if replication.EventKind.TEXT_ADOPTED in kinds:
         in_force = node.core.versions.configuration
-        node.control.learn_names(in_force.teams)
+        node.control.update_digests(in_force.teams)
     if listed:
         node.control.keep_only(set(node.core.directory.vms))
     if replication.EventKind.PLATFORM_OLDER in kinds:
--- a/sycamorefall/pages.py
+++ b/sycamorefall/pages.py
@@ -154,7 +154,7 @@
 def _describe_replication(
     node: node_module.Node,
 ) -> status_module.ReplicationStatus:
-    versions = node.replica.judged
+    versions = node.replica.current_versions
     document = versions.document
     return status_module.ReplicationStatus(
         settled=node.replica.settled,
--- a/sycamorefall/platform/documents.py
+++ b/sycamorefall/platform/documents.py
@@ -258,6 +258,6 @@
         entry.zone,
         entry.slots,
         entry.state == _LEAVING,
-        record.made_at,
+        record.created_revision,
         entry.born or 0,
     )
--- a/sycamorefall/platform/store.py
+++ b/sycamorefall/platform/store.py
@@ -155,11 +155,11 @@
         if new or self._listed.keys() - entries.keys():
             self._adopt_entries(entries, new)
         self._decoded = {
-            key: record.changed_at for key, record in known.by_key.items()
+            key: record.changed_revision for key, record in known.by_key.items()
         }
 
     def _is_decoded(self, record: messages.Record) -> bool:
-        return self._decoded.get(record.key) == record.changed_at
+        return self._decoded.get(record.key) == record.changed_revision
 
     def _adopt_configuration(self, record: messages.Record) -> None:
         try:
--- a/sycamorefall/publication.py
+++ b/sycamorefall/platform_reader.py
@@ -49,13 +49,13 @@
         text: With each text read.
         vms: With each list read.
         unchanged: With the kind and revision of a value that was not sent.
-        find_known: Gives the revision in use of a kind.
+        get_known_revision: Gives the revision in use of a kind.
     """
 
     text: Callable[[PublishedText], None]
     vms: Callable[[membership.VmList], None]
     unchanged: Callable[[configuration.DocumentKind, int], None]
-    find_known: Callable[[configuration.DocumentKind], int]
+    get_known_revision: Callable[[configuration.DocumentKind], int]
 
 
 @dataclasses.dataclass(slots=True)
@@ -130,7 +130,7 @@
             _Feed(
                 kind,
                 path,
-                configuration.create_schedule(
+                configuration.create_read_schedule(
                     platform.poll_interval,
                     platform.start_spread,
                     # Processes of a restarted fleet may get the same number:
@@ -150,7 +150,7 @@
     def find_next_due(self) -> float:
         """Tells when a read is due next, or to be given up."""
         return min(
-            feed.until if feed.exchange else feed.schedule.next_at
+            feed.until if feed.exchange else feed.schedule.next_read_at
             for feed in self._feeds
         )
 
@@ -165,7 +165,7 @@
             if feed.exchange and feed.read.wait:
                 self._client.abort(feed.exchange)
                 feed.exchange = None
-            polling.hasten_read(feed.schedule, now)
+            polling.schedule_read_soon(feed.schedule, now)
 
     def run(self, now: float) -> None:
         """Sends the reads that are due and gives up late ones."""
@@ -173,11 +173,11 @@
             if feed.exchange and now >= feed.until:
                 self._client.abort(feed.exchange)
                 self._fail(feed)
-            if not feed.exchange and now >= feed.schedule.next_at:
+            if not feed.exchange and now >= feed.schedule.next_read_at:
                 self._send(feed, now)
 
     def _send(self, feed: _Feed, now: float) -> None:
-        known = self._takers.find_known(feed.kind)
+        known = self._takers.get_known_revision(feed.kind)
         feed.read = polling.plan_read(feed.schedule, known)
         feed.sent_at = now
         feed.parts, feed.size, feed.status, feed.headers = [], 0, 0, {}
@@ -208,7 +208,7 @@
         feed.exchange = None
         advice = _read_seconds(feed.headers.get("retry-after", ""))
         now = transport.read_clock()
-        polling.note_failure(feed.schedule, now, advice)
+        polling.record_failure(feed.schedule, now, advice)
 
     def _take_end(self, feed: _Feed) -> None:
         feed.exchange = None
@@ -223,7 +223,7 @@
     def _take_unchanged(self, feed: _Feed) -> None:
         now = transport.read_clock()
         waited = now - feed.sent_at >= WAITED * feed.read.wait
-        polling.note_answer(feed.schedule, now, feed.read, waited)
+        polling.record_response(feed.schedule, now, feed.read, waited)
         revision = feed.headers.get(REVISION_HEADER, "")
         shown = int(revision) if revision.isdecimal() else feed.read.after
         self._takers.unchanged(feed.kind, shown)
@@ -243,7 +243,7 @@
         # Nothing published yet, or nothing new: to be asked for again, but
         # not at once.
         useful = value.revision > (after or 0)
-        polling.note_answer(feed.schedule, now, feed.read, useful)
+        polling.record_response(feed.schedule, now, feed.read, useful)
         if is_text:
             self._takers.text(value)
         else:
--- a/sycamorefall/replication/__init__.py
+++ b/sycamorefall/replication/__init__.py
@@ -6,33 +6,33 @@
 
 __all__ = [
     "WARNINGS",
+    "DocumentExchanger",
     "Event",
     "EventKind",
-    "Exchanger",
     "ReplicaState",
+    "add_replica_info",
+    "apply_published_list",
+    "apply_published_text",
     "create_state",
     "describe_alarms",
-    "find_known",
-    "note_envelope",
-    "stamp_message",
-    "take_published_list",
-    "take_published_text",
-    "take_unchanged",
+    "get_known_revision",
+    "record_envelope",
+    "record_published_revision",
     "try_settle",
 ]
 
-from sycamorefall.replication.exchange import Exchanger
-from sycamorefall.replication.peers import note_envelope, stamp_message
+from sycamorefall.replication.exchange import DocumentExchanger
+from sycamorefall.replication.peers import add_replica_info, record_envelope
 from sycamorefall.replication.replica import (
     WARNINGS,
     Event,
     EventKind,
     ReplicaState,
+    apply_published_list,
+    apply_published_text,
     create_state,
     describe_alarms,
-    find_known,
-    take_published_list,
-    take_published_text,
-    take_unchanged,
+    get_known_revision,
+    record_published_revision,
 )
 from sycamorefall.replication.settling import try_settle
--- a/sycamorefall/replication/exchange.py
+++ b/sycamorefall/replication/exchange.py
@@ -1,6 +1,8 @@
 """Fetches documents from peers and serves them, over HTTP."""
 
-__all__ = ["Exchanger"]
+__all__ = [
+    "DocumentExchanger",
+]
 
 from collections.abc import Callable
 import dataclasses
@@ -17,7 +19,7 @@
 FETCH_TIMEOUT = 5.0
 """Seconds after which a fetch is given up."""
 
-LARGEST_ANSWER = 1 << 24
+MAX_RESPONSE_BYTES = 1 << 24
 """Bytes of a peer's answer that are taken at most."""
 
 Take = Callable[[bytes], None]
@@ -32,7 +34,7 @@
     exchange: transport.Exchange | None = None
 
 
-class Exchanger:
+class DocumentExchanger:
     """The I/O around a replica.
 
     Attributes:
@@ -90,10 +92,10 @@
         for fetch in late:
             self._client.abort(fetch.exchange)
             self._fail(fetch)
-        for address in peers.choose_addresses(self._state, now):
+        for address in peers.start_due_fetches(self._state, now):
             fetch = _Fetch(address, now + FETCH_TIMEOUT)
             self._fetches[address] = fetch
-            request = offers.make_request(self._state)
+            request = offers.create_offer_request(self._state)
             self._post(
                 fetch,
                 offers.OFFER_PATH,
@@ -101,7 +103,7 @@
                 lambda data, fetch=fetch: self._take_offer(fetch, data),
             )
 
-    def answer(self, call: transport.IncomingCall) -> bool:
+    def handle_call(self, call: transport.IncomingCall) -> bool:
         """Answers a peer's request.
 
         The text is the operators': who is not of the fleet, by a digest or
@@ -130,7 +132,7 @@
     def _is_peer(self, call: transport.IncomingCall) -> bool:
         if self._authenticator.enabled:
             signature = call.headers.get(messages.SIGNATURE_HEADER, "")
-            return self._authenticator.check_body(
+            return self._authenticator.verify_body(
                 call.path, call.body, signature
             )
         return peers.is_listed_host(self._state.directory, call.remote)
@@ -138,9 +140,9 @@
     def _make_answer(self, path: str, body: bytes) -> bytes:
         if path == offers.OFFER_PATH:
             request = offers.decode(body, offers.OfferRequest)
-            return offers.encode(offers.make_offer(self._state, request))
+            return offers.encode(offers.create_offer(self._state, request))
         wanted = offers.decode(body, offers.BlockRequest)
-        return offers.encode(offers.make_blocks(self._state, wanted))
+        return offers.encode(offers.collect_blocks(self._state, wanted))
 
     def _post(self, fetch: _Fetch, path: str, body: bytes, take: Take) -> None:
         self.fetches += 1
@@ -150,7 +152,7 @@
 
         def feed(data: bytes) -> None:
             parts.append(data)
-            if sum(map(len, parts)) > LARGEST_ANSWER:
+            if sum(map(len, parts)) > MAX_RESPONSE_BYTES:
                 self._client.abort(fetch.exchange)
                 self._fail(fetch)
 
@@ -158,7 +160,7 @@
             data = b"".join(parts)
             status, headers = heads[0]
             signature = headers.get(messages.SIGNATURE_HEADER.lower(), "")
-            signed = self._authenticator.check_body(path, data, signature)
+            signed = self._authenticator.verify_body(path, data, signature)
             if status != 200 or not signed:
                 self._fail(fetch)
                 return
@@ -189,7 +191,7 @@
     def _take_offer(self, fetch: _Fetch, data: bytes) -> None:
         self.bytes_received += len(data)
         offer = offers.decode(data, offers.Offer)
-        wanted = offers.plan_blocks(self._state, offer)
+        wanted = offers.create_block_request(self._state, offer)
         if not wanted.names:
             self._end(fetch, offer, offers.Blocks(()))
             return
@@ -209,11 +211,11 @@
     def _end(
         self, fetch: _Fetch, offer: offers.Offer, blocks: offers.Blocks
     ) -> None:
-        events, is_whole = offers.take_blocks(self._state, offer, blocks)
+        events, is_whole = offers.apply_offer(self._state, offer, blocks)
         if is_whole:
             self._fetches.pop(fetch.address, None)
             now = transport.read_clock()
-            peers.note_success(self._state, now, fetch.address, offer.settled)
+            peers.record_success(self._state, now, fetch.address, offer.settled)
         else:
             self._fail(fetch)
         self._on_events(events)
@@ -222,4 +224,4 @@
         self.failures += 1
         self._fetches.pop(fetch.address, None)
         now = transport.read_clock()
-        peers.note_failure(self._state, now, fetch.address)
+        peers.record_failure(self._state, now, fetch.address)
--- a/sycamorefall/replication/offers.py
+++ b/sycamorefall/replication/offers.py
@@ -7,13 +7,13 @@
     "Blocks",
     "Offer",
     "OfferRequest",
+    "apply_offer",
+    "collect_blocks",
+    "create_block_request",
+    "create_offer",
+    "create_offer_request",
     "decode",
     "encode",
-    "make_blocks",
-    "make_offer",
-    "make_request",
-    "plan_blocks",
-    "take_blocks",
 ]
 
 import itertools
@@ -89,12 +89,12 @@
         raise errors.MessageRefused(str(fault)) from fault
 
 
-def make_request(state: replica.ReplicaState) -> OfferRequest:
+def create_offer_request(state: replica.ReplicaState) -> OfferRequest:
     """Tells which documents this process holds."""
     return OfferRequest(replica.list_heads(state))
 
 
-def make_offer(state: replica.ReplicaState, request: OfferRequest) -> Offer:
+def create_offer(state: replica.ReplicaState, request: OfferRequest) -> Offer:
     """Answers a peer with what it lacks.
 
     A starting process offers nothing: what it read may be a stale platform's
@@ -111,14 +111,16 @@
         return Offer(settled=False)
     known = {head.kind: head.key for head in request.heads}
     manifests = (
-        configuration.make_manifest(kind, document)
+        configuration.create_manifest(kind, document)
         for kind, document in replica.list_documents(state).items()
         if document.key > known.get(kind, (0, ""))
     )
     return Offer(True, replica.list_heads(state), tuple(manifests))
 
 
-def make_blocks(state: replica.ReplicaState, request: BlockRequest) -> Blocks:
+def collect_blocks(
+    state: replica.ReplicaState, request: BlockRequest
+) -> Blocks:
     """Gives the wanted blocks that this process holds."""
     held = {block.name: block for block in _list_blocks(state)}
     return Blocks(tuple(held[name] for name in request.names if name in held))
@@ -131,18 +133,20 @@
     return list(itertools.chain.from_iterable(one.blocks for one in held))
 
 
-def plan_blocks(state: replica.ReplicaState, offer: Offer) -> BlockRequest:
+def create_block_request(
+    state: replica.ReplicaState, offer: Offer
+) -> BlockRequest:
     """Finds the blocks of an offer that this process lacks."""
     held = _list_blocks(state)
     missing = (
-        configuration.list_missing(manifest, held)
+        configuration.list_missing_blocks(manifest, held)
         for manifest in offer.manifests
     )
     names = dict.fromkeys(itertools.chain.from_iterable(missing))
     return BlockRequest(tuple(names))
 
 
-def take_blocks(
+def apply_offer(
     state: replica.ReplicaState, offer: Offer, fetched: Blocks
 ) -> tuple[list[replica.Event], bool]:
     """Takes an offer's documents.
@@ -163,6 +167,6 @@
         if document is None:
             is_whole = False
             continue
-        events += replica.take_document(state, manifest.head.kind, document)
-    events += replica.note_heads(state, offer.heads)
+        events += replica.apply_document(state, manifest.head.kind, document)
+    events += replica.detect_conflict(state, offer.heads)
     return events, is_whole
--- a/sycamorefall/replication/peers.py
+++ b/sycamorefall/replication/peers.py
@@ -1,13 +1,13 @@
 """Which peer is asked for newer documents, and when; no I/O."""
 
 __all__ = [
-    "choose_addresses",
+    "add_replica_info",
     "find_next_due",
     "fingerprint",
-    "note_envelope",
-    "note_failure",
-    "note_success",
-    "stamp_message",
+    "record_envelope",
+    "record_failure",
+    "record_success",
+    "start_due_fetches",
 ]
 
 import dataclasses
@@ -21,16 +21,16 @@
 FETCH_JITTER = 0.3
 """Seconds over which peers that hear of a revision begin to fetch it."""
 
-ASKED_AT_ONCE = 3
+MAX_STARTUP_FETCHES = 3
 """Peers that a starting process asks at a time."""
 
-START_TICK = 0.25
+CHOICE_INTERVAL = 0.25
 """Seconds between two looks of a starting process at whom to ask."""
 
-FIRST_BACKOFF = 1.0
+INITIAL_BACKOFF = 1.0
 """Seconds until a peer that failed is asked again, before jitter."""
 
-LONGEST_BACKOFF = 30.0
+MAX_BACKOFF = 30.0
 """Seconds until a peer that failed often is asked again, before jitter."""
 
 
@@ -45,7 +45,7 @@
     return zlib.crc32(heads) or 1
 
 
-def stamp_message(
+def add_replica_info(
     state: replica.ReplicaState, message: messages.Message
 ) -> messages.Message:
     """Adds to a heartbeat what its sender holds."""
@@ -58,7 +58,7 @@
     )
 
 
-def note_envelope(
+def record_envelope(
     state: replica.ReplicaState, now: float, envelope: messages.Envelope
 ) -> None:
     """Notes from a control message what its sender holds.
@@ -71,7 +71,7 @@
     sender, message = envelope.sender, envelope.message
     if sender == state.vm or sender not in state.directory.vms:
         return
-    known = state.views.get(sender, replica.PeerView())
+    known = state.peer_views.get(sender, replica.PeerView())
     if isinstance(message, messages.Heartbeat):
         view = replica.PeerView(
             envelope.revision, message.vms_revision, message.fingerprint
@@ -80,23 +80,23 @@
         view = dataclasses.replace(known, text=envelope.revision)
     if view == known:
         return
-    state.views[sender] = view
+    state.peer_views[sender] = view
     _judge_view(state, now, sender)
 
 
 def _judge_view(state: replica.ReplicaState, now: float, name: str) -> None:
     if not _may_be_ahead(state, name):
-        state.ahead.discard(name)
+        state.peers_ahead.discard(name)
         return
-    if not state.ahead:
+    if not state.peers_ahead:
         soon = now + state.jitter.uniform(0.0, FETCH_JITTER)
-        state.next_fetch = max(state.next_fetch, soon)
-    state.ahead.add(name)
+        state.next_fetch_at = max(state.next_fetch_at, soon)
+    state.peers_ahead.add(name)
 
 
 def _may_be_ahead(state: replica.ReplicaState, name: str) -> bool:
-    view = state.views[name]
-    if not view.fingerprint or state.asked.get(name) == view:
+    view = state.peer_views[name]
+    if not view.fingerprint or state.fetched_views.get(name) == view:
         return False
     text, vms = state.versions.in_force, state.directory.revision
     if view.text > text or view.vms > vms:
@@ -105,19 +105,19 @@
     return same and view.fingerprint != fingerprint(state)
 
 
-def judge_all_views(state: replica.ReplicaState, now: float) -> None:
+def update_peers_ahead(state: replica.ReplicaState, now: float) -> None:
     """Finds anew who may be ahead, after a document was taken."""
-    state.views = {
+    state.peer_views = {
         name: view
-        for name, view in state.views.items()
+        for name, view in state.peer_views.items()
         if name in state.directory.vms
     }
-    state.ahead &= state.views.keys()
-    for name in state.views:
+    state.peers_ahead &= state.peer_views.keys()
+    for name in state.peer_views:
         _judge_view(state, now, name)
 
 
-def choose_addresses(state: replica.ReplicaState, now: float) -> list[str]:
+def start_due_fetches(state: replica.ReplicaState, now: float) -> list[str]:
     """Chooses the data addresses of peers to be asked now.
 
     A starting process asks several at a time; a settled one asks one of
@@ -131,12 +131,12 @@
     Returns:
         Addresses, `IP:port`.
     """
-    if now < state.next_fetch:
+    if now < state.next_fetch_at:
         return []
     if state.settled:
         chosen = _choose_ahead(state, now)
     else:
-        state.next_fetch = now + START_TICK
+        state.next_fetch_at = now + CHOICE_INTERVAL
         chosen = _choose_any(state, now)
     state.fetching.update(chosen)
     return chosen
@@ -147,19 +147,19 @@
         return []
     free = [
         (name, state.directory.vms[name].data)
-        for name in sorted(state.ahead)
+        for name in sorted(state.peers_ahead)
         if name in state.directory.vms
-        and state.blocked.get(state.directory.vms[name].data, 0.0) <= now
+        and state.blocked_until.get(state.directory.vms[name].data, 0.0) <= now
     ]
     if not free:
-        state.next_fetch = now + START_TICK
+        state.next_fetch_at = now + CHOICE_INTERVAL
         return []
     name, address = state.jitter.choice(free)
-    state.asked[name] = state.views[name]
+    state.fetched_views[name] = state.peer_views[name]
     return [address]
 
 
-def list_others(state: replica.ReplicaState) -> list[str]:
+def list_peer_addresses(state: replica.ReplicaState) -> list[str]:
     """Lists the data addresses of all other processes that are known."""
     own = state.directory.vms.get(state.vm)
     listed = [
@@ -176,26 +176,28 @@
 def _choose_any(state: replica.ReplicaState, now: float) -> list[str]:
     free = [
         address
-        for address in list_others(state)
+        for address in list_peer_addresses(state)
         if address not in state.fetching
-        and not state.answers.get(address)
-        and state.blocked.get(address, 0.0) <= now
+        and not state.settled_by_address.get(address)
+        and state.blocked_until.get(address, 0.0) <= now
+    ]
+    fresh = [
+        address for address in free if address not in state.tried_addresses
     ]
-    fresh = [address for address in free if address not in state.tried]
     pool = fresh or free
-    room = min(ASKED_AT_ONCE - len(state.fetching), len(pool))
+    room = min(MAX_STARTUP_FETCHES - len(state.fetching), len(pool))
     chosen = state.jitter.sample(pool, max(0, room))
-    state.tried.update(chosen)
+    state.tried_addresses.update(chosen)
     return chosen
 
 
 def find_next_due(state: replica.ReplicaState) -> float:
-    """Tells when `choose_addresses` may choose someone next."""
-    waits = state.settled and (state.fetching or not state.ahead)
-    return float("inf") if waits else state.next_fetch
+    """Tells when `start_due_fetches` may choose someone next."""
+    waits = state.settled and (state.fetching or not state.peers_ahead)
+    return float("inf") if waits else state.next_fetch_at
 
 
-def note_success(
+def record_success(
     state: replica.ReplicaState, now: float, address: str, settled: bool
 ) -> None:
     """Notes that a peer answered.
@@ -208,14 +210,16 @@
     """
     state.fetching.discard(address)
     state.failures.pop(address, None)
-    state.answers[address] = settled
+    state.settled_by_address[address] = settled
     if not settled:
-        pause = FIRST_BACKOFF * state.jitter.uniform(0.5, 1.5)
-        state.blocked[address] = now + pause
-    judge_all_views(state, now)
+        pause = INITIAL_BACKOFF * state.jitter.uniform(0.5, 1.5)
+        state.blocked_until[address] = now + pause
+    update_peers_ahead(state, now)
 
 
-def note_failure(state: replica.ReplicaState, now: float, address: str) -> None:
+def record_failure(
+    state: replica.ReplicaState, now: float, address: str
+) -> None:
     """Notes that a peer gave no answer, or one of no use.
 
     Only this process's own link is judged: others may reach that peer.
@@ -228,13 +232,13 @@
     state.fetching.discard(address)
     failed = state.failures.get(address, 0)
     state.failures[address] = failed + 1
-    longest = LONGEST_BACKOFF if state.settled else 2 * FIRST_BACKOFF
-    pause = min(longest, FIRST_BACKOFF * 2.0 ** min(failed, 8))
-    state.blocked[address] = now + pause * state.jitter.uniform(0.5, 1.5)
+    longest = MAX_BACKOFF if state.settled else 2 * INITIAL_BACKOFF
+    pause = min(longest, INITIAL_BACKOFF * 2.0 ** min(failed, 8))
+    state.blocked_until[address] = now + pause * state.jitter.uniform(0.5, 1.5)
     for name, vm in state.directory.vms.items():
         if vm.data == address:
-            state.asked.pop(name, None)
-    judge_all_views(state, now)
+            state.fetched_views.pop(name, None)
+    update_peers_ahead(state, now)
 
 
 def is_listed_host(directory: membership.Directory, host: str) -> bool:
--- a/sycamorefall/replication/replica.py
+++ b/sycamorefall/replication/replica.py
@@ -6,16 +6,16 @@
     "EventKind",
     "PeerView",
     "ReplicaState",
+    "apply_document",
+    "apply_published_list",
+    "apply_published_text",
     "create_state",
     "describe_alarms",
-    "find_known",
+    "detect_conflict",
+    "get_known_revision",
     "list_documents",
     "list_heads",
-    "note_heads",
-    "take_document",
-    "take_published_list",
-    "take_published_text",
-    "take_unchanged",
+    "record_published_revision",
 ]
 
 import dataclasses
@@ -85,22 +85,24 @@
         vm: This VM's name.
         versions: The configuration in force; empty until settled.
         directory: The VMs of the fleet.
-        draft: Texts read before the process is settled.
+        startup_versions: Texts read before the process is settled.
         fixed_peers: Data addresses to ask before any list is known.
         jitter: Source of jitter and choice.
         settled: Whether peers and platform were asked since the start.
-        published: The platform's last answered revision by kind.
-        lagging: The platform's revision by kind, where it is lower than ours.
-        views: What peers said, by VM name.
-        asked: What a peer had said when it was last asked, by VM name.
-        ahead: Peers that may have something newer.
-        answers: Whether a peer was settled when it answered, by address.
+        published_revisions: The platform's last answered revision by kind.
+        lagging_revisions: The platform's revision by kind, where it is lower
+            than ours.
+        peer_views: What peers said, by VM name.
+        fetched_views: What a peer had said when it was last asked, by VM name.
+        peers_ahead: Peers that may have something newer.
+        settled_by_address: Whether a peer was settled when it answered, by
+            address.
         failures: Failed fetches in a row, by address.
-        blocked: When an address may be asked again.
+        blocked_until: When an address may be asked again.
         fetching: Addresses that are being asked.
-        next_fetch: When the next fetch is due.
-        tried: Addresses tried since the start, until settled.
-        settle_by: When a starting fleet need not wait for more answers.
+        next_fetch_at: When the next fetch is due.
+        tried_addresses: Addresses tried since the start, until settled.
+        grace_ends_at: When a starting fleet need not wait for more answers.
     """
 
     vm: str
@@ -110,27 +112,31 @@
     jitter: random.Random = dataclasses.field(
         default_factory=lambda: random.Random(0)
     )
-    draft: configuration.VersionState = dataclasses.field(
+    startup_versions: configuration.VersionState = dataclasses.field(
         default_factory=configuration.VersionState
     )
     settled: bool = False
-    published: dict[Kind, int] = dataclasses.field(default_factory=dict)
-    lagging: dict[Kind, int] = dataclasses.field(default_factory=dict)
-    views: dict[str, PeerView] = dataclasses.field(default_factory=dict)
-    asked: dict[str, PeerView] = dataclasses.field(default_factory=dict)
-    ahead: set[str] = dataclasses.field(default_factory=set)
-    answers: dict[str, bool] = dataclasses.field(default_factory=dict)
+    published_revisions: dict[Kind, int] = dataclasses.field(
+        default_factory=dict
+    )
+    lagging_revisions: dict[Kind, int] = dataclasses.field(default_factory=dict)
+    peer_views: dict[str, PeerView] = dataclasses.field(default_factory=dict)
+    fetched_views: dict[str, PeerView] = dataclasses.field(default_factory=dict)
+    peers_ahead: set[str] = dataclasses.field(default_factory=set)
+    settled_by_address: dict[str, bool] = dataclasses.field(
+        default_factory=dict
+    )
     failures: dict[str, int] = dataclasses.field(default_factory=dict)
-    blocked: dict[str, float] = dataclasses.field(default_factory=dict)
+    blocked_until: dict[str, float] = dataclasses.field(default_factory=dict)
     fetching: set[str] = dataclasses.field(default_factory=set)
-    next_fetch: float = 0.0
-    tried: set[str] = dataclasses.field(default_factory=set)
-    settle_by: float = 0.0
+    next_fetch_at: float = 0.0
+    tried_addresses: set[str] = dataclasses.field(default_factory=set)
+    grace_ends_at: float = 0.0
 
     @property
-    def judged(self) -> configuration.VersionState:
+    def current_versions(self) -> configuration.VersionState:
         """Where texts are offered: the draft until settled."""
-        return self.versions if self.settled else self.draft
+        return self.versions if self.settled else self.startup_versions
 
 
 def create_state(
@@ -161,14 +167,14 @@
 ) -> dict[Kind, configuration.Document]:
     """Lists the documents that this process holds, by kind."""
     held = {
-        Kind.TEXT: state.judged.document,
-        Kind.REFUSED: state.judged.refused,
+        Kind.TEXT: state.current_versions.document,
+        Kind.REFUSED: state.current_versions.refused,
         Kind.VMS: state.directory.document,
     }
     return {kind: held[kind] for kind in held if held[kind] is not None}
 
 
-def take_published_text(
+def apply_published_text(
     state: ReplicaState, revision: int, text: str
 ) -> list[Event]:
     """Takes the operators' text as the platform published it.
@@ -181,14 +187,14 @@
     Returns:
         What changed.
     """
-    take_unchanged(state, Kind.TEXT, revision)
+    record_published_revision(state, Kind.TEXT, revision)
     if revision < 1:
         return []
     document = configuration.create_document(revision, text)
-    return take_document(state, Kind.TEXT, document)
+    return apply_document(state, Kind.TEXT, document)
 
 
-def take_published_list(
+def apply_published_list(
     state: ReplicaState, vms: membership.VmList
 ) -> list[Event]:
     """Takes the list of VMs as the platform published it.
@@ -200,11 +206,13 @@
     Returns:
         What changed.
     """
-    take_unchanged(state, Kind.VMS, vms.revision)
+    record_published_revision(state, Kind.VMS, vms.revision)
     return _replace_list(state, vms) if vms.revision >= 1 else []
 
 
-def take_unchanged(state: ReplicaState, kind: Kind, revision: int) -> None:
+def record_published_revision(
+    state: ReplicaState, kind: Kind, revision: int
+) -> None:
     """Notes the platform's revision of a value.
 
     Guards against a platform that was rebuilt and counts from a low number:
@@ -217,21 +225,21 @@
         kind: Which value.
         revision: The platform's revision of it.
     """
-    state.published[kind] = revision
-    if revision < find_known(state, kind):
-        state.lagging[kind] = revision
+    state.published_revisions[kind] = revision
+    if revision < get_known_revision(state, kind):
+        state.lagging_revisions[kind] = revision
     else:
-        state.lagging.pop(kind, None)
+        state.lagging_revisions.pop(kind, None)
 
 
-def find_known(state: ReplicaState, kind: Kind) -> int:
+def get_known_revision(state: ReplicaState, kind: Kind) -> int:
     """Finds the newest revision of a kind that this process has judged."""
     if kind is Kind.TEXT:
-        return state.judged.revision
+        return state.current_versions.revision
     return state.directory.revision
 
 
-def take_document(
+def apply_document(
     state: ReplicaState, kind: Kind, document: configuration.Document
 ) -> list[Event]:
     """Takes a document if it is newer, whoever it comes from.
@@ -246,11 +254,11 @@
     """
     if kind is not Kind.VMS:
         return _offer_text(state, document)
-    vms = membership.read_list_document(document)
+    vms = membership.parse_vm_list_document(document)
     return [] if vms is None else _replace_list(state, vms)
 
 
-def note_heads(
+def detect_conflict(
     state: ReplicaState, heads: tuple[configuration.DocumentHead, ...]
 ) -> list[Event]:
     """Notes that a peer holds another text under the revision in force.
@@ -262,11 +270,11 @@
     Returns:
         The conflict, if it is new.
     """
-    versions = state.judged
+    versions = state.current_versions
     before = versions.conflict
     for head in heads:
         if head.kind in (Kind.TEXT, Kind.RIVAL):
-            configuration.note_rival(versions, head.revision, head.digest)
+            configuration.record_rival(versions, head.revision, head.digest)
     if versions.conflict in ("", before):
         return []
     return [Event(EventKind.TEXT_CONFLICT, versions.conflict)]
@@ -278,7 +286,7 @@
         configuration.DocumentHead(kind, document.revision, document.digest)
         for kind, document in list_documents(state).items()
     ]
-    versions = state.judged
+    versions = state.current_versions
     if versions.rival:
         heads.append(
             configuration.DocumentHead(
@@ -289,7 +297,7 @@
 
 
 def _replace_list(state: ReplicaState, vms: membership.VmList) -> list[Event]:
-    if not membership.replace_list(state.directory, vms):
+    if not membership.apply_vm_list(state.directory, vms):
         return []
     return [Event(EventKind.LIST_REPLACED, f"revision {vms.revision}")]
 
@@ -297,11 +305,11 @@
 def _offer_text(
     state: ReplicaState, document: configuration.Document
 ) -> list[Event]:
-    versions = state.judged
+    versions = state.current_versions
     conflict, refusal = versions.conflict, versions.refusal
-    adoption = configuration.offer_document(versions, document)
+    adoption = configuration.submit_document(versions, document)
     events: list[Event] = []
-    if adoption is configuration.Adoption.ADOPTED and state.settled:
+    if adoption is configuration.SubmitOutcome.ADOPTED and state.settled:
         detail = f"revision {document.revision}"
         events.append(Event(EventKind.TEXT_ADOPTED, detail))
     if versions.refusal and versions.refusal != refusal:
@@ -317,5 +325,5 @@
     return tuple(
         f"the platform shows {kind.value} revision {revision}, lower than the "
         "one in use: it is ignored until it is higher"
-        for kind, revision in state.lagging.items()
+        for kind, revision in state.lagging_revisions.items()
     )
--- a/sycamorefall/replication/settling.py
+++ b/sycamorefall/replication/settling.py
@@ -6,16 +6,16 @@
 
 from sycamorefall.replication import peers, replica
 
-ENOUGH_PEERS = 3
+MIN_ANSWERS = 3
 """Peers whose answer is waited for, if there are so many."""
 
-ENOUGH_STARTING = 5
+MIN_STARTING_PEERS = 5
 """Starting peers that show that the whole fleet is starting."""
 
 PLATFORM_KINDS = (replica.Kind.TEXT, replica.Kind.VMS)
 """What the platform publishes."""
 
-START_GRACE = 5.0
+STARTUP_GRACE = 5.0
 """Seconds until fewer starting peers are enough."""
 
 
@@ -41,9 +41,13 @@
     if state.settled or not _has_asked_enough(state, now):
         return []
     state.settled = True
-    for field in dataclasses.fields(state.draft):
-        setattr(state.versions, field.name, getattr(state.draft, field.name))
-    peers.judge_all_views(state, now)
+    for field in dataclasses.fields(state.startup_versions):
+        setattr(
+            state.versions,
+            field.name,
+            getattr(state.startup_versions, field.name),
+        )
+    peers.update_peers_ahead(state, now)
     detail = f"revision {state.versions.in_force}"
     adopted = replica.Event(replica.EventKind.TEXT_ADOPTED, detail)
     return [adopted, *_compare_platform(state)]
@@ -52,8 +56,8 @@
 def _compare_platform(state: replica.ReplicaState) -> list[replica.Event]:
     events: list[replica.Event] = []
     for kind in PLATFORM_KINDS:
-        shown = state.published.get(kind)
-        known = replica.find_known(state, kind)
+        shown = state.published_revisions.get(kind)
+        known = replica.get_known_revision(state, kind)
         if shown is not None and shown < known:
             detail = f"{kind.value} revision {shown}, peers had {known}"
             event = replica.EventKind.PLATFORM_OLDER
@@ -62,30 +66,33 @@
 
 
 def _has_asked_enough(state: replica.ReplicaState, now: float) -> bool:
-    if state.draft.configuration is None or not state.directory.revision:
+    if (
+        state.startup_versions.configuration is None
+        or not state.directory.revision
+    ):
         return False
-    others = peers.list_others(state)
-    platform_read = len(state.published) == len(PLATFORM_KINDS)
+    others = peers.list_peer_addresses(state)
+    platform_read = len(state.published_revisions) == len(PLATFORM_KINDS)
     if not others:
         return platform_read
-    if any(state.answers.values()):
-        return len(state.answers) >= min(
-            ENOUGH_PEERS, len(others)
+    if any(state.settled_by_address.values()):
+        return len(state.settled_by_address) >= min(
+            MIN_ANSWERS, len(others)
         ) or not _has_untried(state, others)
     return platform_read and _is_fleet_starting(state, now, others)
 
 
 def _has_untried(state: replica.ReplicaState, others: list[str]) -> bool:
-    return bool(state.fetching) or not state.tried.issuperset(others)
+    return bool(state.fetching) or not state.tried_addresses.issuperset(others)
 
 
 def _is_fleet_starting(
     state: replica.ReplicaState, now: float, others: list[str]
 ) -> bool:
-    if not state.answers:
+    if not state.settled_by_address:
         return False
-    if len(state.answers) >= min(ENOUGH_STARTING, len(others)):
+    if len(state.settled_by_address) >= min(MIN_STARTING_PEERS, len(others)):
         return True
-    if not state.settle_by:
-        state.settle_by = now + START_GRACE
-    return now >= state.settle_by
+    if not state.grace_ends_at:
+        state.grace_ends_at = now + STARTUP_GRACE
+    return now >= state.grace_ends_at
--- a/sycamorefall/replication/tests/test_replica.py
+++ b/sycamorefall/replication/tests/test_replica.py
@@ -36,14 +36,16 @@
 
 
 def read_platform(state, revision=1, weight=1, vms_revision=1):
-    replica.take_published_list(state, make_list(vms_revision))
-    return replica.take_published_text(state, revision, write_text(weight))
+    replica.apply_published_list(state, make_list(vms_revision))
+    return replica.apply_published_text(state, revision, write_text(weight))
 
 
 def create_settled(name, revision=1, weight=1, vms_revision=1):
     state = start_replica(name)
     read_platform(state, revision, weight, vms_revision)
-    state.answers = dict.fromkeys(peers.list_others(state), True)
+    state.settled_by_address = dict.fromkeys(
+        peers.list_peer_addresses(state), True
+    )
     settling.try_settle(state, 0.0)
     assert state.settled
     return state
@@ -51,21 +53,21 @@
 
 def fetch(state, now, source):
     """Carries one whole fetch from a source, and returns what changed."""
-    offer = offers.make_offer(source, offers.make_request(state))
-    wanted = offers.plan_blocks(state, offer)
-    blocks = offers.make_blocks(source, wanted)
-    events, is_whole = offers.take_blocks(state, offer, blocks)
+    offer = offers.create_offer(source, offers.create_offer_request(state))
+    wanted = offers.create_block_request(state, offer)
+    blocks = offers.collect_blocks(source, wanted)
+    events, is_whole = offers.apply_offer(state, offer, blocks)
     assert is_whole
     address = state.directory.vms[source.vm].data if source.vm else ""
-    peers.note_success(state, now, address, offer.settled)
+    peers.record_success(state, now, address, offer.settled)
     return events
 
 
 def hear(state, now, source):
-    beat = peers.stamp_message(source, messages.Heartbeat())
+    beat = peers.add_replica_info(source, messages.Heartbeat())
     revision = source.versions.in_force
     envelope = messages.Envelope(source.vm, 1, revision, beat)
-    peers.note_envelope(state, now, envelope)
+    peers.record_envelope(state, now, envelope)
 
 
 def test_higher_revision_is_fetched_from_the_peer_that_says_it():
@@ -73,7 +75,7 @@
     hear(old, 1.0, new)
     due = peers.find_next_due(old)
     assert due <= 1.0 + peers.FETCH_JITTER
-    assert peers.choose_addresses(old, due) == ["10.0.0.1:2"]
+    assert peers.start_due_fetches(old, due) == ["10.0.0.1:2"]
     fetch(old, due, new)
     assert old.versions.configuration.teams["a"].weight == 2
     assert peers.find_next_due(old) == float("inf")
@@ -82,15 +84,15 @@
 def test_lower_revision_is_not_asked_for():
     old, new = create_settled("a"), create_settled("b", 2)
     hear(new, 1.0, old)
-    assert peers.choose_addresses(new, 9.0) == []
+    assert peers.start_due_fetches(new, 9.0) == []
 
 
 def test_two_texts_under_one_revision_become_one_and_both_sides_show_it():
     one, two = create_settled("a", 2, weight=1), create_settled("b", 2, 2)
     hear(one, 1.0, two)
     hear(two, 1.0, one)
-    assert peers.choose_addresses(one, 9.0)
-    assert peers.choose_addresses(two, 9.0)
+    assert peers.start_due_fetches(one, 9.0)
+    assert peers.start_due_fetches(two, 9.0)
     fetch(one, 9.0, two)
     fetch(two, 9.0, one)
     assert one.versions.document.key == two.versions.document.key
@@ -108,7 +110,7 @@
     settling.try_settle(state, 0.0)
     assert state.versions.configuration is None
     peer = create_settled("b", 5, weight=5)
-    state.tried = set(peers.list_others(state))
+    state.tried_addresses = set(peers.list_peer_addresses(state))
     fetch(state, 1.0, peer)
     settling.try_settle(state, 1.0)
     assert state.versions.configuration.teams["a"].weight == 5
@@ -117,14 +119,14 @@
 def test_starting_process_waits_for_several_peers_in_a_large_fleet():
     state = start_replica("a")
     names = [f"vm-{index}" for index in range(9)]
-    replica.take_published_list(state, make_list(1, ["a", *names]))
-    replica.take_published_text(state, 1, write_text(1))
-    addresses = peers.choose_addresses(state, 0.0)
-    assert len(addresses) == peers.ASKED_AT_ONCE
+    replica.apply_published_list(state, make_list(1, ["a", *names]))
+    replica.apply_published_text(state, 1, write_text(1))
+    addresses = peers.start_due_fetches(state, 0.0)
+    assert len(addresses) == peers.MAX_STARTUP_FETCHES
     for number, address in enumerate(addresses):
         settling.try_settle(state, 1.0)
-        assert state.settled is (number >= settling.ENOUGH_PEERS)
-        peers.note_success(state, 1.0, address, settled=True)
+        assert state.settled is (number >= settling.MIN_ANSWERS)
+        peers.record_success(state, 1.0, address, settled=True)
     settling.try_settle(state, 1.0)
     assert state.settled
 
@@ -132,10 +134,10 @@
 def test_fleet_that_starts_as_a_whole_settles_on_the_platforms_text():
     state = start_replica("a")
     read_platform(state)
-    for address in peers.list_others(state):
+    for address in peers.list_peer_addresses(state):
         settling.try_settle(state, 1.0)
         assert not state.settled
-        peers.note_success(state, 1.0, address, settled=False)
+        peers.record_success(state, 1.0, address, settled=False)
     settling.try_settle(state, 1.0)
     assert state.settled
 
@@ -145,8 +147,8 @@
     read_platform(state)
     for step in range(100):
         now = float(step)
-        for address in peers.choose_addresses(state, now):
-            peers.note_failure(state, now, address)
+        for address in peers.start_due_fetches(state, now):
+            peers.record_failure(state, now, address)
         settling.try_settle(state, now)
     assert not state.settled
 
@@ -154,7 +156,7 @@
 def test_starting_process_offers_nothing_that_a_stale_platform_gave_it():
     state = start_replica("a")
     read_platform(state)
-    assert offers.make_offer(state, offers.OfferRequest(())) == offers.Offer(
+    assert offers.create_offer(state, offers.OfferRequest(())) == offers.Offer(
         settled=False
     )
 
@@ -175,9 +177,9 @@
     newer = create_settled("b", 2), create_settled("c", 2)
     for source in newer:
         hear(state, 1.0, source)
-    first = peers.choose_addresses(state, 9.0)
-    peers.note_failure(state, 9.0, first[0])
-    second = peers.choose_addresses(state, 9.0)
+    first = peers.start_due_fetches(state, 9.0)
+    peers.record_failure(state, 9.0, first[0])
+    second = peers.start_due_fetches(state, 9.0)
     assert first != second
     assert len(second) == 1
 
--- a/sycamorefall/replication/tests/test_replication_machine.py
+++ b/sycamorefall/replication/tests/test_replication_machine.py
@@ -98,7 +98,7 @@
     def send(self, name, outcome):
         process = self.processes[name]
         for effect in outcome:
-            if not isinstance(effect, effects.Send):
+            if not isinstance(effect, effects.SendMessage):
                 continue
             own = process.state.directory.vms.get(name)
             if isinstance(effect.message, messages.Claim):
@@ -107,7 +107,7 @@
                 name,
                 process.state.incarnation,
                 process.state.versions.in_force,
-                peers.stamp_message(process.replica, effect.message),
+                peers.add_replica_info(process.replica, effect.message),
             )
             self.wire.append((name, effect.to, envelope))
 
@@ -115,7 +115,7 @@
         if (sender, to) in self.cuts:
             return
         process = self.processes[to]
-        peers.note_envelope(process.replica, self.now, envelope)
+        peers.record_envelope(process.replica, self.now, envelope)
         news = process.core.receive_message(process.state, self.now, envelope)
         self.send(to, news)
 
@@ -154,27 +154,29 @@
 
     def take_published(self, name, revision, text, listed):
         held = self.processes[name].replica
-        self.take(name, replica.take_published_list(held, listed))
-        self.take(name, replica.take_published_text(held, revision, text))
-        peers.judge_all_views(held, self.now)
+        self.take(name, replica.apply_published_list(held, listed))
+        self.take(name, replica.apply_published_text(held, revision, text))
+        peers.update_peers_ahead(held, self.now)
         self.settle(name)
 
     @stateful.rule(name=names)
     def fetch(self, name):
         held = self.processes[name].replica
-        for address in peers.choose_addresses(held, self.now):
+        for address in peers.start_due_fetches(held, self.now):
             source = NAMES[int(address.split(".")[3].split(":")[0])]
             if {(name, source), (source, name)} & self.cuts:
-                peers.note_failure(held, self.now, address)
+                peers.record_failure(held, self.now, address)
                 continue
             other = self.processes[source].replica
-            offer = offers.make_offer(other, offers.make_request(held))
-            wanted = offers.plan_blocks(held, offer)
-            blocks = offers.make_blocks(other, wanted)
-            events, is_whole = offers.take_blocks(held, offer, blocks)
+            offer = offers.create_offer(
+                other, offers.create_offer_request(held)
+            )
+            wanted = offers.create_block_request(held, offer)
+            blocks = offers.collect_blocks(other, wanted)
+            events, is_whole = offers.apply_offer(held, offer, blocks)
             assert is_whole
             self.take(name, events)
-            peers.note_success(held, self.now, address, offer.settled)
+            peers.record_success(held, self.now, address, offer.settled)
         self.settle(name)
 
     @stateful.rule(index=st.integers(0, 200), again=st.booleans())
--- a/sycamorefall/router/announcement.py
+++ b/sycamorefall/router/announcement.py
@@ -38,7 +38,7 @@
 
 def announce_team(
     state: state_module.RouterState, now: float, service: str, team: str
-) -> list[effects.Send]:
+) -> list[effects.SendMessage]:
     """Notes that a team's waiting work changed.
 
     Nothing is sent yet: `announce_changes` does that, once what came in
@@ -75,9 +75,11 @@
 def find_next_announcement(state: state_module.RouterState) -> float:
     """Tells when `announce_changes` may send something next."""
     if any(_is_urgent(state, key) for key in state.changed):
-        return sharing.find_opening(state.announcing, URGENT_OVERDRAFT)
+        return sharing.compute_next_send_time(
+            state.announcing, URGENT_OVERDRAFT
+        )
     if state.changed:
-        return sharing.find_opening(state.announcing)
+        return sharing.compute_next_send_time(state.announcing)
     return float("inf")
 
 
@@ -94,7 +96,7 @@
 
 def announce_changes(
     state: state_module.RouterState, now: float
-) -> list[effects.Send]:
+) -> list[effects.SendMessage]:
     """Announces the teams whose waiting work changed enough to matter.
 
     Told are the change between none and some, and each doubling; sidecars
@@ -112,7 +114,7 @@
     state.changed.clear()
     if telling and not state.told:
         state.next_digest = max(state.next_digest, now + DIGEST_INTERVAL)
-    sends: list[effects.Send] = []
+    sends: list[effects.SendMessage] = []
     for service, keys in itertools.groupby(telling, lambda key: key[0]):
         teams = [team for _, team in keys]
         sends += _tell_teams(state, now, service, teams)
@@ -124,7 +126,7 @@
     now: float,
     service: str,
     teams: list[str],
-) -> list[effects.Send]:
+) -> list[effects.SendMessage]:
     """Tells of changes to as many sidecars as can do something about them.
 
     Guards against claims by everybody for the same few requests, most of
@@ -169,12 +171,14 @@
     """Tells when `announce_all` is due next; never while nothing waits."""
     if not state.told and not state.waiting.queues:
         return float("inf")
-    return max(state.next_digest, sharing.find_opening(state.announcing))
+    return max(
+        state.next_digest, sharing.compute_next_send_time(state.announcing)
+    )
 
 
 def announce_all(
     state: state_module.RouterState, now: float
-) -> list[effects.Send]:
+) -> list[effects.SendMessage]:
     """Announces all waiting work, to repair what was lost on the way.
 
     Args:
@@ -187,7 +191,7 @@
     services = {service for service, _ in state.told}
     state.told.clear()
     state.announced.clear()
-    sends: list[effects.Send] = []
+    sends: list[effects.SendMessage] = []
     for service in sorted(services | set(state.waiting.queues)):
         sends += _tell_all(state, now, service)
     cost = sum(_measure_size(send.message) for send in sends)
@@ -198,7 +202,7 @@
 
 def announce_to(
     state: state_module.RouterState, now: float, sidecar: str
-) -> list[effects.Send]:
+) -> list[effects.SendMessage]:
     """Announces all waiting work to one sidecar, if there is any for it.
 
     Args:
@@ -221,7 +225,7 @@
 
 def _tell_all(
     state: state_module.RouterState, now: float, service: str
-) -> list[effects.Send]:
+) -> list[effects.SendMessage]:
     receivers = _list_receivers(state, now, service)
     teams = state.waiting.queues.get(service, {})
     entries = [_describe_team(state, now, service, team) for team in teams]
@@ -242,32 +246,32 @@
     service: str,
     entries: list[messages.TeamWaiting],
     complete: bool,
-) -> effects.Send:
+) -> effects.SendMessage:
     state.announcements += 1
     message = messages.Waiting(
         service, state.announcements, tuple(entries), complete
     )
     sharing.spend_bytes(state.announcing, now, _measure_size(message))
-    return effects.Send(to, message)
+    return effects.SendMessage(to, message)
 
 
 def _list_receivers(
     state: state_module.RouterState, now: float, service: str
 ) -> list[str]:
-    linked = membership.list_sidecars(
+    linked = membership.list_linked_sidecars(
         state.links, state.directory, now, state.vm, service
     )
     return [
         name
         for name in linked
-        if membership.is_upstream(state.directory, now, name, service)
+        if membership.is_usable_upstream(state.directory, now, name, service)
     ]
 
 
 def _describe_team(
     state: state_module.RouterState, now: float, service: str, team: str
 ) -> messages.TeamWaiting:
-    oldest = queues.peek_oldest(state.waiting, service, team)
+    oldest = queues.get_oldest_arrival(state.waiting, service, team)
     return messages.TeamWaiting(
         team=team,
         count=queues.count_waiting(state.waiting, service, team),
--- a/sycamorefall/router/handout.py
+++ b/sycamorefall/router/attempt_lifecycle.py
@@ -29,7 +29,7 @@
     sharing,
 )
 from sycamorefall.dispatch import outcomes
-from sycamorefall.router import announcement, checks, estimates, hints, intake
+from sycamorefall.router import announcement, estimates, hints, intake, stalls
 from sycamorefall.router import effects as router_effects
 from sycamorefall.router import state as state_module
 
@@ -84,12 +84,14 @@
     """
     service, team = claim.service, claim.team
     no_work = messages.NoWork(claim.claim_id, service, team)
-    if not membership.is_upstream(state.directory, now, sidecar, service):
-        return [effects.Send(sidecar, no_work)]
-    oldest = sharing.peek_oldest(state.waiting, service, team)
+    if not membership.is_usable_upstream(
+        state.directory, now, sidecar, service
+    ):
+        return [effects.SendMessage(sidecar, no_work)]
+    oldest = sharing.get_oldest_arrival(state.waiting, service, team)
     number = sharing.pop_earliest(state.waiting, service, team)
     if number is None:
-        return [effects.Send(sidecar, no_work)]
+        return [effects.SendMessage(sidecar, no_work)]
     request = state.requests[number]
     _note_departure(state, now, request, oldest)
     hand_out = _start_attempt(state, now, request, sidecar, incarnation, claim)
@@ -106,7 +108,7 @@
     key = (request.new.service, request.new.team)
     rate = state.rates.pop(key, None) or admission.DrainRate()
     state.rates[key] = rate
-    admission.note_departure(rate, now, busy_since=oldest)
+    admission.record_departure(rate, now, busy_since=oldest)
 
 
 def _start_attempt(
@@ -116,7 +118,7 @@
     sidecar: str,
     incarnation: int,
     claim: messages.Claim,
-) -> router_effects.HandOut:
+) -> router_effects.SendRequest:
     request.attempts += 1
     attempt_id = (
         f"{state.vm}/{state.incarnation}/{request.number}/{request.attempts}"
@@ -125,8 +127,8 @@
     request.attempt = state_module.Attempt(
         attempt_id, sidecar, incarnation, started=now
     )
-    state.by_attempt[attempt_id] = request.number
-    checks.watch_attempt(state, now, request.attempt)
+    state.request_by_attempt[attempt_id] = request.number
+    stalls.watch_attempt(state, now, request.attempt)
     new = request.new
     order = messages.AttemptOrder(
         attempt_id=attempt_id,
@@ -144,7 +146,7 @@
         sidecar=sidecar,
         sidecar_incarnation=incarnation,
     )
-    return router_effects.HandOut(request.number, sidecar, order)
+    return router_effects.SendRequest(request.number, sidecar, order)
 
 
 def offer_request(
@@ -153,7 +155,7 @@
     request: state_module.Request,
     sidecar: str,
     hint: state_module.Hint,
-) -> router_effects.HandOut:
+) -> router_effects.SendRequest:
     """Hands a request that left its queue to a sidecar that didn't claim it.
 
     Args:
@@ -171,7 +173,7 @@
     hand_out = _start_attempt(
         state, now, request, sidecar, hint.incarnation, unclaimed
     )
-    order = msgspec.structs.replace(hand_out.order, hinted=hint.second)
+    order = msgspec.structs.replace(hand_out.order, hinted=hint.clock_seconds)
     return dataclasses.replace(hand_out, order=order)
 
 
@@ -199,7 +201,7 @@
         return []
     hints.note_end(state, request, free=end is AttemptEnd.COMPLETE)
     if end is AttemptEnd.COMPLETE:
-        estimates.note_run(state, now, request)
+        estimates.record_run_time(state, now, request)
         intake.forget_request(state, request.number)
         return []
     if end in (AttemptEnd.REFUSED, AttemptEnd.NOT_RUN):
@@ -228,8 +230,8 @@
     Returns:
         Announcements, or the final answer if it is too late to wait.
     """
-    state.by_attempt.pop(request.attempt.attempt_id, None)
-    state.asking.discard(request.number)
+    state.request_by_attempt.pop(request.attempt.attempt_id, None)
+    state.awaiting_outcome.discard(request.number)
     request.attempt = None
     request.state = state_module.RequestState.WAITING
     if now + delay >= request.deadline:
@@ -313,7 +315,7 @@
     request: state_module.Request,
 ) -> list[router_effects.Effect]:
     request.state = state_module.RequestState.ASKING
-    state.asking.add(request.number)
+    state.awaiting_outcome.add(request.number)
     request.attempt.ask_until = min(now + ASK_LIMIT, request.deadline)
     return ask_again(state, now, request)
 
@@ -343,7 +345,7 @@
         return give_up(state, request, errors.ErrorKind.OUTCOME_UNKNOWN)
     attempt.ask_next = now + ASK_INTERVAL
     query = messages.AttemptQuery(attempt.attempt_id)
-    return [effects.Send(attempt.sidecar, query)]
+    return [effects.SendMessage(attempt.sidecar, query)]
 
 
 def take_report(
@@ -376,7 +378,7 @@
         return abort + return_to_queue(state, now, request)
     if request.state is state_module.RequestState.ASKING:
         return retry_or_give_up(state, now, request)
-    if checks.judge_report(state, now, request, report):
+    if stalls.judge_report(state, now, request, report):
         return abort + retry_or_give_up(state, now, request)
     return []
 
--- a/sycamorefall/router/core.py
+++ b/sycamorefall/router/core.py
@@ -13,12 +13,12 @@
 from sycamorefall import effects, errors, membership, messages, sharing
 from sycamorefall.router import (
     announcement,
-    checks,
+    attempt_lifecycle,
     estimates,
-    handout,
     hints,
     intake,
     offering,
+    stalls,
     sweep,
 )
 from sycamorefall.router import effects as router_effects
@@ -60,7 +60,7 @@
     message = envelope.message
     is_beat = isinstance(message, messages.Heartbeat)
     stopping = message.stopping if is_beat else None
-    is_new = membership.note_heartbeat(
+    is_new = membership.record_peer_message(
         state.directory, now, sender, incarnation, stopping
     )
     news = _greet(state, now, sender) if is_new else []
@@ -70,11 +70,11 @@
         case messages.UnknownNames():
             news += announcement.announce_to(state, now, sender)
         case messages.Claim():
-            news += handout.answer_claim(
+            news += attempt_lifecycle.answer_claim(
                 state, now, sender, incarnation, message
             )
         case messages.AttemptReport():
-            news += handout.take_report(
+            news += attempt_lifecycle.take_report(
                 state, now, sender, incarnation, message
             )
     return news
@@ -86,7 +86,7 @@
     """Answers a process that is new, so that both know of each other."""
     beat = messages.Heartbeat(state.stopping)
     news = announcement.announce_to(state, now, sidecar)
-    return [effects.Send(sidecar, beat), *news]
+    return [effects.SendMessage(sidecar, beat), *news]
 
 
 def _take_hint(
@@ -98,11 +98,16 @@
     """Takes over a sidecar's hint; one that has room learns what waits."""
     sidecar = envelope.sender
     service = state.directory.vms[sidecar].service
-    room = 0 if beat.stopping else beat.room
+    free_slots = 0 if beat.stopping else beat.free_slots
     hints.note_hint(
-        state, service, sidecar, envelope.incarnation, room, beat.second
+        state,
+        service,
+        sidecar,
+        envelope.incarnation,
+        free_slots,
+        beat.clock_seconds,
     )
-    if not room:
+    if not free_slots:
         return []
     offers = offering.offer_to_room(state, now, service, sidecar)
     return offers or announcement.announce_to(state, now, sidecar)
@@ -125,8 +130,8 @@
     due += sweep.sweep_waiting(state, now)
     for request in _list_asking(state):
         if request.attempt.ask_next <= now:
-            due += handout.ask_again(state, now, request)
-    for request in checks.pop_silent(state, now):
+            due += attempt_lifecycle.ask_again(state, now, request)
+    for request in stalls.pop_silent(state, now):
         due += _check_attempt(state, now, request)
     if now >= state.next_heartbeat:
         state.next_heartbeat = now + HEARTBEAT_INTERVAL
@@ -144,16 +149,18 @@
     now: float,
     request: state_module.Request,
 ) -> list[router_effects.Effect]:
-    if not checks.is_abandoned(state, now, request):
-        return [checks.ask_sidecar(state, now, request)]
+    if not stalls.is_abandoned(state, now, request):
+        return [stalls.ask_sidecar(state, now, request)]
     hints.note_end(state, request, free=False)
     abort = router_effects.AbortAttempt(request.attempt.attempt_id)
-    return [abort, *handout.retry_or_give_up(state, now, request)]
+    return [abort, *attempt_lifecycle.retry_or_give_up(state, now, request)]
 
 
 def find_next_due(state: state_module.RouterState) -> float:
     """Tells when `run_timers` has something to do next."""
-    asking = (request.attempt.ask_next for request in _list_asking(state))
+    awaiting_outcome = (
+        request.attempt.ask_next for request in _list_asking(state)
+    )
     deadlines = (entry[0] for entry in state.deadlines[:1])
     silent = (entry[0] for entry in state.checks[:1])
     offers = [0.0] if state.fresh else []
@@ -162,7 +169,7 @@
         announcement.find_next_announcement(state),
         announcement.find_next_digest(state),
         sweep.find_next_due(state),
-        *asking,
+        *awaiting_outcome,
         *deadlines,
         *silent,
         *offers,
@@ -172,7 +179,7 @@
 def _list_asking(
     state: state_module.RouterState,
 ) -> list[state_module.Request]:
-    return [state.requests[number] for number in state.asking]
+    return [state.requests[number] for number in state.awaiting_outcome]
 
 
 def _send_heartbeats(
@@ -183,14 +190,14 @@
     linked = [
         name
         for service in sorted(services)
-        for name in membership.list_sidecars(
+        for name in membership.list_linked_sidecars(
             state.links, state.directory, now, state.vm, service
         )
     ]
-    state.announcing.rate = sharing.share_rate(
+    state.announcing.rate = sharing.compute_remaining_rate(
         state_module.ANNOUNCE_RATE, state_module.HEARTBEAT_RATE, len(linked)
     )
-    return [effects.Send(name, beat) for name in linked]
+    return [effects.SendMessage(name, beat) for name in linked]
 
 
 def _expire_requests(
@@ -212,7 +219,7 @@
 ) -> list[router_effects.Effect]:
     new = request.new
     outcome = intake.cancel_request(state, now, request.number)
-    ran = handout.judge_ran(request)
+    ran = attempt_lifecycle.judge_ran(request)
     retry_after = estimates.suggest_return(state, now, new.service, new.team)
     answer = router_effects.AnswerError(
         request.number, errors.ErrorKind.DEADLINE_EXCEEDED, ran, retry_after
--- a/sycamorefall/router/daemon.py
+++ b/sycamorefall/router/daemon.py
@@ -13,7 +13,13 @@
     transport,
 )
 from sycamorefall import node as node_module
-from sycamorefall.router import core, dependencies, interface, relay, status
+from sycamorefall.router import (
+    core,
+    dependencies,
+    relay,
+    request_parsing,
+    status,
+)
 from sycamorefall.router import state as state_module
 
 
@@ -41,7 +47,7 @@
         run_timers=lambda now: core.run_timers(state, now),
         find_next_due=lambda: core.find_next_due(state),
         apply_configuration=lambda: core.apply_configuration(state),
-        perform=lambda effect: relay.perform_effect(node, desk, effect),
+        perform_effects=lambda effect: relay.perform_effect(node, desk, effect),
         is_idle=lambda: not state.requests and not desk.calls,
         begin_stop=lambda: core.begin_stop(state),
     )
@@ -88,7 +94,7 @@
     if caller is None:
         _refuse(desk, call, errors.ErrorKind.UNKNOWN_TEAM)
         return
-    request = interface.read_request(
+    request = request_parsing.read_request(
         call, caller.team, state.versions.configuration, config.limits
     )
     match request:
--- a/sycamorefall/router/dependencies.py
+++ b/sycamorefall/router/dependencies.py
@@ -40,7 +40,7 @@
         team, and outlive its parent.
     """
     if token is not None:
-        parent = admission.read_token(state.versions.configuration, token)
+        parent = admission.verify_token(state.versions.configuration, token)
         return Caller(parent.team, parent) if parent else None
     team = intake.identify_team(state, key)
     return Caller(team) if team else None
--- a/sycamorefall/router/effects.py
+++ b/sycamorefall/router/effects.py
@@ -1,6 +1,11 @@
 """What a router's decisions ask its shell to do."""
 
-__all__ = ["AbortAttempt", "AnswerError", "Effect", "HandOut"]
+__all__ = [
+    "AbortAttempt",
+    "AnswerError",
+    "Effect",
+    "SendRequest",
+]
 
 import dataclasses
 
@@ -8,7 +13,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class HandOut:
+class SendRequest:
     """Send a request to a sidecar.
 
     Attributes:
@@ -46,4 +51,4 @@
     attempt_id: str
 
 
-Effect = effects.Send | HandOut | AnswerError | AbortAttempt
+Effect = effects.SendMessage | SendRequest | AnswerError | AbortAttempt
--- a/sycamorefall/router/estimates.py
+++ b/sycamorefall/router/estimates.py
@@ -2,10 +2,10 @@
 
 __all__ = [
     "check_wait",
-    "find_interval",
+    "compute_departure_interval",
     "find_run_time",
     "keep_for_run",
-    "note_run",
+    "record_run_time",
     "suggest_return",
 ]
 
@@ -41,14 +41,14 @@
     deadline = now + new.timeout
     run_time = find_run_time(state, now, service)
     left = new.timeout - keep_for_run(run_time, new.timeout)
-    ahead = queues.count_earlier(state.waiting, service, team, deadline)
-    interval = find_interval(state, now, service, team)
+    ahead = queues.count_requests_ahead(state.waiting, service, team, deadline)
+    interval = compute_departure_interval(state, now, service, team)
     if admission.exceeds_deadline(rate, interval, ahead, left):
         return errors.ErrorKind.WAIT_EXCEEDS_DEADLINE
     return None
 
 
-def note_run(
+def record_run_time(
     state: state_module.RouterState,
     now: float,
     request: state_module.Request,
@@ -56,7 +56,7 @@
     """Learns from a whole answer how long the service's requests run."""
     run_times = state.run_times
     run_time = run_times.setdefault(request.new.service, admission.RunTime())
-    admission.note_run(run_time, now, now - request.attempt.started)
+    admission.record_run_time(run_time, now, now - request.attempt.started)
 
 
 def find_run_time(
@@ -85,19 +85,19 @@
     return min(run_time, timeout / 2)
 
 
-def find_interval(
+def compute_departure_interval(
     state: state_module.RouterState, now: float, service: str, team: str
 ) -> float:
     """Finds the mean time between departures of a team's queue."""
     rate = state.rates.get((service, team), admission.DrainRate())
-    oldest = sharing.peek_oldest(state.waiting, service, team)
-    return admission.find_interval(rate, now, oldest)
+    oldest = sharing.get_oldest_arrival(state.waiting, service, team)
+    return admission.compute_departure_interval(rate, now, oldest)
 
 
 def suggest_return(
     state: state_module.RouterState, now: float, service: str, team: str
 ) -> int:
     """Suggests when a team's refused caller should come back, in seconds."""
-    interval = find_interval(state, now, service, team)
+    interval = compute_departure_interval(state, now, service, team)
     waiting = queues.count_waiting(state.waiting, service, team)
     return admission.suggest_retry_after(interval, waiting)
--- a/sycamorefall/router/hints.py
+++ b/sycamorefall/router/hints.py
@@ -12,7 +12,7 @@
     sidecar: str,
     incarnation: int,
     slots: int,
-    second: int = 0,
+    clock_seconds: int = 0,
 ) -> None:
     """Takes over a sidecar's word on its free slots.
 
@@ -26,12 +26,12 @@
         sidecar: VM name of the sidecar.
         incarnation: Its process.
         slots: Slots that are free and that it knows no work for.
-        second: Its clock, in whole seconds.
+        clock_seconds: Its clock, in whole seconds.
     """
     hints = state.hints.setdefault(service, {})
     hints.pop(sidecar, None)
     if slots > 0:
-        hints[sidecar] = state_module.Hint(incarnation, slots, second)
+        hints[sidecar] = state_module.Hint(incarnation, slots, clock_seconds)
 
 
 def note_end(
@@ -78,7 +78,7 @@
     state.hints[service] = {
         name: hint
         for name, hint in hints.items()
-        if membership.is_upstream(state.directory, now, name, service)
+        if membership.is_usable_upstream(state.directory, now, name, service)
         and peers[name].incarnation == hint.incarnation
     }
     return {
--- a/sycamorefall/router/intake.py
+++ b/sycamorefall/router/intake.py
@@ -89,10 +89,10 @@
     known = state.versions.configuration.services.get(service)
     if known is None:
         return errors.ErrorKind.UNKNOWN_SERVICE
-    if not membership.has_upstream(state.directory, now, service):
+    if not membership.has_usable_upstream(state.directory, now, service):
         return errors.ErrorKind.NO_UPSTREAM
     if not all(
-        membership.has_upstream(state.directory, now, name)
+        membership.has_usable_upstream(state.directory, now, name)
         for name in known.depends_on
     ):
         return errors.ErrorKind.DEPENDENCY_UNAVAILABLE
@@ -147,7 +147,7 @@
     state: state_module.RouterState,
     now: float,
     request: state_module.Request,
-) -> list[effects.Send]:
+) -> list[effects.SendMessage]:
     """Makes a request wait for an upstream.
 
     Args:
@@ -160,7 +160,7 @@
     """
     new = request.new
     team = state.versions.configuration.teams.get(new.team)
-    sharing.join_queue(
+    sharing.add_request(
         state.waiting,
         new.service,
         new.team,
@@ -235,9 +235,9 @@
 def forget_request(state: state_module.RouterState, number: int) -> None:
     """Drops a request that has its final answer."""
     request = state.requests.pop(number, None)
-    state.asking.discard(number)
+    state.awaiting_outcome.discard(number)
     if request is not None and request.attempt is not None:
-        state.by_attempt.pop(request.attempt.attempt_id, None)
+        state.request_by_attempt.pop(request.attempt.attempt_id, None)
 
 
 def cancel_request(
@@ -257,10 +257,10 @@
     if request is None:
         return []
     new = request.new
-    outcome: list[router_effects.Effect | effects.Send] = []
+    outcome: list[router_effects.Effect | effects.SendMessage] = []
     if request.attempt is not None:
         outcome.append(router_effects.AbortAttempt(request.attempt.attempt_id))
-    elif queues.leave_queue(
+    elif queues.remove_request(
         state.waiting, new.service, new.team, number, request.deadline
     ):
         outcome += announcement.announce_team(state, now, new.service, new.team)
--- a/sycamorefall/router/offering.py
+++ b/sycamorefall/router/offering.py
@@ -2,7 +2,7 @@
 
 __all__ = ["offer_fresh", "offer_to_room"]
 
-from sycamorefall.router import announcement, handout, hints
+from sycamorefall.router import announcement, attempt_lifecycle, hints
 from sycamorefall.router import effects as router_effects
 from sycamorefall.router import state as state_module
 from sycamorefall.sharing import queues
@@ -45,11 +45,11 @@
     request = state.requests[number]
     new = request.new
     hint = state.hints[new.service][sidecar]
-    queues.leave_queue(
+    queues.remove_request(
         state.waiting, new.service, new.team, number, request.deadline
     )
     announcement.announce_team(state, now, new.service, new.team)
-    offer = handout.offer_request(state, now, request, sidecar, hint)
+    offer = attempt_lifecycle.offer_request(state, now, request, sidecar, hint)
     request.attempt.offered = True
     return offer
 
--- a/sycamorefall/router/relay.py
+++ b/sycamorefall/router/relay.py
@@ -8,17 +8,23 @@
 
 from sycamorefall import errors, messages, observation, settings, transport
 from sycamorefall import node as node_module
-from sycamorefall.router import checks, effects, handout, intake, interface
+from sycamorefall.router import (
+    attempt_lifecycle,
+    effects,
+    intake,
+    request_parsing,
+    stalls,
+)
 from sycamorefall.router import state as state_module
 
 MOST_UNSENT = 1 << 18
 """Bytes that may wait for a slow caller before the sidecar is paused."""
 
 _ENDS = {
-    messages.Outcome.REFUSED.value: handout.AttemptEnd.REFUSED,
-    messages.Outcome.REPEATED.value: handout.AttemptEnd.BROKEN,
-    messages.Outcome.NOT_RUN.value: handout.AttemptEnd.NOT_RUN,
-    messages.Outcome.FAILED.value: handout.AttemptEnd.FAILED,
+    messages.AttemptOutcome.REFUSED.value: attempt_lifecycle.AttemptEnd.REFUSED,
+    messages.AttemptOutcome.REPEATED.value: attempt_lifecycle.AttemptEnd.BROKEN,
+    messages.AttemptOutcome.NOT_RUN.value: attempt_lifecycle.AttemptEnd.NOT_RUN,
+    messages.AttemptOutcome.FAILED.value: attempt_lifecycle.AttemptEnd.FAILED,
 }
 
 
@@ -41,7 +47,7 @@
 
     def __init__(self, attempt_id: str):
         self.attempt_id = attempt_id
-        self.end = handout.AttemptEnd.COMPLETE
+        self.end = attempt_lifecycle.AttemptEnd.COMPLETE
         self.exchange: transport.Exchange | None = None
         self.headers: tuple[tuple[str, str], ...] = ()
         self.held: list[bytes] = []
@@ -91,10 +97,10 @@
         new.team,
         method=new.method,
         idempotent=new.idempotent,
-        request_id=call.headers.get(interface.REQUEST_ID_HEADER, ""),
+        request_id=call.headers.get(request_parsing.REQUEST_ID_HEADER, ""),
     )
     call.on_hangup = lambda: _cancel(node, desk, number)
-    node_module.perform(node, outcome)
+    node_module.perform_effects(node, outcome)
 
 
 def _end_track(desk: Desk, number: int, result: str, **fields: object) -> None:
@@ -108,7 +114,9 @@
     desk.calls.pop(number, None)
     _end_track(desk, number, "cancelled")
     now = transport.read_clock()
-    node_module.perform(node, intake.cancel_request(desk.state, now, number))
+    node_module.perform_effects(
+        node, intake.cancel_request(desk.state, now, number)
+    )
 
 
 def perform_effect(
@@ -116,7 +124,7 @@
 ) -> None:
     """Carries out an effect of the router's decisions."""
     match effect:
-        case effects.HandOut():
+        case effects.SendRequest():
             _hand_out(node, desk, effect)
         case effects.AnswerError():
             _answer_error(desk, effect)
@@ -143,7 +151,7 @@
 
 
 def _hand_out(
-    node: node_module.Node, desk: Desk, effect: effects.HandOut
+    node: node_module.Node, desk: Desk, effect: effects.SendRequest
 ) -> None:
     attempt_id = effect.order.attempt_id
     call = desk.calls[effect.request]
@@ -203,11 +211,11 @@
         # never got as far as the attempt. It would be taken for the answer
         # of the upstream. What became of the attempt itself is open.
         node.client.abort(delivery.exchange)
-        _finish(node, desk, call, delivery, handout.AttemptEnd.BROKEN)
+        _finish(node, desk, call, delivery, attempt_lifecycle.AttemptEnd.BROKEN)
         return
     outcome = named.get(messages.OUTCOME_HEADER.lower())
     if outcome is not None:
-        delivery.end = _ENDS.get(outcome, handout.AttemptEnd.FAILED)
+        delivery.end = _ENDS.get(outcome, attempt_lifecycle.AttemptEnd.FAILED)
         return
     delivery.status = status
     delivery.headers = tuple(
@@ -224,7 +232,7 @@
 
 
 def _note_progress(desk: Desk, delivery: _Delivery, size: int) -> None:
-    checks.note_progress(
+    stalls.record_progress(
         desk.state,
         transport.read_clock(),
         delivery.attempt_id,
@@ -237,7 +245,7 @@
     node: node_module.Node, desk: Desk, delivery: _Delivery, paused: bool
 ) -> None:
     node.client.pause(delivery.exchange, paused)
-    checks.note_pause(desk.state, delivery.attempt_id, paused)
+    stalls.record_pause(desk.state, delivery.attempt_id, paused)
 
 
 def _take_data(
@@ -264,8 +272,11 @@
     call: transport.IncomingCall,
     delivery: _Delivery,
 ) -> None:
-    request = desk.state.by_attempt.get(delivery.attempt_id)
-    if delivery.end is handout.AttemptEnd.COMPLETE and request is not None:
+    request = desk.state.request_by_attempt.get(delivery.attempt_id)
+    if (
+        delivery.end is attempt_lifecycle.AttemptEnd.COMPLETE
+        and request is not None
+    ):
         desk.calls.pop(request, None)
         _end_track(desk, request, "answered", status=delivery.status)
         if delivery.streamed:
@@ -284,7 +295,11 @@
     stage: transport.Stage,
 ) -> None:
     not_sent = stage is transport.Stage.NOT_SENT
-    end = handout.AttemptEnd.REFUSED if not_sent else handout.AttemptEnd.BROKEN
+    end = (
+        attempt_lifecycle.AttemptEnd.REFUSED
+        if not_sent
+        else attempt_lifecycle.AttemptEnd.BROKEN
+    )
     _finish(node, desk, call, delivery, end)
 
 
@@ -293,12 +308,12 @@
     desk: Desk,
     call: transport.IncomingCall,
     delivery: _Delivery,
-    end: handout.AttemptEnd,
+    end: attempt_lifecycle.AttemptEnd,
 ) -> None:
     desk.deliveries.pop(delivery.attempt_id, None)
     observation.count_event(desk.recorder, "attempt", end.value)
     now = transport.read_clock()
-    outcome = handout.end_attempt(
+    outcome = attempt_lifecycle.end_attempt(
         desk.state, now, delivery.attempt_id, end, answer_begun=call.begun
     )
-    node_module.perform(node, outcome)
+    node_module.perform_effects(node, outcome)
--- a/sycamorefall/router/checks.py
+++ b/sycamorefall/router/stalls.py
@@ -9,14 +9,14 @@
 """
 
 __all__ = [
-    "FIRST_CHECK",
+    "FIRST_CHECK_DELAY",
     "SILENCE_LIMIT",
     "ask_sidecar",
     "is_abandoned",
     "judge_report",
-    "note_pause",
-    "note_progress",
     "pop_silent",
+    "record_pause",
+    "record_progress",
     "watch_attempt",
 ]
 
@@ -25,7 +25,7 @@
 from sycamorefall import effects, messages
 from sycamorefall.router import state as state_module
 
-FIRST_CHECK = 2.0
+FIRST_CHECK_DELAY = 2.0
 """Seconds of silence after which an attempt is first asked about.
 
 Longer than a claim's lease, so that a hand-out which the question overtakes
@@ -52,8 +52,8 @@
 ) -> None:
     """Begins to watch an attempt that is handed out."""
     attempt.heard_at = now
-    attempt.check_interval = FIRST_CHECK
-    _schedule(state, attempt, now + FIRST_CHECK)
+    attempt.check_interval = FIRST_CHECK_DELAY
+    _schedule(state, attempt, now + FIRST_CHECK_DELAY)
 
 
 def _schedule(
@@ -63,7 +63,7 @@
     heapq.heappush(state.checks, (at, attempt.attempt_id))
 
 
-def note_progress(
+def record_progress(
     state: state_module.RouterState,
     now: float,
     attempt_id: str,
@@ -79,7 +79,7 @@
         size: Bytes of the answer's body that came.
         begun: Whether they go on to the caller at once.
     """
-    number = state.by_attempt.get(attempt_id)
+    number = state.request_by_attempt.get(attempt_id)
     if number is None:
         return
     attempt = state.requests[number].attempt
@@ -88,14 +88,14 @@
     attempt.heard_at = now
     attempt.asked_since = None
     attempt.behind = None
-    attempt.check_interval = FIRST_CHECK
+    attempt.check_interval = FIRST_CHECK_DELAY
 
 
-def note_pause(
+def record_pause(
     state: state_module.RouterState, attempt_id: str, paused: bool
 ) -> None:
     """Notes that reading an answer was stopped or resumed for its caller."""
-    number = state.by_attempt.get(attempt_id)
+    number = state.request_by_attempt.get(attempt_id)
     if number is not None:
         state.requests[number].attempt.paused = paused
 
@@ -131,7 +131,7 @@
 def _find_watched(
     state: state_module.RouterState, attempt_id: str
 ) -> state_module.Request | None:
-    number = state.by_attempt.get(attempt_id)
+    number = state.request_by_attempt.get(attempt_id)
     if number is None:
         return None
     request = state.requests[number]
@@ -168,7 +168,7 @@
     state: state_module.RouterState,
     now: float,
     request: state_module.Request,
-) -> effects.Send:
+) -> effects.SendMessage:
     """Asks a sidecar what became of a silent attempt.
 
     Args:
@@ -184,7 +184,7 @@
         attempt.asked_since = now
     _schedule(state, attempt, now + ASK_INTERVAL)
     query = messages.AttemptQuery(attempt.attempt_id)
-    return effects.Send(attempt.sidecar, query)
+    return effects.SendMessage(attempt.sidecar, query)
 
 
 def judge_report(
@@ -224,6 +224,6 @@
         return True
     else:
         attempt.behind = attempt.received
-        attempt.check_interval = FIRST_CHECK
+        attempt.check_interval = FIRST_CHECK_DELAY
     _schedule(state, attempt, now + attempt.check_interval)
     return False
--- a/sycamorefall/router/state.py
+++ b/sycamorefall/router/state.py
@@ -73,12 +73,12 @@
     Attributes:
         incarnation: The sidecar's process.
         slots: Free slots, less what was offered since.
-        second: The sidecar's clock then, in whole seconds.
+        clock_seconds: The sidecar's clock then, in whole seconds.
     """
 
     incarnation: int
     slots: int
-    second: int = 0
+    clock_seconds: int = 0
 
 
 @dataclasses.dataclass(slots=True)
@@ -156,8 +156,9 @@
         links: The sidecars that it is linked to.
         waiting: Queues of requests not handed out.
         requests: Requests not yet answered, by number.
-        by_attempt: Request number by attempt.
-        asking: Numbers of requests whose outcome a sidecar is asked for.
+        request_by_attempt: Request number by attempt.
+        awaiting_outcome: Numbers of requests whose outcome a sidecar is asked
+            for.
         checks: Heap of (time, attempt) at which silent attempts are checked;
             may hold attempts that are over.
         deadlines: Heap of (deadline, request); may hold answered requests.
@@ -202,8 +203,8 @@
         default_factory=sharing.WaitingQueues
     )
     requests: dict[int, Request] = dataclasses.field(default_factory=dict)
-    by_attempt: dict[str, int] = dataclasses.field(default_factory=dict)
-    asking: set[int] = dataclasses.field(default_factory=set)
+    request_by_attempt: dict[str, int] = dataclasses.field(default_factory=dict)
+    awaiting_outcome: set[int] = dataclasses.field(default_factory=set)
     checks: list[tuple[float, str]] = dataclasses.field(default_factory=list)
     deadlines: list[tuple[float, int]] = dataclasses.field(default_factory=list)
     rates: dict[tuple[str, str], admission.DrainRate] = dataclasses.field(
@@ -262,7 +263,7 @@
     Returns:
         The request, or None.
     """
-    number = state.by_attempt.get(attempt_id)
+    number = state.request_by_attempt.get(attempt_id)
     if number is None:
         state.late_answers += 1
         return None
--- a/sycamorefall/router/status.py
+++ b/sycamorefall/router/status.py
@@ -57,7 +57,7 @@
     return tuple(
         service
         for service in (in_force.services if in_force else ())
-        if membership.select_upstreams(state.directory, now, service)
+        if membership.list_usable_upstreams(state.directory, now, service)
     )
 
 
@@ -66,7 +66,7 @@
     return {
         name
         for service in (in_force.services if in_force else ())
-        for name in membership.list_sidecars(
+        for name in membership.list_linked_sidecars(
             state.links, state.directory, now, state.vm, service
         )
     }
@@ -113,7 +113,7 @@
             service,
             team,
             queues.count_waiting(state.waiting, service, team),
-            now - queues.peek_oldest(state.waiting, service, team),
+            now - queues.get_oldest_arrival(state.waiting, service, team),
             known[team].weight if team in known else 1.0,
         )
         for service, team in most
