--- a/sycamorefall/router/sweep.py
+++ b/sycamorefall/router/sweep.py
@@ -37,7 +37,7 @@
 
 def end_backoffs(
     state: state_module.RouterState, now: float
-) -> list[effects.Send]:
+) -> list[effects.SendMessage]:
     """Makes failed requests wait again whose back-off is over.
 
     Args:
@@ -47,7 +47,7 @@
     Returns:
         Announcements.
     """
-    news: list[effects.Send] = []
+    news: list[effects.SendMessage] = []
     while state.backoffs and state.backoffs[0][0] <= now:
         _, number = heapq.heappop(state.backoffs)
         request = state.requests.get(number)
@@ -130,8 +130,8 @@
     deadlines = queues.list_deadlines(state.waiting, service, team)
     if rate is None or not deadlines:
         return []
-    oldest = queues.peek_oldest(state.waiting, service, team)
-    interval = admission.find_interval(rate, now, oldest)
+    oldest = queues.get_oldest_arrival(state.waiting, service, team)
+    interval = admission.compute_departure_interval(rate, now, oldest)
     longest = admission.estimate_wait(interval, len(deadlines))
     run_time = estimates.find_run_time(state, now, service)
     first_left = deadlines[0][0] - now
--- a/sycamorefall/router/tests/fakes.py
+++ b/sycamorefall/router/tests/fakes.py
@@ -1,7 +1,7 @@
 """A router's decisions with faked upstreams, for tests."""
 
 from sycamorefall import configuration, membership, messages
-from sycamorefall.router import core, handout, intake
+from sycamorefall.router import attempt_lifecycle, core, intake
 from sycamorefall.router import effects as router_effects
 from sycamorefall.router import state as state_module
 
@@ -30,7 +30,7 @@
         self.state = state_module.RouterState("router-0", 1)
         self.live = set(upstreams)
         self.claims = 0
-        assert configuration.offer_text(self.state.versions, 1, text)
+        assert configuration.submit_text(self.state.versions, 1, text)
         vms = tuple(
             membership.VmEntry(
                 name,
@@ -42,7 +42,9 @@
             )
             for name, service in upstreams.items()
         )
-        membership.replace_list(self.state.directory, membership.VmList(1, vms))
+        membership.apply_vm_list(
+            self.state.directory, membership.VmList(1, vms)
+        )
         self.run(0.0)
 
     def run(self, now):
@@ -69,13 +71,13 @@
         handed = [
             effect
             for effect in self.receive(now, claim, sidecar)
-            if isinstance(effect, router_effects.HandOut)
+            if isinstance(effect, router_effects.SendRequest)
         ]
         return handed[0] if handed else None
 
-    def end(self, now, handed, end=handout.AttemptEnd.COMPLETE):
+    def end(self, now, handed, end=attempt_lifecycle.AttemptEnd.COMPLETE):
         return select_answers(
-            handout.end_attempt(
+            attempt_lifecycle.end_attempt(
                 self.state, now, handed.order.attempt_id, end, False
             )
         )
--- a/sycamorefall/router/tests/test_admission.py
+++ b/sycamorefall/router/tests/test_admission.py
@@ -4,7 +4,7 @@
 
 from benchmarks import admission as bench
 from sycamorefall import admission, membership
-from sycamorefall.router import handout, sweep
+from sycamorefall.router import attempt_lifecycle, sweep
 from sycamorefall.router.tests import fakes
 
 
@@ -200,7 +200,7 @@
     handed = router.claim(2.0)
     assert handed.request == first
     router.admit(2.0)
-    router.end(2.0, handed, handout.AttemptEnd.REFUSED)
+    router.end(2.0, handed, attempt_lifecycle.AttemptEnd.REFUSED)
     _, answers = router.admit(2.0, team="flood")
     lost = [entry[0] for entry in answers]
     assert first not in lost
@@ -214,7 +214,7 @@
     """
     router = fakes.Router()
     number, _ = router.admit(0.0)
-    router.end(1.0, router.claim(1.0), handout.AttemptEnd.FAILED)
+    router.end(1.0, router.claim(1.0), attempt_lifecycle.AttemptEnd.FAILED)
     router.run(2.0)
     router.live.discard("engine-0")
     answers = [
@@ -228,7 +228,7 @@
 def test_retry_stays_out_of_the_queue_for_a_while():
     router = fakes.Router()
     number, _ = router.admit(0.0)
-    router.end(1.0, router.claim(1.0), handout.AttemptEnd.FAILED)
+    router.end(1.0, router.claim(1.0), attempt_lifecycle.AttemptEnd.FAILED)
     assert router.claim(1.001) is None
     assert router.run(1.06) == []
     assert router.claim(1.06).request == number
@@ -248,7 +248,7 @@
         router.admit(now)
         while handed := router.claim(now):
             attempts += 1
-            router.end(now, handed, handout.AttemptEnd.FAILED)
+            router.end(now, handed, attempt_lifecycle.AttemptEnd.FAILED)
     assert 200 + 20 <= attempts <= 200 + 20 + 5 + 1
     assert router.state.budgets.refused > 100
 
--- a/sycamorefall/router/tests/test_dependencies.py
+++ b/sycamorefall/router/tests/test_dependencies.py
@@ -76,12 +76,12 @@
 def test_garbage_is_no_token(text, place):
     router = fakes.Router(TEXT)
     in_force = router.state.versions.configuration
-    assert admission.read_token(in_force, text) is None
+    assert admission.verify_token(in_force, text) is None
     token = issue(router, PARENT)
     place %= len(token) - 4
     other = "A" if token[place] != "A" else "B"
     spoiled = token[:place] + other + token[place + 1 :]
-    assert admission.read_token(in_force, spoiled) is None
+    assert admission.verify_token(in_force, spoiled) is None
 
 
 def test_upstream_may_call_only_what_its_service_depends_on(router):
--- a/sycamorefall/router/tests/test_offering.py
+++ b/sycamorefall/router/tests/test_offering.py
@@ -3,7 +3,7 @@
 import pytest
 
 from sycamorefall import configuration, effects, membership, messages
-from sycamorefall.router import announcement, core, handout, intake
+from sycamorefall.router import announcement, attempt_lifecycle, core, intake
 from sycamorefall.router import effects as router_effects
 from sycamorefall.router import state as state_module
 
@@ -14,7 +14,7 @@
 def router():
     state = state_module.RouterState("router-0", 7)
     text = "[service assistant]\nkind = engine\nconcurrency = 2\n"
-    configuration.offer_text(state.versions, 1, text)
+    configuration.submit_text(state.versions, 1, text)
     vms = [
         membership.VmEntry(
             name, membership.VmRole.UPSTREAM, "d", "", "", "assistant"
@@ -24,15 +24,15 @@
     vms.append(
         membership.VmEntry("router-0", membership.VmRole.ROUTER, "d", "", "")
     )
-    membership.replace_list(state.directory, membership.VmList(1, tuple(vms)))
+    membership.apply_vm_list(state.directory, membership.VmList(1, tuple(vms)))
     for name in SIDECARS:
-        hear(state, name, room=0)
+        hear(state, name, free_slots=0)
     core.run_timers(state, 0.0)
     return state
 
 
-def hear(state, sidecar, room, now=0.0, incarnation=1):
-    beat = messages.Heartbeat(room=room)
+def hear(state, sidecar, free_slots, now=0.0, incarnation=1):
+    beat = messages.Heartbeat(free_slots=free_slots)
     envelope = messages.Envelope(sidecar, incarnation, 1, beat)
     return core.receive_message(state, now, envelope)
 
@@ -45,18 +45,18 @@
 
 
 def split(outcome):
-    offers = [e for e in outcome if isinstance(e, router_effects.HandOut)]
+    offers = [e for e in outcome if isinstance(e, router_effects.SendRequest)]
     told = [
         e.message
         for e in outcome
-        if isinstance(e, effects.Send)
+        if isinstance(e, effects.SendMessage)
         and isinstance(e.message, messages.Waiting)
     ]
     return offers, told
 
 
 def test_fresh_request_goes_to_hinted_room_without_control_messages(router):
-    hear(router, "engine-1", room=1)
+    hear(router, "engine-1", free_slots=1)
     offers, told = ask(router)
     assert [offer.sidecar for offer in offers] == ["engine-1"]
     assert offers[0].order.claim_id == messages.UNCLAIMED
@@ -64,7 +64,7 @@
 
 
 def test_request_beyond_the_hinted_room_is_announced(router):
-    hear(router, "engine-1", room=1)
+    hear(router, "engine-1", free_slots=1)
     ask(router)
     offers, told = ask(router, team="mill-b")
     assert offers == []
@@ -76,7 +76,7 @@
     # its claim arrives. A newcomer of the flooding team would be offered
     # that room and overtake the clerk.
     ask(router, team="mill-a")
-    hear(router, "engine-1", room=1)
+    hear(router, "engine-1", free_slots=1)
     offers, _ = ask(router, team="flood")
     assert offers == []
 
@@ -86,11 +86,11 @@
     # and on, its request would use up its attempts while it never waits in
     # any team's turn.
     for name in SIDECARS:
-        hear(router, name, room=2)
+        hear(router, name, free_slots=2)
     offers, _ = ask(router)
     attempt = offers[0].order.attempt_id
-    end = handout.AttemptEnd.REFUSED
-    handout.end_attempt(router, 0.1, attempt, end, answer_begun=False)
+    end = attempt_lifecycle.AttemptEnd.REFUSED
+    attempt_lifecycle.end_attempt(router, 0.1, attempt, end, answer_begun=False)
     offers, told = split(core.run_timers(router, 0.1))
     assert offers == []
     assert told[0].teams[0].count == 1
@@ -98,11 +98,11 @@
 
 
 def test_slot_of_an_ended_offer_is_offered_again(router):
-    hear(router, "engine-2", room=1)
+    hear(router, "engine-2", free_slots=1)
     offers, _ = ask(router)
     attempt = offers[0].order.attempt_id
-    end = handout.AttemptEnd.COMPLETE
-    handout.end_attempt(router, 0.1, attempt, end, answer_begun=True)
+    end = attempt_lifecycle.AttemptEnd.COMPLETE
+    attempt_lifecycle.end_attempt(router, 0.1, attempt, end, answer_begun=True)
     offers, _ = ask(router, now=0.2)
     assert [offer.sidecar for offer in offers] == ["engine-2"]
 
@@ -110,9 +110,9 @@
 def test_hint_of_a_silent_sidecar_is_not_used(router):
     # A VM fails right after its hint; its router would go on offering to it,
     # and each caller's request would wait for a connection that never opens.
-    hear(router, "engine-1", room=2)
+    hear(router, "engine-1", free_slots=2)
     later = membership.SUSPECT_AFTER + 0.5
-    hear(router, "engine-0", room=0, now=later)
+    hear(router, "engine-0", free_slots=0, now=later)
     offers, told = ask(router, now=later)
     assert offers == []
     assert len(told) == 1
@@ -120,7 +120,7 @@
 
 def test_offers_spread_over_sidecars_with_equal_room(router):
     for name in SIDECARS:
-        hear(router, name, room=4)
+        hear(router, name, free_slots=4)
     sidecars = [ask(router)[0][0].sidecar for _ in range(12)]
     assert {sidecars.count(name) for name in SIDECARS} == {4}
 
@@ -128,7 +128,7 @@
 def test_sidecar_with_room_learns_at_once_which_teams_wait(router):
     ask(router, team="mill-a")
     ask(router, team="mill-b")
-    offers, told = split(hear(router, "engine-1", room=1))
+    offers, told = split(hear(router, "engine-1", free_slots=1))
     assert offers == []
     assert told[0].complete
     assert {entry.team for entry in told[0].teams} == {"mill-a", "mill-b"}
@@ -137,7 +137,7 @@
 def test_one_teams_waiting_requests_take_a_hint_at_once(router):
     for _ in range(3):
         ask(router, team="mill-a")
-    offers, told = split(hear(router, "engine-1", room=2))
+    offers, told = split(hear(router, "engine-1", free_slots=2))
     assert [offer.sidecar for offer in offers] == ["engine-1"] * 2
     assert told == []
     assert router.waiting.total == 1
--- a/sycamorefall/router/tests/test_interface_fuzz.py
+++ b/sycamorefall/router/tests/test_request_parsing_fuzz.py
@@ -7,14 +7,14 @@
 from returns import result
 
 from sycamorefall import configuration, errors, settings
-from sycamorefall.router import interface
+from sycamorefall.router import request_parsing
 
 TEXT = "[service a]\nkind = engine\n[service b]\nkind = plain\n"
 IN_FORCE = configuration.parse_configuration(TEXT).unwrap()
 
 PATHS = st.one_of(
     st.sampled_from(
-        (interface.COMPLETIONS_PATH, "/v1/services/b/x", "/v1/services/")
+        (request_parsing.COMPLETIONS_PATH, "/v1/services/b/x", "/v1/services/")
     ),
     st.text(max_size=30),
     st.text(max_size=30).map("/v1/services/".__add__),
@@ -22,9 +22,9 @@
 HEADERS = st.dictionaries(
     st.sampled_from(
         (
-            interface.TIMEOUT_HEADER,
-            interface.IDEMPOTENT_HEADER,
-            interface.COST_HEADER,
+            request_parsing.TIMEOUT_HEADER,
+            request_parsing.IDEMPOTENT_HEADER,
+            request_parsing.COST_HEADER,
             "Content-Type",
             "Idempotency-Key",
         )
@@ -56,7 +56,7 @@
     call = types.SimpleNamespace(
         method=method, path=path, query=query, headers=headers, body=body
     )
-    read = interface.read_request(
+    read = request_parsing.read_request(
         call, "mill", IN_FORCE, settings.LimitSettings()
     )
     match read:
--- a/sycamorefall/sharing/__init__.py
+++ b/sycamorefall/sharing/__init__.py
@@ -2,76 +2,76 @@
 
 __all__ = [
     "Account",
+    "AccountExchange",
     "ByteBudget",
     "CostEstimates",
     "Demand",
-    "Exchange",
-    "Fairness",
+    "FairnessState",
     "ServiceAccounts",
     "WaitingQueues",
+    "add_request",
+    "build_due_updates",
     "charge_team",
     "choose_router",
     "choose_team",
-    "compute_horizon",
-    "compute_key",
+    "compute_max_lead",
+    "compute_next_send_time",
+    "compute_next_update_time",
+    "compute_order_key",
+    "compute_remaining_rate",
     "drop_idle_accounts",
     "estimate_cost",
-    "find_next_exchange",
-    "find_opening",
+    "get_oldest_arrival",
     "is_open",
-    "join_queue",
-    "lift_team",
     "list_entries",
-    "list_news",
     "merge_entries",
-    "note_cost",
-    "note_sibling",
-    "note_waiting",
-    "peek_oldest",
     "pop_earliest",
+    "raise_to_floor",
+    "record_cost",
+    "record_waiting",
     "reserve_units",
-    "share_rate",
+    "schedule_sibling_sync",
     "spend_bytes",
 ]
 
+from sycamorefall.sharing.account_exchange import (
+    AccountExchange,
+    build_due_updates,
+    compute_next_update_time,
+    schedule_sibling_sync,
+)
 from sycamorefall.sharing.accounts import (
     Account,
     ServiceAccounts,
     charge_team,
-    compute_key,
+    compute_order_key,
     list_entries,
     merge_entries,
     reserve_units,
 )
 from sycamorefall.sharing.budget import (
     ByteBudget,
-    find_opening,
+    compute_next_send_time,
+    compute_remaining_rate,
     is_open,
-    share_rate,
     spend_bytes,
 )
-from sycamorefall.sharing.choice import (
-    Fairness,
-    choose_team,
-    drop_idle_accounts,
-    lift_team,
-)
-from sycamorefall.sharing.demand import Demand, choose_router, note_waiting
-from sycamorefall.sharing.estimates import (
+from sycamorefall.sharing.cost_estimates import (
     CostEstimates,
-    compute_horizon,
+    compute_max_lead,
     estimate_cost,
-    note_cost,
-)
-from sycamorefall.sharing.exchange import (
-    Exchange,
-    find_next_exchange,
-    list_news,
-    note_sibling,
+    record_cost,
 )
+from sycamorefall.sharing.demand import Demand, choose_router, record_waiting
 from sycamorefall.sharing.queues import (
     WaitingQueues,
-    join_queue,
-    peek_oldest,
+    add_request,
+    get_oldest_arrival,
     pop_earliest,
 )
+from sycamorefall.sharing.team_selection import (
+    FairnessState,
+    choose_team,
+    drop_idle_accounts,
+    raise_to_floor,
+)
--- a/sycamorefall/sharing/exchange.py
+++ b/sycamorefall/sharing/account_exchange.py
@@ -6,10 +6,10 @@
 """
 
 __all__ = [
-    "Exchange",
-    "find_next_exchange",
-    "list_news",
-    "note_sibling",
+    "AccountExchange",
+    "build_due_updates",
+    "compute_next_update_time",
+    "schedule_sibling_sync",
 ]
 
 import dataclasses
@@ -62,7 +62,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Exchange:
+class AccountExchange:
     """What a sidecar told its siblings, and what it may still send.
 
     Attributes:
@@ -90,11 +90,11 @@
     )
 
 
-def note_sibling(
-    exchange: Exchange,
+def schedule_sibling_sync(
+    exchange: AccountExchange,
     accounts: accounts_module.ServiceAccounts,
     sibling: str,
-    everything: bool,
+    include_other_owners: bool,
 ) -> None:
     """Has a sibling told what it can't know, as it is new or was cut off.
 
@@ -102,12 +102,13 @@
         exchange: The exchange; changed.
         accounts: This sidecar's view of the accounts.
         sibling: VM name of the sibling.
-        everything: Whether this sidecar is the one to tell it the entries of
+        include_other_owners: Whether this sidecar is the one to tell it the
+            entries of
             all owners, of those too that are gone and can't tell their own.
     """
     own = _list_own_teams(accounts)
     exchange.repeats |= dict.fromkeys(own)
-    if everything and accounts.teams:
+    if include_other_owners and accounts.teams:
         entries = accounts_module.list_entries(
             accounts, accounts.teams, own_only=False
         )
@@ -123,25 +124,25 @@
     return [
         team
         for team, account in accounts.teams.items()
-        if accounts.label in account.entries
+        if accounts.owner in account.entries
     ]
 
 
-def find_next_exchange(
-    exchange: Exchange, accounts: accounts_module.ServiceAccounts
+def compute_next_update_time(
+    exchange: AccountExchange, accounts: accounts_module.ServiceAccounts
 ) -> float:
-    """Tells when `list_news` has something to tell."""
+    """Tells when `build_due_updates` has something to tell."""
     if accounts.unsent or exchange.pages:
         due = exchange.next_send
     elif exchange.repeats:
         due = exchange.next_repeat
     else:
         return float("inf")
-    return max(due, budget_module.find_opening(exchange.budget))
+    return max(due, budget_module.compute_next_send_time(exchange.budget))
 
 
-def list_news(
-    exchange: Exchange,
+def build_due_updates(
+    exchange: AccountExchange,
     accounts: accounts_module.ServiceAccounts,
     now: float,
     siblings: list[str],
@@ -213,7 +214,7 @@
 
 
 def _take_changed(
-    exchange: Exchange,
+    exchange: AccountExchange,
     accounts: accounts_module.ServiceAccounts,
     most: int,
 ) -> list[str]:
@@ -242,15 +243,17 @@
     accounts: accounts_module.ServiceAccounts, team: str
 ) -> tuple[float, float]:
     account = accounts.teams[team]
-    entry = account.entries[accounts.label]
+    entry = account.entries[accounts.owner]
     return entry.served + entry.reserved, account.offset
 
 
 def _measure_change(
-    exchange: Exchange, accounts: accounts_module.ServiceAccounts, team: str
+    exchange: AccountExchange,
+    accounts: accounts_module.ServiceAccounts,
+    team: str,
 ) -> float:
     account = accounts.teams.get(team)
-    if account is None or accounts.label not in account.entries:
+    if account is None or accounts.owner not in account.entries:
         return 0.0
     before = exchange.told.get(team, (0.0, 0.0))
     after = _sum_own(accounts, team)
@@ -258,7 +261,7 @@
 
 
 def _take_repeats(
-    exchange: Exchange,
+    exchange: AccountExchange,
     accounts: accounts_module.ServiceAccounts,
     changed: list[str],
 ) -> list[str]:
@@ -272,7 +275,7 @@
 
 
 def _take_pages(
-    exchange: Exchange, siblings: list[str]
+    exchange: AccountExchange, siblings: list[str]
 ) -> list[tuple[str, list[messages.AccountEntry]]]:
     pages = []
     for name in list(exchange.pages):
@@ -293,7 +296,7 @@
     """
     return messages.AccountEntry(
         entry.team,
-        entry.label,
+        entry.owner,
         entry.sequence,
         round(entry.served),
         round(entry.reserved),
--- a/sycamorefall/sharing/accounts.py
+++ b/sycamorefall/sharing/accounts.py
@@ -13,7 +13,7 @@
     "Entry",
     "ServiceAccounts",
     "charge_team",
-    "compute_key",
+    "compute_order_key",
     "compute_reserved",
     "drop_account",
     "list_entries",
@@ -49,7 +49,7 @@
             is whole, so that rounding on the way doesn't change it.
         lift: What this process adds to the order key, and no other does.
         quiet: Sweeps in a row that found the account unchanged; see
-            `choice.drop_idle_accounts`.
+            `team_selection.drop_idle_accounts`.
         swept_total: Total at the last sweep.
     """
 
@@ -66,7 +66,7 @@
     """All teams' accounts at a service, as one process knows them.
 
     Attributes:
-        label: Label of the owner of this view.
+        owner: Label of the owner of this view.
         teams: Accounts by team.
         unsent: Teams whose own entry changed since it was last sent.
         changes: Sequence number of the last change of an own entry. It is
@@ -74,7 +74,7 @@
             comes back does not begin below what others have seen.
     """
 
-    label: str
+    owner: str
     teams: dict[str, Account] = dataclasses.field(default_factory=dict)
     unsent: set[str] = dataclasses.field(default_factory=set)
     changes: int = 0
@@ -82,7 +82,7 @@
 
 def _own_entry(accounts: ServiceAccounts, team: str) -> tuple[Account, Entry]:
     account = accounts.teams.setdefault(team, Account())
-    entry = account.entries.setdefault(accounts.label, Entry())
+    entry = account.entries.setdefault(accounts.owner, Entry())
     accounts.changes += 1
     entry.sequence = accounts.changes
     accounts.unsent.add(team)
@@ -142,14 +142,14 @@
     account = accounts.teams[team]
     if offset <= account.offset:
         return False
-    own = account.entries.get(accounts.label)
+    own = account.entries.get(accounts.owner)
     account.offset = offset
     account.lift = 0.0
     account.entries.clear()
     account.total = 0.0
     if own is not None:
         own.served = 0.0
-        account.entries[accounts.label] = own
+        account.entries[accounts.owner] = own
         account.total = own.reserved
         if own.reserved:
             _own_entry(accounts, team)
@@ -170,7 +170,9 @@
     accounts.unsent.discard(team)
 
 
-def compute_key(accounts: ServiceAccounts, team: str, weight: float) -> float:
+def compute_order_key(
+    accounts: ServiceAccounts, team: str, weight: float
+) -> float:
     """Computes a team's order key: the least is served next.
 
     Args:
@@ -185,7 +187,7 @@
     Example:
         >>> accounts = ServiceAccounts("engine-1/1")
         >>> charge_team(accounts, "mill", 30.0)
-        >>> compute_key(accounts, "mill", weight=2.0)
+        >>> compute_order_key(accounts, "mill", weight=2.0)
         15.0
     """
     account = accounts.teams.get(team)
@@ -207,9 +209,9 @@
         account = accounts.teams.setdefault(received.team, Account())
         _void_entries(accounts, received.team, received.offset)
         outdated = received.offset < account.offset
-        if outdated or received.label == accounts.label:
+        if outdated or received.owner == accounts.owner:
             continue
-        entry = account.entries.setdefault(received.label, Entry())
+        entry = account.entries.setdefault(received.owner, Entry())
         if received.sequence <= entry.sequence:
             continue
         account.total += received.served - entry.served
@@ -235,7 +237,7 @@
     return [
         messages.AccountEntry(
             team=team,
-            label=label,
+            owner=owner,
             sequence=entry.sequence,
             served=entry.served,
             reserved=entry.reserved,
@@ -243,6 +245,6 @@
         )
         for team in teams
         if team in accounts.teams
-        for label, entry in accounts.teams[team].entries.items()
-        if label == accounts.label or not own_only
+        for owner, entry in accounts.teams[team].entries.items()
+        if owner == accounts.owner or not own_only
     ]
--- a/sycamorefall/sharing/budget.py
+++ b/sycamorefall/sharing/budget.py
@@ -2,9 +2,9 @@
 
 __all__ = [
     "ByteBudget",
-    "find_opening",
+    "compute_next_send_time",
+    "compute_remaining_rate",
     "is_open",
-    "share_rate",
     "spend_bytes",
 ]
 
@@ -33,7 +33,7 @@
     updated: float = 0.0
 
 
-def share_rate(most: float, per_link: float, links: int) -> float:
+def compute_remaining_rate(most: float, per_link: float, links: int) -> float:
     """Computes what is left of a budget beside its links' heartbeats.
 
     Args:
@@ -45,8 +45,8 @@
         Bytes per second, at least a tenth of the most.
 
     Example:
-        >>> share_rate(4000.0, 50.0, 4), share_rate(4000.0, 50.0, 400)
-        (3800.0, 400.0)
+        >>> [compute_remaining_rate(4000.0, 50.0, links) for links in (4, 400)]
+        [3800.0, 400.0]
     """
     return max(most / 10, most - per_link * links)
 
@@ -71,10 +71,10 @@
 
 def is_open(budget: ByteBudget, now: float, overdraft: float = 0.0) -> bool:
     """Tells whether something may be sent now."""
-    return now >= find_opening(budget, overdraft)
+    return now >= compute_next_send_time(budget, overdraft)
 
 
-def find_opening(budget: ByteBudget, overdraft: float = 0.0) -> float:
+def compute_next_send_time(budget: ByteBudget, overdraft: float = 0.0) -> float:
     """Tells from when on something may be sent.
 
     Args:
@@ -87,7 +87,7 @@
     Example:
         >>> budget = ByteBudget(rate=100.0, burst=50.0, level=50.0)
         >>> spend_bytes(budget, 10.0, 150.0)
-        >>> find_opening(budget)
+        >>> compute_next_send_time(budget)
         11.0
     """
     lacking = -(budget.level + overdraft)
--- a/sycamorefall/sharing/estimates.py
+++ b/sycamorefall/sharing/cost_estimates.py
@@ -2,9 +2,9 @@
 
 __all__ = [
     "CostEstimates",
-    "compute_horizon",
+    "compute_max_lead",
     "estimate_cost",
-    "note_cost",
+    "record_cost",
 ]
 
 import dataclasses
@@ -13,7 +13,7 @@
 """Weight of the newest cost in the mean."""
 
 
-HORIZON_REQUESTS = 128
+MAX_LEAD_REQUESTS = 128
 """Mean requests by which a team may be ahead of another that waits."""
 
 MOST_TEAMS = 4096
@@ -33,7 +33,7 @@
     teams: dict[str, float] = dataclasses.field(default_factory=dict)
 
 
-def note_cost(estimates: CostEstimates, team: str, units: float) -> None:
+def record_cost(estimates: CostEstimates, team: str, units: float) -> None:
     """Learns from a request that has ended.
 
     Args:
@@ -58,10 +58,10 @@
     return estimates.teams.get(team, estimates.overall)
 
 
-def compute_horizon(estimates: CostEstimates) -> float:
+def compute_max_lead(estimates: CostEstimates) -> float:
     """Computes how far a team may get ahead of another that waits.
 
     Returns:
         Cost units; unlimited while no cost is known.
     """
-    return HORIZON_REQUESTS * estimates.overall or float("inf")
+    return MAX_LEAD_REQUESTS * estimates.overall or float("inf")
--- a/sycamorefall/sharing/demand.py
+++ b/sycamorefall/sharing/demand.py
@@ -7,8 +7,8 @@
     "choose_router",
     "drop_router",
     "list_teams",
-    "note_waiting",
-    "take_request",
+    "record_waiting",
+    "remove_waiting_request",
 ]
 
 import dataclasses
@@ -59,7 +59,7 @@
     total: int = 0
 
 
-def note_waiting(
+def record_waiting(
     demand: Demand,
     now: float,
     router: str,
@@ -143,7 +143,7 @@
     )
 
 
-def take_request(demand: Demand, router: str, team: str) -> None:
+def remove_waiting_request(demand: Demand, router: str, team: str) -> None:
     """Counts one waiting request less, as it is being claimed."""
     known = demand.routers.get(router)
     entry = known.teams.get(team) if known else None
--- a/sycamorefall/sharing/queues.py
+++ b/sycamorefall/sharing/queues.py
@@ -3,16 +3,16 @@
 __all__ = [
     "TeamQueue",
     "WaitingQueues",
-    "count_earlier",
+    "add_request",
+    "count_requests_ahead",
     "count_waiting",
     "find_longest_queue",
-    "join_queue",
-    "leave_queue",
+    "get_oldest_arrival",
     "list_deadlines",
     "list_queues",
     "peek_newest",
-    "peek_oldest",
     "pop_earliest",
+    "remove_request",
 ]
 
 import bisect
@@ -64,7 +64,7 @@
     count: int = 0
 
 
-def join_queue(
+def add_request(
     waiting: WaitingQueues,
     service: str,
     team: str,
@@ -119,7 +119,7 @@
     return -len(queue.arrivals) / queue.weight
 
 
-def leave_queue(
+def remove_request(
     waiting: WaitingQueues,
     service: str,
     team: str,
@@ -169,7 +169,7 @@
     if queue is None:
         return None
     deadline, request = queue.deadlines[0]
-    leave_queue(waiting, service, team, request, deadline)
+    remove_request(waiting, service, team, request, deadline)
     return request
 
 
@@ -189,7 +189,7 @@
     return len(queue.arrivals) if queue else 0
 
 
-def count_earlier(
+def count_requests_ahead(
     waiting: WaitingQueues, service: str, team: str, deadline: float
 ) -> int:
     """Counts a team's waiting requests that go before a new one.
@@ -217,7 +217,7 @@
     return list(queue.deadlines) if queue else []
 
 
-def peek_oldest(
+def get_oldest_arrival(
     waiting: WaitingQueues, service: str, team: str
 ) -> float | None:
     """Tells when the team's oldest waiting request arrived."""
--- a/sycamorefall/sharing/choice.py
+++ b/sycamorefall/sharing/team_selection.py
@@ -1,10 +1,10 @@
 """The choice of the team that is served next."""
 
 __all__ = [
-    "Fairness",
+    "FairnessState",
     "choose_team",
     "drop_idle_accounts",
-    "lift_team",
+    "raise_to_floor",
 ]
 
 from collections.abc import Callable, Collection
@@ -24,22 +24,22 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Fairness:
+class FairnessState:
     """State of the choice at one service.
 
     Attributes:
         floor: Least order key among waiting teams, when last looked at;
             never falls.
-        horizon: Cost units by which a waiting team may be ahead of another;
+        max_lead: Cost units by which a waiting team may be ahead of another;
             see `limit_lead`.
     """
 
     floor: float = 0.0
-    horizon: float = float("inf")
+    max_lead: float = float("inf")
 
 
 def choose_team(
-    fairness: Fairness,
+    fairness: FairnessState,
     accounts: accounts_module.ServiceAccounts,
     waiting: Collection[str],
     weigh: Weigh,
@@ -58,7 +58,7 @@
     if not waiting:
         return None
     keys = {
-        team: accounts_module.compute_key(accounts, team, weigh(team))
+        team: accounts_module.compute_order_key(accounts, team, weigh(team))
         for team in waiting
     }
     _limit_lead(fairness, accounts, keys, weigh)
@@ -68,7 +68,7 @@
 
 
 def _limit_lead(
-    fairness: Fairness,
+    fairness: FairnessState,
     accounts: accounts_module.ServiceAccounts,
     keys: dict[str, float],
     weigh: Weigh,
@@ -82,15 +82,17 @@
     most the horizon.
     """
     top, leader = max((key, team) for team, key in keys.items())
-    ceiling = top - fairness.horizon / weigh(leader)
+    ceiling = top - fairness.max_lead / weigh(leader)
     behind = [team for team, key in keys.items() if key < ceiling]
     for team in behind:
         _lift_to(accounts, team, ceiling, weigh(team))
-        keys[team] = accounts_module.compute_key(accounts, team, weigh(team))
+        keys[team] = accounts_module.compute_order_key(
+            accounts, team, weigh(team)
+        )
 
 
-def lift_team(
-    fairness: Fairness,
+def raise_to_floor(
+    fairness: FairnessState,
     accounts: accounts_module.ServiceAccounts,
     team: str,
     weight: float,
@@ -121,16 +123,16 @@
 ) -> None:
     """Lifts a team's order key in the eyes of this sidecar."""
     account = accounts.teams.setdefault(team, accounts_module.Account())
-    current = accounts_module.compute_key(accounts, team, weight)
+    current = accounts_module.compute_order_key(accounts, team, weight)
     account.lift += max(0.0, key - current)
 
 
 def drop_idle_accounts(
-    fairness: Fairness,
+    fairness: FairnessState,
     accounts: accounts_module.ServiceAccounts,
     waiting: Collection[str],
     weigh: Weigh,
-    most_entries: int,
+    max_entries: int,
 ) -> None:
     """Drops accounts that say nothing, a part of them at each call.
 
@@ -146,7 +148,7 @@
         accounts: The service's accounts; changed.
         waiting: Teams with work waiting.
         weigh: Gives a team's weight.
-        most_entries: Entries that an account may hold.
+        max_entries: Entries that an account may hold.
     """
     for team in list(itertools.islice(accounts.teams, SWEEP)):
         account = accounts.teams.pop(team)
@@ -156,10 +158,10 @@
         is_quiet = is_quiet and team not in waiting
         account.quiet = account.quiet + 1 if is_quiet else 0
         account.swept_total = account.total
-        key = accounts_module.compute_key(accounts, team, weigh(team))
+        key = accounts_module.compute_order_key(accounts, team, weigh(team))
         if account.quiet >= QUIET_SWEEPS and key <= fairness.floor:
             accounts_module.drop_account(accounts, team)
-        elif len(account.entries) > most_entries:
+        elif len(account.entries) > max_entries:
             accounts_module.raise_offset(
                 accounts, team, key - reserved / weigh(team)
             )
--- a/sycamorefall/sharing/tests/test_exchange.py
+++ b/sycamorefall/sharing/tests/test_account_exchange.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sycamorefall import messages, names, sharing
-from sycamorefall.sharing import exchange as exchange_module
+from sycamorefall.sharing import account_exchange as account_exchange_module
 
 SIBLINGS = ["engine-1", "engine-2"]
 
@@ -27,24 +27,27 @@
 
 def run(accounts, seconds, change, siblings=SIBLINGS, begin=0.0):
     """Runs an exchange, changing the accounts every 10 ms."""
-    exchange = sharing.Exchange()
+    exchange = sharing.AccountExchange()
     sent = []
     for step in range(round(seconds * 100)):
         now = begin + step * 0.01
         change(now)
-        if now >= sharing.find_next_exchange(exchange, accounts):
-            news = sharing.list_news(exchange, accounts, now, siblings)
+        if now >= sharing.compute_next_update_time(exchange, accounts):
+            news = sharing.build_due_updates(exchange, accounts, now, siblings)
             sent.append((now, news))
     return sent
 
 
 def test_change_goes_out_at_once_while_the_budget_lasts():
-    accounts, exchange = sharing.ServiceAccounts("own"), sharing.Exchange()
+    accounts, exchange = (
+        sharing.ServiceAccounts("own"),
+        sharing.AccountExchange(),
+    )
     for step in range(10):
         now = step * 0.1
         sharing.reserve_units(accounts, "mill-a", 50.0)
-        assert sharing.find_next_exchange(exchange, accounts) <= now
-        news = sharing.list_news(exchange, accounts, now, SIBLINGS)
+        assert sharing.compute_next_update_time(exchange, accounts) <= now
+        news = sharing.build_due_updates(exchange, accounts, now, SIBLINGS)
         assert [name for name, _ in news] == SIBLINGS
         assert news[0][1][0].reserved == 50 * (step + 1)
 
@@ -64,7 +67,8 @@
     sent = run(accounts, 60.0, change, names_)
     size = sum(measure_size(news) for _, news in sent)
     allowed = (
-        exchange_module.EXCHANGE_BURST + 60 * exchange_module.EXCHANGE_RATE
+        account_exchange_module.EXCHANGE_BURST
+        + 60 * account_exchange_module.EXCHANGE_RATE
     )
     largest = max(measure_size(news) for _, news in sent)
     assert size <= allowed + largest
@@ -72,24 +76,32 @@
 
 
 def test_most_changed_teams_go_first_when_not_all_fit():
-    accounts, exchange = sharing.ServiceAccounts("own"), sharing.Exchange()
+    accounts, exchange = (
+        sharing.ServiceAccounts("own"),
+        sharing.AccountExchange(),
+    )
     for index in range(200):
         sharing.charge_team(accounts, f"team-{index:03d}", 10.0 + index)
-    (_, entries), _ = sharing.list_news(exchange, accounts, 0.0, SIBLINGS)
-    assert len(entries) == exchange_module.MOST_ENTRIES
+    (_, entries), _ = sharing.build_due_updates(
+        exchange, accounts, 0.0, SIBLINGS
+    )
+    assert len(entries) == account_exchange_module.MOST_ENTRIES
     assert min(entry.served for entry in entries) >= 10 + 200 - len(entries)
     assert len(accounts.unsent) == 200 - len(entries)
 
 
 def test_charge_within_the_reservation_is_no_news():
-    accounts, exchange = sharing.ServiceAccounts("own"), sharing.Exchange()
+    accounts, exchange = (
+        sharing.ServiceAccounts("own"),
+        sharing.AccountExchange(),
+    )
     sharing.reserve_units(accounts, "mill-a", 100.0)
-    sharing.list_news(exchange, accounts, 0.0, SIBLINGS)
+    sharing.build_due_updates(exchange, accounts, 0.0, SIBLINGS)
     exchange.repeats.clear()
     for _ in range(20):
         sharing.charge_team(accounts, "mill-a", 4.0)
         sharing.reserve_units(accounts, "mill-a", -4.0)
-    assert sharing.list_news(exchange, accounts, 1.0, SIBLINGS) == []
+    assert sharing.build_due_updates(exchange, accounts, 1.0, SIBLINGS) == []
 
 
 @given(st.integers(0, 1 << 30), st.integers(1, 40))
@@ -112,25 +124,32 @@
             sharing.merge_entries(sibling, news[0][1])
     for team, account in accounts.teams.items():
         known = sibling.teams[team].total
-        assert abs(known - account.total) <= exchange_module.WORTH_TELLING
+        assert (
+            abs(known - account.total) <= account_exchange_module.WORTH_TELLING
+        )
 
 
 def test_new_sibling_is_told_of_owners_that_are_gone():
     # A sidecar fails for good, another restarts: only older siblings still
     # know what the first one gave to the flooding team, which the restarted
     # one would serve ahead of all others.
-    accounts, exchange = sharing.ServiceAccounts("own"), sharing.Exchange()
+    accounts, exchange = (
+        sharing.ServiceAccounts("own"),
+        sharing.AccountExchange(),
+    )
     gone = [
         messages.AccountEntry(f"team-{n}", "gone/1", 3, 100 * n, 0, 0)
         for n in range(1, 151)
     ]
     sharing.merge_entries(accounts, gone)
     newcomer = sharing.ServiceAccounts("engine-1/2")
-    sharing.note_sibling(exchange, accounts, "engine-1", everything=True)
+    sharing.schedule_sibling_sync(
+        exchange, accounts, "engine-1", include_other_owners=True
+    )
     now = 0.0
     while exchange.pages:
-        now = max(now, sharing.find_next_exchange(exchange, accounts))
-        for name, entries in sharing.list_news(
+        now = max(now, sharing.compute_next_update_time(exchange, accounts))
+        for name, entries in sharing.build_due_updates(
             exchange, accounts, now, SIBLINGS
         ):
             assert name == "engine-1"
@@ -141,6 +160,6 @@
 
 
 def test_nothing_is_due_while_nothing_changed():
-    exchange = sharing.Exchange()
+    exchange = sharing.AccountExchange()
     accounts = sharing.ServiceAccounts("own")
-    assert sharing.find_next_exchange(exchange, accounts) == float("inf")
+    assert sharing.compute_next_update_time(exchange, accounts) == float("inf")
--- a/sycamorefall/sharing/tests/test_accounts.py
+++ b/sycamorefall/sharing/tests/test_accounts.py
@@ -78,7 +78,7 @@
     for view in views:
         sharing.merge_entries(view, reversed(past))
     for team in TEAMS:
-        keys = [sharing.compute_key(view, team, 2.0) for view in views]
+        keys = [sharing.compute_order_key(view, team, 2.0) for view in views]
         assert keys == pytest.approx([keys[0]] * OWNERS)
 
 
@@ -105,7 +105,7 @@
     for view in (one, other):
         accounts_module.raise_offset(view, "mill-a", 100.0)
     exchange_all([one, other])
-    assert sharing.compute_key(one, "mill-a", 1.0) == 100.0
+    assert sharing.compute_order_key(one, "mill-a", 1.0) == 100.0
 
 
 def test_lift_from_a_stale_view_does_not_reach_other_sidecars():
@@ -116,20 +116,24 @@
     sharing.charge_team(served, "mill-a", 100.0)
     exchange_all([served, unaware])
     sharing.charge_team(served, "mill-a", 900.0)
-    fairness = sharing.Fairness(floor=1000.0)
-    sharing.lift_team(fairness, unaware, "mill-a", weight=1.0)
-    assert sharing.compute_key(unaware, "mill-a", 1.0) == 1000.0
+    fairness = sharing.FairnessState(floor=1000.0)
+    sharing.raise_to_floor(fairness, unaware, "mill-a", weight=1.0)
+    assert sharing.compute_order_key(unaware, "mill-a", 1.0) == 1000.0
     exchange_all([served, unaware])
-    assert sharing.compute_key(served, "mill-a", 1.0) == 1000.0
+    assert sharing.compute_order_key(served, "mill-a", 1.0) == 1000.0
 
 
 def test_new_team_counts_from_the_same_floor_everywhere():
     one, other = create_views(2)
-    sharing.lift_team(sharing.Fairness(floor=990.0), one, "new", weight=2.0)
-    sharing.lift_team(sharing.Fairness(floor=1000.0), other, "new", weight=2.0)
+    sharing.raise_to_floor(
+        sharing.FairnessState(floor=990.0), one, "new", weight=2.0
+    )
+    sharing.raise_to_floor(
+        sharing.FairnessState(floor=1000.0), other, "new", weight=2.0
+    )
     exchange_all([one, other])
     for view in (one, other):
-        assert sharing.compute_key(view, "new", 2.0) == 1000.0
+        assert sharing.compute_order_key(view, "new", 2.0) == 1000.0
 
 
 def test_work_in_flight_outlasts_a_higher_offset():
@@ -140,7 +144,7 @@
     exchange_all([busy, raising])
     exchange_all([busy, raising])
     for view in (busy, raising):
-        assert sharing.compute_key(view, "mill-a", 1.0) == 1050.0
+        assert sharing.compute_order_key(view, "mill-a", 1.0) == 1050.0
 
 
 def test_dropped_account_comes_back_with_entries_that_others_take():
@@ -153,4 +157,4 @@
     accounts_module.drop_account(own, "mill-a")
     sharing.charge_team(own, "mill-a", 70.0)
     sharing.merge_entries(other, sharing.list_entries(own, ["mill-a"]))
-    assert sharing.compute_key(other, "mill-a", 1.0) == 70.0
+    assert sharing.compute_order_key(other, "mill-a", 1.0) == 70.0
--- a/sycamorefall/sharing/tests/test_demand.py
+++ b/sycamorefall/sharing/tests/test_demand.py
@@ -32,9 +32,9 @@
                 for team, count in counts.items()
             )
             waiting = messages.Waiting("s", sequence, entries, complete)
-            sharing.note_waiting(demand, 0.0, router, incarnation, waiting)
+            sharing.record_waiting(demand, 0.0, router, incarnation, waiting)
         elif kind == "take":
-            demand_module.take_request(demand, router, rest[0])
+            demand_module.remove_waiting_request(demand, router, rest[0])
         else:
             demand_module.drop_router(demand, router, rest[0])
         held = {
--- a/sycamorefall/sharing/tests/test_queues.py
+++ b/sycamorefall/sharing/tests/test_queues.py
@@ -28,11 +28,13 @@
         mine = model.setdefault(key, {})
         if event == "join":
             mine[number] = deadline
-            queues.join_queue(waiting, *key, number, 0.0, deadline, TEAMS[team])
+            queues.add_request(
+                waiting, *key, number, 0.0, deadline, TEAMS[team]
+            )
         elif event == "back" and popped.get(key):
             request, until = popped[key].popitem()
             mine[request] = until
-            queues.join_queue(waiting, *key, request, 0.0, until)
+            queues.add_request(waiting, *key, request, 0.0, until)
         elif event == "pop":
             earliest = min(mine, key=lambda n: (mine[n], n), default=None)
             assert queues.pop_earliest(waiting, *key) == earliest
@@ -43,10 +45,10 @@
             newest = queues.peek_newest(waiting, *key)
             assert newest == max(mine)
             until = mine.pop(newest)
-            assert queues.leave_queue(waiting, *key, newest, until)
-            assert not queues.leave_queue(waiting, *key, newest, until)
+            assert queues.remove_request(waiting, *key, newest, until)
+            assert not queues.remove_request(waiting, *key, newest, until)
         earlier = sum(until <= deadline for until in mine.values())
-        assert queues.count_earlier(waiting, *key, deadline) == earlier
+        assert queues.count_requests_ahead(waiting, *key, deadline) == earlier
         assert waiting.total == sum(map(len, model.values()))
         assert waiting.count == sum(map(bool, model.values()))
         measures = {k: len(m) / TEAMS[k[1]] for k, m in model.items() if m}
@@ -66,7 +68,7 @@
     waiting = queues.WaitingQueues()
     for number in range(6200):
         team = f"team-{number % 3100}"
-        queues.join_queue(waiting, "a", team, number, 0.0, 1.0)
+        queues.add_request(waiting, "a", team, number, 0.0, 1.0)
     measured = []
     measure = queues._measure_queue
     monkeypatch.setattr(
@@ -75,10 +77,10 @@
         lambda queue: measured.append(1) or measure(queue),
     )
     for number in range(7000, 8000):
-        queues.join_queue(waiting, "a", "flood", number, 0.0, 1.0)
+        queues.add_request(waiting, "a", "flood", number, 0.0, 1.0)
         service, team = queues.find_longest_queue(waiting)
         newest = queues.peek_newest(waiting, service, team)
-        queues.leave_queue(waiting, service, team, newest, 1.0)
+        queues.remove_request(waiting, service, team, newest, 1.0)
     # Once in the thousand the order by length is built anew, over all.
     assert len(measured) < 1000 * 6 + 2 * 3101
     assert len(waiting.lengths) <= 2 * waiting.count + queues.SPARE_ENTRIES + 1
--- a/sycamorefall/sharing/tests/test_choice.py
+++ b/sycamorefall/sharing/tests/test_team_selection.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from sycamorefall import sharing
-from sycamorefall.sharing import choice, estimates
+from sycamorefall.sharing import cost_estimates, team_selection
 
 
 def choose(fairness, accounts, waiting):
@@ -23,7 +23,7 @@
     # A small mill waits without end while a large member floods: the choice
     # must come back to the mill, however costs fall and accounts lag.
     views = [sharing.ServiceAccounts(f"engine-{i}/1") for i in range(sidecars)]
-    states = [sharing.Fairness() for _ in views]
+    states = [sharing.FairnessState() for _ in views]
     teams = ["mill", *(f"flood-{i}" for i in range(flood))]
     since = dict.fromkeys(teams, 0)
     served = dict.fromkeys(teams, 0.0)
@@ -48,11 +48,11 @@
 
 def test_team_that_was_idle_has_not_saved_up_service():
     accounts = sharing.ServiceAccounts("engine-1/1")
-    fairness = sharing.Fairness()
+    fairness = sharing.FairnessState()
     for _ in range(100):
         sharing.charge_team(accounts, choose(fairness, accounts, ["a"]), 10.0)
     choose(fairness, accounts, ["a"])
-    sharing.lift_team(fairness, accounts, "idle", 1.0)
+    sharing.raise_to_floor(fairness, accounts, "idle", 1.0)
     turns = []
     for _ in range(20):
         turns.append(choose(fairness, accounts, ["a", "idle"]))
@@ -65,7 +65,7 @@
     # heals, that member's clerks must not wait until every other team has
     # caught up with all it got meanwhile.
     accounts = sharing.ServiceAccounts("engine-1/1")
-    fairness = sharing.Fairness(horizon=500.0)
+    fairness = sharing.FairnessState(max_lead=500.0)
     sharing.charge_team(accounts, "ahead", 1_000_000.0)
     teams = ["ahead", "mill-a", "mill-b"]
     turns = []
@@ -77,24 +77,24 @@
 
 def test_lead_within_the_horizon_is_paid_back_in_full():
     accounts = sharing.ServiceAccounts("engine-1/1")
-    fairness = sharing.Fairness(horizon=500.0)
+    fairness = sharing.FairnessState(max_lead=500.0)
     sharing.charge_team(accounts, "ahead", 400.0)
     choose(fairness, accounts, ["ahead", "mill"])
-    assert sharing.compute_key(accounts, "mill", 1.0) == 0.0
+    assert sharing.compute_order_key(accounts, "mill", 1.0) == 0.0
 
 
 def test_horizon_follows_the_costs_seen():
     seen = sharing.CostEstimates()
-    assert estimates.compute_horizon(seen) == float("inf")
-    sharing.note_cost(seen, "mill-a", 20.0)
-    expected = 20.0 * estimates.HORIZON_REQUESTS
-    assert estimates.compute_horizon(seen) == expected
+    assert cost_estimates.compute_max_lead(seen) == float("inf")
+    sharing.record_cost(seen, "mill-a", 20.0)
+    expected = 20.0 * cost_estimates.MAX_LEAD_REQUESTS
+    assert cost_estimates.compute_max_lead(seen) == expected
 
 
-def sweep(fairness, accounts, waiting, most_entries=10, times=1):
+def sweep(fairness, accounts, waiting, max_entries=10, times=1):
     for _ in range(times):
         sharing.drop_idle_accounts(
-            fairness, accounts, waiting, lambda team: 1.0, most_entries
+            fairness, accounts, waiting, lambda team: 1.0, max_entries
         )
 
 
@@ -105,8 +105,8 @@
         sharing.charge_team(accounts, f"team-{number}", 10.0)
     sharing.charge_team(accounts, "ahead", 900.0)
     sharing.reserve_units(accounts, "in-flight", 5.0)
-    fairness = sharing.Fairness(floor=100.0)
-    rounds = -(-len(accounts.teams) // choice.SWEEP)
+    fairness = sharing.FairnessState(floor=100.0)
+    rounds = -(-len(accounts.teams) // team_selection.SWEEP)
     sweep(fairness, accounts, {"team-7"}, times=rounds * 10)
     assert len(accounts.teams) > 900
     sweep(fairness, accounts, {"team-7"}, times=rounds * 15)
@@ -123,15 +123,15 @@
         sharing.charge_team(gone, "busy", 10.0)
         sharing.merge_entries(accounts, sharing.list_entries(gone, ["busy"]))
     sharing.reserve_units(accounts, "busy", 5.0)
-    before = sharing.compute_key(accounts, "busy", 1.0)
-    sweep(sharing.Fairness(), accounts, {"busy"})
+    before = sharing.compute_order_key(accounts, "busy", 1.0)
+    sweep(sharing.FairnessState(), accounts, {"busy"})
     assert len(accounts.teams["busy"].entries) == 1
-    assert sharing.compute_key(accounts, "busy", 1.0) == before
+    assert sharing.compute_order_key(accounts, "busy", 1.0) == before
 
 
 def test_costs_of_teams_not_seen_for_long_are_forgotten():
     seen = sharing.CostEstimates()
-    for number in range(estimates.MOST_TEAMS + 5):
-        sharing.note_cost(seen, f"team-{number}", 10.0)
-    assert len(seen.teams) == estimates.MOST_TEAMS
+    for number in range(cost_estimates.MOST_TEAMS + 5):
+        sharing.record_cost(seen, f"team-{number}", 10.0)
+    assert len(seen.teams) == cost_estimates.MOST_TEAMS
     assert "team-0" not in seen.teams
--- a/sycamorefall/sidecar/silence.py
+++ b/sycamorefall/sidecar/claim_backoff.py
@@ -36,7 +36,7 @@
         # with a single claim that tells whether more is.
         state.silences[claim.router] = state_module.Silence(now, now, 0.0)
         return
-    if claim.expires - dispatch.CLAIM_LEASE < known.since:
+    if claim.expires_at - dispatch.CLAIM_LEASE < known.since:
         return  # Made before the router was in doubt: tells nothing more.
     pause = min(LONGEST_PAUSE, max(dispatch.CLAIM_LEASE, 2 * known.pause))
     state.silences[claim.router] = state_module.Silence(now, now + pause, pause)
--- a/sycamorefall/sidecar/claiming.py
+++ b/sycamorefall/sidecar/claiming.py
@@ -18,7 +18,7 @@
     sharing,
 )
 from sycamorefall.sharing import demand as demand_module
-from sycamorefall.sidecar import silence
+from sycamorefall.sidecar import claim_backoff
 from sycamorefall.sidecar import state as state_module
 
 
@@ -31,7 +31,7 @@
 
 def make_claims(
     state: state_module.SidecarState, now: float
-) -> list[effects.Send]:
+) -> list[effects.SendMessage]:
     """Claims requests while there is room and work.
 
     Args:
@@ -43,10 +43,10 @@
     """
     if not may_claim(state):
         return []
-    room = admission.count_room(
+    room = admission.count_claimable(
         state.limit, len(state.runs), len(state.claims.open)
     )
-    claims: list[effects.Send] = []
+    claims: list[effects.SendMessage] = []
     while len(claims) < room and _is_worth_claiming(state, now):
         claim = _claim_one(state, now)
         if claim is None:
@@ -75,7 +75,7 @@
 def count_free(state: state_module.SidecarState) -> int:
     """Counts slots that are neither in use nor claimed for."""
     taken = len(state.runs) + len(state.claims.open)
-    return max(0, admission.count_own(state.limit) - taken)
+    return max(0, admission.compute_own_limit(state.limit) - taken)
 
 
 def may_claim(state: state_module.SidecarState) -> bool:
@@ -90,7 +90,7 @@
 
 def _claim_one(
     state: state_module.SidecarState, now: float
-) -> effects.Send | None:
+) -> effects.SendMessage | None:
     team = sharing.choose_team(
         state.fairness,
         state.accounts,
@@ -100,7 +100,7 @@
     if team is None:
         return None
     router = sharing.choose_router(state.demand, team)
-    demand_module.take_request(state.demand, router, team)
+    demand_module.remove_waiting_request(state.demand, router, team)
     reserved = sharing.estimate_cost(state.estimates, team)
     sharing.reserve_units(state.accounts, team, reserved)
     claim = dispatch.open_claim(state.claims, now, router, team, reserved)
@@ -110,7 +110,7 @@
         team,
         round(dispatch.CLAIM_LEASE * 1000),
     )
-    return effects.Send(router, message)
+    return effects.SendMessage(router, message)
 
 
 def release_no_work(
@@ -125,7 +125,7 @@
         router: The router.
         message: Its answer.
     """
-    silence.note_answer(state, router)
+    claim_backoff.note_answer(state, router)
     claim = dispatch.release_claim(state.claims, message.claim_id)
     if claim is not None:
         sharing.reserve_units(state.accounts, claim.team, -claim.reserved)
@@ -140,5 +140,5 @@
         now: This process's time.
     """
     for claim in dispatch.expire_claims(state.claims, now):
-        silence.note_expired(state, now, claim)
+        claim_backoff.note_expired(state, now, claim)
         sharing.reserve_units(state.accounts, claim.team, -claim.reserved)
--- a/sycamorefall/sidecar/core.py
+++ b/sycamorefall/sidecar/core.py
@@ -12,10 +12,10 @@
 from sycamorefall import effects, membership, messages, sharing
 from sycamorefall.dispatch import outcomes
 from sycamorefall.sidecar import (
+    claim_backoff,
     claiming,
     hinting,
     running,
-    silence,
     sweeping,
 )
 from sycamorefall.sidecar import effects as sidecar_effects
@@ -61,7 +61,7 @@
 
 def receive_message(
     state: state_module.SidecarState, now: float, envelope: messages.Envelope
-) -> list[effects.Send]:
+) -> list[effects.SendMessage]:
     """Handles a control message.
 
     Args:
@@ -83,7 +83,7 @@
     is_beat = isinstance(message, messages.Heartbeat)
     stopping = message.stopping if is_beat else None
     known = state.directory.peers.get(sender)
-    membership.note_heartbeat(
+    membership.record_peer_message(
         state.directory, now, sender, envelope.incarnation, stopping
     )
     replies = _greet(state, now, sender, known)
@@ -96,12 +96,15 @@
             if message.service == state.service:
                 sharing.merge_entries(state.accounts, message.entries)
         case messages.UnknownNames():
-            sharing.note_sibling(
-                state.exchange, state.accounts, sender, everything=False
+            sharing.schedule_sibling_sync(
+                state.exchange,
+                state.accounts,
+                sender,
+                include_other_owners=False,
             )
         case messages.AttemptQuery():
             report = running.report_attempt(state, now, message.attempt_id)
-            replies.append(effects.Send(sender, report))
+            replies.append(effects.SendMessage(sender, report))
     return replies + claiming.make_claims(state, now)
 
 
@@ -113,15 +116,15 @@
 ) -> None:
     if message.service != state.service:
         return
-    message = silence.limit_waiting(state, now, envelope.sender, message)
+    message = claim_backoff.limit_waiting(state, now, envelope.sender, message)
     if message is None:
         return
-    fresh = sharing.note_waiting(
+    fresh = sharing.record_waiting(
         state.demand, now, envelope.sender, envelope.incarnation, message
     )
     for team in fresh:
         weight = claiming.find_weight(state, team)
-        sharing.lift_team(state.fairness, state.accounts, team, weight)
+        sharing.raise_to_floor(state.fairness, state.accounts, team, weight)
 
 
 def _greet(
@@ -129,7 +132,7 @@
     now: float,
     sender: str,
     known: membership.Peer | None,
-) -> list[effects.Send]:
+) -> list[effects.SendMessage]:
     """Tells a new router of this sidecar, a new sibling of the accounts.
 
     Guards against a sibling that restarted, or that a partition cut off for
@@ -143,19 +146,24 @@
     if vm.role is membership.VmRole.ROUTER:
         met = silence > membership.SUSPECT_AFTER
         beat = hinting.build_heartbeat(state, now)
-        return [effects.Send(sender, beat)] if met else []
+        return [effects.SendMessage(sender, beat)] if met else []
     if vm.service == state.service and silence > SIBLING_SILENCE:
         siblings = _list_siblings(state, now)
-        tellers = membership.choose_tellers(sender, [state.vm, *siblings])
-        sharing.note_sibling(
-            state.exchange, state.accounts, sender, state.vm in tellers
+        full_sync_senders = membership.choose_full_sync_senders(
+            sender, [state.vm, *siblings]
+        )
+        sharing.schedule_sibling_sync(
+            state.exchange,
+            state.accounts,
+            sender,
+            state.vm in full_sync_senders,
         )
     return []
 
 
 def run_timers(
     state: state_module.SidecarState, now: float
-) -> list[effects.Send | sidecar_effects.CancelRun]:
+) -> list[effects.SendMessage | sidecar_effects.CancelRun]:
     """Does what has come due.
 
     Args:
@@ -166,7 +174,7 @@
         Messages to send and runs to cancel.
     """
     claiming.release_expired(state, now)
-    due: list[effects.Send | sidecar_effects.CancelRun] = []
+    due: list[effects.SendMessage | sidecar_effects.CancelRun] = []
     due += running.cancel_overdue(state, now)
     due += hinting.hint_room(state, now)
     if now >= state.next_heartbeat:
@@ -177,35 +185,40 @@
     if now >= state.next_sibling_beat:
         state.next_sibling_beat = now + SIBLING_INTERVAL
         beat = messages.Heartbeat(state.stopping)
-        due += [effects.Send(name, beat) for name in _list_siblings(state, now)]
-    if now >= sharing.find_next_exchange(state.exchange, state.accounts):
+        due += [
+            effects.SendMessage(name, beat)
+            for name in _list_siblings(state, now)
+        ]
+    if now >= sharing.compute_next_update_time(state.exchange, state.accounts):
         due += _send_accounts(state, now)
     return due + claiming.make_claims(state, now)
 
 
 def find_next_due(state: state_module.SidecarState) -> float:
     """Tells when `run_timers` has something to do next."""
-    leases = (claim.expires for claim in state.claims.open.values())
+    leases = (claim.expires_at for claim in state.claims.open.values())
     return min(
         state.next_heartbeat,
         state.next_sibling_beat,
         hinting.find_next_hint(state),
         running.find_next_overdue(state),
-        sharing.find_next_exchange(state.exchange, state.accounts),
+        sharing.compute_next_update_time(state.exchange, state.accounts),
         *leases,
     )
 
 
 def _send_accounts(
     state: state_module.SidecarState, now: float
-) -> list[effects.Send]:
+) -> list[effects.SendMessage]:
     siblings = _list_siblings(state, now)
-    news = sharing.list_news(state.exchange, state.accounts, now, siblings)
+    news = sharing.build_due_updates(
+        state.exchange, state.accounts, now, siblings
+    )
     if len(news) >= len(siblings):
         # An update to all of them tells as well that this sidecar lives.
         state.next_sibling_beat = now + SIBLING_INTERVAL
     return [
-        effects.Send(
+        effects.SendMessage(
             name, messages.AccountUpdate(state.service, tuple(entries))
         )
         for name, entries in news
--- a/sycamorefall/sidecar/daemon.py
+++ b/sycamorefall/sidecar/daemon.py
@@ -96,7 +96,7 @@
     )
     recorder = observation.Recorder()
     desk = _Desk(state, recorder)
-    admission.begin_low(state.limit)
+    admission.start_at_minimum(state.limit)
     decisions = node_module.Core(
         vm=state.vm,
         incarnation=state.incarnation,
@@ -108,7 +108,7 @@
         run_timers=lambda now: core.run_timers(state, now),
         find_next_due=lambda: core.find_next_due(state),
         apply_configuration=lambda: core.apply_configuration(state),
-        perform=lambda effect: _perform_effect(node, desk, effect),
+        perform_effects=lambda effect: _perform_effect(node, desk, effect),
         is_idle=lambda: core.is_idle(state),
         begin_stop=lambda: core.begin_stop(state),
     )
@@ -166,7 +166,7 @@
     order = _read_order(node, recorder, call)
     if order is None:
         observation.count_event(recorder, "attempt", "refused")
-        _answer_outcome(call, "", messages.Outcome.REFUSED)
+        _answer_outcome(call, "", messages.AttemptOutcome.REFUSED)
         return
     now = transport.read_clock()
     accepted = running.accept_attempt(state, now, order)
@@ -188,7 +188,7 @@
     relay.end = _make_ending(node, desk, relay)
     desk.relays[order.attempt_id] = relay
     call.on_hangup = lambda: relay.end("cancelled")
-    gate.pass_gate(
+    gate.submit_run(
         state.gate,
         now,
         order.attempt_id,
@@ -197,8 +197,8 @@
 
 
 _OUTCOMES = {
-    running.Acceptance.REFUSED: messages.Outcome.REFUSED,
-    running.Acceptance.REPEATED: messages.Outcome.REPEATED,
+    running.Acceptance.REFUSED: messages.AttemptOutcome.REFUSED,
+    running.Acceptance.REPEATED: messages.AttemptOutcome.REPEATED,
 }
 
 
@@ -210,7 +210,7 @@
     """Reads a hand-out's head, if it is one and a router signed it."""
     text = call.headers.get(messages.ORDER_HEADER, "")
     signature = call.headers.get(messages.SIGNATURE_HEADER, "")
-    if not node.authenticator.check_order(text, call.body, signature):
+    if not node.authenticator.verify_order(text, call.body, signature):
         observation.count_event(recorder, "order_unsigned")
         observation.write_limited(
             observation.Level.WARNING, "order.unsigned", caller=call.remote
@@ -225,7 +225,7 @@
 def _answer_outcome(
     call: transport.IncomingCall,
     attempt_id: str,
-    outcome: messages.Outcome,
+    outcome: messages.AttemptOutcome,
 ) -> None:
     named = (
         (messages.ATTEMPT_HEADER, attempt_id),
@@ -286,12 +286,12 @@
         if desk.relays.pop(attempt_id, None) is None:
             return
         sent = relay.exchange is not None
-        ran = sent and result != messages.Outcome.NOT_RUN.value
+        ran = sent and result != messages.AttemptOutcome.NOT_RUN.value
         if ran:
             rest = relay.meter.finish(now - relay.begun_at)
             running.charge_run(desk.state, attempt_id, rest)
         running.finish_run(desk.state, now, attempt_id, ran)
-        gate.leave_gate(
+        gate.release_run(
             desk.state.gate,
             now,
             attempt_id,
@@ -299,7 +299,7 @@
             is_engine=running.serves_engine(desk.state),
         )
         observation.end_request(desk.recorder, relay.track, now, result)
-        node_module.perform(node, claiming.make_claims(desk.state, now))
+        node_module.perform_effects(node, claiming.make_claims(desk.state, now))
 
     return end
 
@@ -363,13 +363,13 @@
     An answer that has begun is broken off too: ended in the usual way it
     would pass for a whole one.
     """
-    outcome = messages.Outcome.FAILED
+    outcome = messages.AttemptOutcome.FAILED
     if relay.call.begun:
         relay.call.abort()
     else:
         not_run = stage is transport.Stage.NOT_SENT
         if not_run:
-            outcome = messages.Outcome.NOT_RUN
+            outcome = messages.AttemptOutcome.NOT_RUN
         _answer_outcome(relay.call, relay.order.attempt_id, outcome)
     relay.end(outcome.value)
 
--- a/sycamorefall/sidecar/gate.py
+++ b/sycamorefall/sidecar/gate.py
@@ -5,7 +5,12 @@
 than the configured cap, and the slot is filled again without a message.
 """
 
-__all__ = ["Gate", "leave_gate", "open_gate", "pass_gate"]
+__all__ = [
+    "ConcurrencyGate",
+    "release_run",
+    "start_held_runs",
+    "submit_run",
+]
 
 from collections.abc import Callable
 import dataclasses
@@ -14,24 +19,27 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Gate:
+class ConcurrencyGate:
     """Runs of one upstream, held or passed on.
 
     Attributes:
         limit: The upstream's concurrency limit.
         held: What starts each held run, by attempt, in order of arrival.
-        passed: When each run was passed to the upstream, by attempt.
+        started_at: When each run was passed to the upstream, by attempt.
     """
 
     limit: admission.ConcurrencyLimit
     held: dict[str, Callable[[], None]] = dataclasses.field(
         default_factory=dict
     )
-    passed: dict[str, float] = dataclasses.field(default_factory=dict)
+    started_at: dict[str, float] = dataclasses.field(default_factory=dict)
 
 
-def pass_gate(
-    gate: Gate, now: float, attempt_id: str, start: Callable[[], None]
+def submit_run(
+    gate: ConcurrencyGate,
+    now: float,
+    attempt_id: str,
+    start: Callable[[], None],
 ) -> None:
     """Starts a run, now or as soon as the limit lets it.
 
@@ -42,21 +50,25 @@
         start: Sends its request to the upstream.
     """
     gate.held[attempt_id] = start
-    open_gate(gate, now)
+    start_held_runs(gate, now)
 
 
-def open_gate(gate: Gate, now: float) -> None:
+def start_held_runs(gate: ConcurrencyGate, now: float) -> None:
     """Starts held runs while the limit lets them."""
     while gate.held and admission.count_startable(gate.limit):
         attempt_id = next(iter(gate.held))
         start = gate.held.pop(attempt_id)
-        gate.passed[attempt_id] = now
-        admission.note_start(gate.limit, now)
+        gate.started_at[attempt_id] = now
+        admission.record_start(gate.limit, now)
         start()
 
 
-def leave_gate(
-    gate: Gate, now: float, attempt_id: str, whole: bool, is_engine: bool
+def release_run(
+    gate: ConcurrencyGate,
+    now: float,
+    attempt_id: str,
+    whole: bool,
+    is_engine: bool,
 ) -> None:
     """Ends a run, held or passed on, and starts the next.
 
@@ -69,10 +81,10 @@
         is_engine: Whether the upstream is a model engine.
     """
     gate.held.pop(attempt_id, None)
-    since = gate.passed.pop(attempt_id, None)
+    since = gate.started_at.pop(attempt_id, None)
     if since is None:
         return
     if whole:
-        admission.note_latency(gate.limit, now, now - since, is_engine)
-    admission.note_end(gate.limit, now)
-    open_gate(gate, now)
+        admission.adjust_to_latency(gate.limit, now, now - since, is_engine)
+    admission.record_end(gate.limit, now)
+    start_held_runs(gate, now)
--- a/sycamorefall/sidecar/hinting.py
+++ b/sycamorefall/sidecar/hinting.py
@@ -34,9 +34,9 @@
     state: state_module.SidecarState, now: float
 ) -> messages.Heartbeat:
     """Builds a heartbeat with the slots that are free for offers."""
-    room = claiming.count_free(state) if offers.is_idle(state) else 0
+    free_slots = claiming.count_free(state) if offers.is_idle(state) else 0
     stopping = state.stopping or _is_leaving(state)
-    return messages.Heartbeat(stopping, room, second=int(now))
+    return messages.Heartbeat(stopping, free_slots, clock_seconds=int(now))
 
 
 def _is_leaving(state: state_module.SidecarState) -> bool:
@@ -50,12 +50,12 @@
 
 def send_heartbeats(
     state: state_module.SidecarState, now: float
-) -> list[effects.Send]:
+) -> list[effects.SendMessage]:
     """Sends a heartbeat to each linked router."""
-    routers = membership.list_routers(
+    routers = membership.list_linked_routers(
         state.links, state.directory, now, state.vm
     )
-    state.hinted = build_heartbeat(state, now).room
+    state.hinted = build_heartbeat(state, now).free_slots
     state.hinting.rate = _share_hints(state, len(routers))
     return _send_to(state, now, routers)
 
@@ -66,7 +66,7 @@
     Guards the routers too, which hear the hints of all their sidecars: many
     sidecars before a few routers each hint the less.
     """
-    own = sharing.share_rate(
+    own = sharing.compute_remaining_rate(
         state_module.HINT_RATE, state_module.HEARTBEAT_RATE, routers
     )
     sidecars = len(state.links.siblings) + 1
@@ -77,12 +77,12 @@
 
 def _send_hints(
     state: state_module.SidecarState, now: float
-) -> list[effects.Send]:
+) -> list[effects.SendMessage]:
     """Tells a few linked routers, drawn anew each time, of the room."""
-    routers = membership.list_routers(
+    routers = membership.list_linked_routers(
         state.links, state.directory, now, state.vm
     )
-    state.hinted = build_heartbeat(state, now).room
+    state.hinted = build_heartbeat(state, now).free_slots
     count = min(HINT_WIDTH, len(routers))
     return _send_to(state, now, state.chance.sample(routers, count))
 
@@ -94,14 +94,14 @@
 
 def _send_to(
     state: state_module.SidecarState, now: float, routers: Sequence[str]
-) -> list[effects.Send]:
+) -> list[effects.SendMessage]:
     beat = build_heartbeat(state, now)
-    return [effects.Send(name, beat) for name in routers]
+    return [effects.SendMessage(name, beat) for name in routers]
 
 
 def hint_room(
     state: state_module.SidecarState, now: float
-) -> list[effects.Send]:
+) -> list[effects.SendMessage]:
     """Tells routers when room comes free and nothing is known to claim.
 
     Told are the first free slot and each doubling; routers count down by
@@ -135,9 +135,11 @@
     return hints
 
 
-def _search(state: state_module.SidecarState, now: float) -> list[effects.Send]:
+def _search(
+    state: state_module.SidecarState, now: float
+) -> list[effects.SendMessage]:
     """Asks a few further routers; jitter keeps idle sidecars out of step."""
-    further = membership.list_unlinked(
+    further = membership.list_unlinked_routers(
         state.links, state.directory, now, state.vm
     )
     asked = state.chance.sample(further, min(SEARCH_WIDTH, len(further)))
@@ -151,7 +153,7 @@
     """Tells when `hint_room` has something to do next."""
     if not offers.is_idle(state):
         return float("inf")
-    opening = sharing.find_opening(state.hinting)
+    opening = sharing.compute_next_send_time(state.hinting)
     if _has_news(state):
         return opening
     if not state.links.unlinked:
--- a/sycamorefall/sidecar/load.py
+++ b/sycamorefall/sidecar/load.py
@@ -182,8 +182,8 @@
         return
     now = transport.read_clock()
     if running.serves_engine(state):
-        admission.note_load(state.limit, now, report)
+        admission.adjust_to_load(state.limit, now, report)
     else:
-        admission.note_foreign(state.limit, now, report)
-    gate.open_gate(state.gate, now)
-    node_module.perform(node, claiming.make_claims(state, now))
+        admission.record_foreign(state.limit, now, report)
+    gate.start_held_runs(state.gate, now)
+    node_module.perform_effects(node, claiming.make_claims(state, now))
--- a/sycamorefall/sidecar/offers.py
+++ b/sycamorefall/sidecar/offers.py
@@ -64,7 +64,7 @@
 
 def _compute_key(state: state_module.SidecarState, team: str) -> float:
     weight = claiming.find_weight(state, team)
-    return sharing.compute_key(state.accounts, team, weight)
+    return sharing.compute_order_key(state.accounts, team, weight)
 
 
 def is_idle(state: state_module.SidecarState) -> bool:
--- a/sycamorefall/sidecar/running.py
+++ b/sycamorefall/sidecar/running.py
@@ -23,7 +23,7 @@
     sharing,
 )
 from sycamorefall.dispatch import outcomes
-from sycamorefall.sidecar import effects, offers, silence
+from sycamorefall.sidecar import claim_backoff, effects, offers
 from sycamorefall.sidecar import state as state_module
 
 
@@ -56,7 +56,7 @@
         Whether it starts. A refusal is on record, so that the attempt is
         refused whenever it comes again.
     """
-    known = outcomes.find_outcome(state.outcomes, order.attempt_id)
+    known = outcomes.find_attempt_state(state.outcomes, order.attempt_id)
     if known in (
         messages.AttemptState.STARTED,
         messages.AttemptState.FINISHED,
@@ -67,7 +67,7 @@
     claim = None
     if _is_meant_here(state, order) and not _is_outdated(state, order):
         if order.claim_id != messages.UNCLAIMED:
-            silence.note_answer(state, order.router)
+            claim_backoff.note_answer(state, order.router)
         claim = offers.redeem_order(state, now, order)
     if claim is None:
         _refuse(state, now, order.attempt_id)
@@ -115,7 +115,7 @@
 def _refuse(
     state: state_module.SidecarState, now: float, attempt_id: str
 ) -> None:
-    outcomes.record_outcome(
+    outcomes.record_settled_state(
         state.outcomes, now, attempt_id, messages.AttemptState.REFUSED
     )
 
@@ -173,12 +173,12 @@
         return
     sharing.reserve_units(state.accounts, run.team, -run.reserved)
     if ran:
-        sharing.note_cost(state.estimates, run.team, run.charged)
-        state.fairness.horizon = sharing.compute_horizon(state.estimates)
+        sharing.record_cost(state.estimates, run.team, run.charged)
+        state.fairness.max_lead = sharing.compute_max_lead(state.estimates)
     settled = messages.AttemptState.FINISHED
     if not ran:
         settled = messages.AttemptState.REFUSED
-    outcomes.record_outcome(state.outcomes, now, attempt_id, settled)
+    outcomes.record_settled_state(state.outcomes, now, attempt_id, settled)
 
 
 def report_attempt(
--- a/sycamorefall/sidecar/state.py
+++ b/sycamorefall/sidecar/state.py
@@ -104,8 +104,8 @@
     links: membership.Links = dataclasses.field(
         default_factory=membership.Links
     )
-    fairness: sharing.Fairness = dataclasses.field(
-        default_factory=sharing.Fairness
+    fairness: sharing.FairnessState = dataclasses.field(
+        default_factory=sharing.FairnessState
     )
     estimates: sharing.CostEstimates = dataclasses.field(
         default_factory=sharing.CostEstimates
@@ -114,7 +114,7 @@
     limit: admission.ConcurrencyLimit = dataclasses.field(
         default_factory=admission.ConcurrencyLimit
     )
-    gate: gate_module.Gate = dataclasses.field(init=False)
+    gate: gate_module.ConcurrencyGate = dataclasses.field(init=False)
     claims: dispatch.ClaimTable = dataclasses.field(
         default_factory=dispatch.ClaimTable
     )
@@ -134,13 +134,13 @@
             HINT_RATE, HINT_BURST, HINT_BURST
         )
     )
-    exchange: sharing.Exchange = dataclasses.field(
-        default_factory=sharing.Exchange
+    exchange: sharing.AccountExchange = dataclasses.field(
+        default_factory=sharing.AccountExchange
     )
     stopping: bool = False
 
     def __post_init__(self):
-        self.gate = gate_module.Gate(self.limit)
+        self.gate = gate_module.ConcurrencyGate(self.limit)
         # Choices are alike in each run, and different at each sidecar.
         self.chance.seed(f"{self.vm}/{self.incarnation}")
 
@@ -156,7 +156,7 @@
     Returns:
         The state.
     """
-    label = f"{vm}/{incarnation}"
+    owner = f"{vm}/{incarnation}"
     return SidecarState(
-        vm, incarnation, service, sharing.ServiceAccounts(label)
+        vm, incarnation, service, sharing.ServiceAccounts(owner)
     )
--- a/sycamorefall/sidecar/status.py
+++ b/sycamorefall/sidecar/status.py
@@ -61,7 +61,7 @@
 def _list_linked(state: state_module.SidecarState, now: float) -> set[str]:
     links, directory, own = state.links, state.directory, state.vm
     return {
-        *membership.list_routers(links, directory, now, own),
+        *membership.list_linked_routers(links, directory, now, own),
         *membership.list_siblings(links, directory, now, own),
     }
 
@@ -89,7 +89,7 @@
         service=state.service,
         running=len(state.runs),
         claimed=len(state.claims.open),
-        limit=admission.count_own(state.limit),
+        limit=admission.compute_own_limit(state.limit),
     )
 
 
@@ -117,7 +117,7 @@
         team,
         waiting,
         weight=weight,
-        key=sharing.compute_key(state.accounts, team, weight),
+        key=sharing.compute_order_key(state.accounts, team, weight),
         served=served,
     )
 
@@ -134,7 +134,7 @@
         "running": (len(state.runs), "Requests in progress at the upstream."),
         "claimed": (len(state.claims.open), "Claims not yet fulfilled."),
         "limit": (
-            admission.count_own(state.limit),
+            admission.compute_own_limit(state.limit),
             "Most requests in progress.",
         ),
         "foreign": (
--- a/sycamorefall/sidecar/sweeping.py
+++ b/sycamorefall/sidecar/sweeping.py
@@ -18,5 +18,5 @@
         state.accounts,
         state.demand.teams,
         lambda name: claiming.find_weight(state, name),
-        most_entries=2 * len(state.directory.vms),
+        max_entries=2 * len(state.directory.vms),
     )
--- a/sycamorefall/sidecar/tests/test_silence.py
+++ b/sycamorefall/sidecar/tests/test_claim_backoff.py
@@ -12,14 +12,14 @@
 @pytest.fixture
 def sidecar():
     state = state_module.create_state("ledger-1", 1, "ledger")
-    configuration.offer_text(state.versions, 1, TEXT)
+    configuration.submit_text(state.versions, 1, TEXT)
     upstream, router = membership.VmRole.UPSTREAM, membership.VmRole.ROUTER
     entries = [
         membership.VmEntry("ledger-1", upstream, "d", "", "", "ledger"),
         membership.VmEntry("deaf", router, "d", "", ""),
         membership.VmEntry("sound", router, "d", "", ""),
     ]
-    membership.replace_list(
+    membership.apply_vm_list(
         state.directory, membership.VmList(1, tuple(entries))
     )
     core.apply_configuration(state)
--- a/sycamorefall/sidecar/tests/test_claiming.py
+++ b/sycamorefall/sidecar/tests/test_claiming.py
@@ -8,7 +8,7 @@
 def create_sidecar(sidecars=4, slots=2):
     state = state_module.create_state("engine-0", 1, "assistant")
     text = f"[service assistant]\nkind = engine\nconcurrency = {slots}\n"
-    configuration.offer_text(state.versions, 1, text)
+    configuration.submit_text(state.versions, 1, text)
     core.apply_configuration(state)
     role = membership.VmRole
     vms = [
@@ -21,7 +21,7 @@
         )
         for n in range(sidecars)
     ]
-    membership.replace_list(state.directory, membership.VmList(1, tuple(vms)))
+    membership.apply_vm_list(state.directory, membership.VmList(1, tuple(vms)))
     return state
 
 
--- a/sycamorefall/sidecar/tests/test_handover.py
+++ b/sycamorefall/sidecar/tests/test_handover.py
@@ -16,7 +16,7 @@
         )
         for name in ("ledger-0", "ledger-1")
     )
-    membership.replace_list(state.directory, membership.VmList(1, entries))
+    membership.apply_vm_list(state.directory, membership.VmList(1, entries))
     core.begin_stop(state)
     assert core.is_idle(state)
     sharing.charge_team(state.accounts, "mill-a", 5.0)
--- a/sycamorefall/sidecar/tests/test_hinting.py
+++ b/sycamorefall/sidecar/tests/test_hinting.py
@@ -8,7 +8,7 @@
 def create_sidecar(routers, sidecars=24):
     state = state_module.create_state("engine-0", 1, "assistant")
     text = "[service assistant]\nkind = engine\nconcurrency = 2\n"
-    configuration.offer_text(state.versions, 1, text)
+    configuration.submit_text(state.versions, 1, text)
     core.apply_configuration(state)
     role = membership.VmRole
     vms = [
@@ -21,7 +21,7 @@
         )
         for n in range(sidecars)
     ]
-    membership.replace_list(state.directory, membership.VmList(1, tuple(vms)))
+    membership.apply_vm_list(state.directory, membership.VmList(1, tuple(vms)))
     return state
 
 
@@ -36,7 +36,9 @@
 
 def find_searches(state, sent):
     linked = set(
-        membership.list_routers(state.links, state.directory, 0.0, state.vm)
+        membership.list_linked_routers(
+            state.links, state.directory, 0.0, state.vm
+        )
     )
     return [
         now
@@ -69,7 +71,7 @@
     run(state, 0.0, 1.0)
     entries = tuple(messages.TeamWaiting(f"team-{n}", 1, 0) for n in range(9))
     waiting = messages.Waiting("assistant", 1, entries, True)
-    router = membership.list_routers(
+    router = membership.list_linked_routers(
         state.links, state.directory, 1.0, state.vm
     )[0]
     envelope = messages.Envelope(router, 1, 1, waiting)
--- a/sycamorefall/sidecar/tests/test_load.py
+++ b/sycamorefall/sidecar/tests/test_load.py
@@ -76,27 +76,27 @@
 
 def test_gate_never_lets_more_through_than_the_cap():
     limit = admission.ConcurrencyLimit(cap=2)
-    gate = gate_module.Gate(limit)
+    gate = gate_module.ConcurrencyGate(limit)
     started = []
     for name in "abcd":
-        gate_module.pass_gate(
+        gate_module.submit_run(
             gate, 1.0, name, lambda name=name: started.append(name)
         )
     assert started == ["a", "b"]
-    gate_module.leave_gate(gate, 2.0, "c", whole=False, is_engine=True)
-    gate_module.leave_gate(gate, 2.0, "a", whole=True, is_engine=True)
+    gate_module.release_run(gate, 2.0, "c", whole=False, is_engine=True)
+    gate_module.release_run(gate, 2.0, "a", whole=True, is_engine=True)
     assert started == ["a", "b", "d"]
-    gate_module.leave_gate(gate, 2.0, "a", whole=True, is_engine=True)
+    gate_module.release_run(gate, 2.0, "a", whole=True, is_engine=True)
     assert limit.in_flight.current == 2
 
 
 def test_failing_fast_is_no_sign_of_a_fast_upstream():
     limit = admission.ConcurrencyLimit(cap=8)
-    admission.begin_low(limit)
-    gate = gate_module.Gate(limit)
+    admission.start_at_minimum(limit)
+    gate = gate_module.ConcurrencyGate(limit)
     for index in range(200):
-        gate_module.pass_gate(gate, 1.0, f"{index}", lambda: None)
-        gate_module.leave_gate(
+        gate_module.submit_run(gate, 1.0, f"{index}", lambda: None)
+        gate_module.release_run(
             gate, 1.0, f"{index}", whole=False, is_engine=False
         )
     assert (limit.baseline, limit.capacity) == (0.0, 1.0)
--- a/sycamorefall/sidecar/tests/test_offers.py
+++ b/sycamorefall/sidecar/tests/test_offers.py
@@ -11,7 +11,7 @@
 def sidecar():
     state = state_module.create_state("engine-0", 1, "assistant")
     text = "[service assistant]\nkind = engine\nconcurrency = 2\n"
-    configuration.offer_text(state.versions, 1, text)
+    configuration.submit_text(state.versions, 1, text)
     core.apply_configuration(state)
     vms = (
         membership.VmEntry(
@@ -20,7 +20,7 @@
         membership.VmEntry("router-0", membership.VmRole.ROUTER, "d", "", ""),
         membership.VmEntry("router-1", membership.VmRole.ROUTER, "d", "", ""),
     )
-    membership.replace_list(state.directory, membership.VmList(1, vms))
+    membership.apply_vm_list(state.directory, membership.VmList(1, vms))
     core.run_timers(state, 0.0)
     return state
 
@@ -54,7 +54,7 @@
 
 def find_hints(sends):
     return [
-        (send.to, send.message.room)
+        (send.to, send.message.free_slots)
         for send in sends
         if isinstance(send.message, messages.Heartbeat)
     ]
@@ -72,7 +72,7 @@
 
 
 def test_offer_reserves_like_a_claim(sidecar):
-    sharing.note_cost(sidecar.estimates, "mill-a", 50.0)
+    sharing.record_cost(sidecar.estimates, "mill-a", 50.0)
     offer(sidecar, 1)
     assert sidecar.accounts.teams["mill-a"].total == 50.0
 
--- a/sycamorefall/tests/test_authentication.py
+++ b/sycamorefall/tests/test_authentication.py
@@ -21,11 +21,11 @@
 def test_signed_message_is_believed_once():
     sender, receiver = make("router-1"), make("engine-1")
     signed = sender.sign_message("engine-1", encode())
-    assert receiver.open_message(signed).sender == "router-1"
+    assert receiver.verify_message(signed).sender == "router-1"
     with pytest.raises(errors.MessageRefused, match="repeated"):
-        receiver.open_message(signed)
+        receiver.verify_message(signed)
     again = sender.sign_message("engine-1", encode())
-    assert receiver.open_message(again).sender == "router-1"
+    assert receiver.verify_message(again).sender == "router-1"
 
 
 def test_message_of_an_earlier_process_is_refused():
@@ -36,9 +36,9 @@
     """
     receiver = make("engine-1")
     old, new = make("router-1"), make("router-1")
-    receiver.open_message(new.sign_message("engine-1", encode(2)))
+    receiver.verify_message(new.sign_message("engine-1", encode(2)))
     with pytest.raises(errors.MessageRefused, match="old"):
-        receiver.open_message(old.sign_message("engine-1", encode(1)))
+        receiver.verify_message(old.sign_message("engine-1", encode(1)))
 
 
 @pytest.mark.parametrize(
@@ -56,23 +56,23 @@
 def test_forged_messages_are_refused(spoil):
     signed = make("router-1").sign_message("engine-1", encode())
     with pytest.raises(errors.MessageRefused):
-        make("engine-1").open_message(spoil(signed))
+        make("engine-1").verify_message(spoil(signed))
 
 
 def test_orders_are_bound_to_sidecar_and_body():
     router, sidecar = make("router-1"), make("engine-1")
     digest = router.sign_order("engine-1", "order", b"body")
-    assert sidecar.check_order("order", b"body", digest)
-    assert not sidecar.check_order("order", b"other", digest)
-    assert not sidecar.check_order("other", b"body", digest)
-    assert not sidecar.check_order("order", b"body", "\u00fc")
-    assert not make("engine-2").check_order("order", b"body", digest)
+    assert sidecar.verify_order("order", b"body", digest)
+    assert not sidecar.verify_order("order", b"other", digest)
+    assert not sidecar.verify_order("other", b"body", digest)
+    assert not sidecar.verify_order("order", b"body", "\u00fc")
+    assert not make("engine-2").verify_order("order", b"body", digest)
 
 
 def test_key_is_replaced_one_process_after_another():
     old, both, new = make("a", OLD), make("b", KEY, OLD), make("c", KEY)
-    assert both.open_message(old.sign_message("b", encode()))
-    assert new.open_message(both.sign_message("c", encode()))
+    assert both.verify_message(old.sign_message("b", encode()))
+    assert new.verify_message(both.sign_message("c", encode()))
 
 
 def test_key_file_is_checked(tmp_path):
--- a/sycamorefall/tests/test_names.py
+++ b/sycamorefall/tests/test_names.py
@@ -50,7 +50,7 @@
         envelope = build(team)
         taken, unknown = pass_on(sender, receiver, envelope, lost)
         assert taken in (None, envelope)
-        names.forget_told(sender, "engine-1", unknown)
+        names.mark_undefined(sender, "engine-1", unknown)
         if unknown:
             assert pass_on(sender, receiver, envelope) == (envelope, ())
 
@@ -85,15 +85,15 @@
 def test_vms_that_are_gone_are_forgotten():
     own = names.NameTable()
     names.compact_envelope(own, "engine-1", build(TEAMS[0]))
-    names.keep_peers(own, {"engine-2"})
+    names.retain_peers(own, {"engine-2"})
     assert own.told == {}
 
 
 def test_names_of_a_large_text_are_never_defined(monkeypatch):
-    monkeypatch.setattr(names, "MOST_NUMBERED", 1)
+    monkeypatch.setattr(names, "MAX_NUMBERED_TEAMS", 1)
     sender, receiver = names.NameTable(), names.NameTable()
     for table in (sender, receiver):
-        names.learn_names(table, ["assistant", *TEAMS])
+        names.update_digests(table, ["assistant", *TEAMS])
     pass_on(sender, receiver, build(TEAMS[0]))
     for team in TEAMS:
         envelope = build(team)
@@ -104,23 +104,23 @@
 def test_name_of_a_newer_text_is_defined_to_a_peer_that_lacks_it(monkeypatch):
     # Operators add a team; its requests reach a router with the new text,
     # and a sidecar that doesn't have it yet must still serve them.
-    monkeypatch.setattr(names, "MOST_NUMBERED", 1)
+    monkeypatch.setattr(names, "MAX_NUMBERED_TEAMS", 1)
     sender, receiver = names.NameTable(), names.NameTable()
-    names.learn_names(sender, ["assistant", TEAMS[0]])
+    names.update_digests(sender, ["assistant", TEAMS[0]])
     envelope = build(TEAMS[0])
     taken, unknown = pass_on(sender, receiver, envelope)
     assert taken is None
-    names.forget_told(sender, "engine-1", unknown)
+    names.mark_undefined(sender, "engine-1", unknown)
     assert pass_on(sender, receiver, envelope) == (envelope, ())
 
 
 def test_names_with_the_same_digest_are_defined(monkeypatch):
     # Two of 31,000 teams may share a digest of 31 bits; taken for each other
     # one would wait for what the other received.
-    monkeypatch.setattr(names, "MOST_NUMBERED", 1)
-    monkeypatch.setattr(names, "_digest", lambda name: names.DIGESTS | 5)
+    monkeypatch.setattr(names, "MAX_NUMBERED_TEAMS", 1)
+    monkeypatch.setattr(names, "_digest", lambda name: names.DIGEST_FLAG | 5)
     sender, receiver = names.NameTable(), names.NameTable()
     for table in (sender, receiver):
-        names.learn_names(table, TEAMS)
+        names.update_digests(table, TEAMS)
     for team in TEAMS:
         assert pass_on(sender, receiver, build(team)) == (build(team), ())
--- a/sycamorefall/transport/control.py
+++ b/sycamorefall/transport/control.py
@@ -176,15 +176,15 @@
         if link is not None:
             link.socket.close()
 
-    def learn_names(self, known: Collection[str]) -> None:
+    def update_digests(self, known: Collection[str]) -> None:
         """Learns the names in the text that came into force."""
-        names.learn_names(self._names, known)
+        names.update_digests(self._names, known)
 
     def keep_only(self, vms: set[str]) -> None:
         """Closes the links to VMs that are not among the named."""
         for name in self._links.keys() - vms:
             self._close_link(name)
-        names.keep_peers(self._names, vms)
+        names.retain_peers(self._names, vms)
 
     @circuits.handler("_read")
     def _on_read(self, _) -> None:
@@ -198,7 +198,7 @@
     def _take(self, data: bytes) -> None:
         self.bytes_received += len(data)
         try:
-            envelope = self._authenticator.open_message(data)
+            envelope = self._authenticator.verify_message(data)
         except errors.MessageRefused as fault:
             self.refused += 1
             observation.write_limited(
@@ -216,7 +216,7 @@
             return
         if isinstance(expanded.message, messages.UnknownNames):
             indexes = expanded.message.indexes
-            names.forget_told(self._names, expanded.sender, indexes)
+            names.mark_undefined(self._names, expanded.sender, indexes)
         self._on_envelope(expanded)
 
     def _ask_names(self, sender: str, unknown: tuple[int, ...]) -> None:
--- a/tests/reference.py
+++ b/tests/reference.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from sycamorefall import command, configuration, errors, settings
-from sycamorefall.admission import parents
+from sycamorefall.admission import parent_tokens
 from sycamorefall.observation import status
-from sycamorefall.router import interface
+from sycamorefall.router import request_parsing
 
 PAGES = pathlib.Path(__file__).parents[1] / "docs" / "reference"
 
@@ -166,31 +166,31 @@
         for name, value, meaning in (
             ("Authorization", "`Bearer KEY`", "The team's key. Required."),
             (
-                interface.TIMEOUT_HEADER,
+                request_parsing.TIMEOUT_HEADER,
                 "seconds, above 0",
                 "How long the caller waits, from arrival. "
                 "Default and most: `[limits]` of the router's settings.",
             ),
             (
-                interface.IDEMPOTENT_HEADER,
+                request_parsing.IDEMPOTENT_HEADER,
                 "`true` or `false`",
                 "Whether the request may be run again. Default: the service's "
                 "`idempotent`; else yes at engines, and by method at plain "
                 "services.",
             ),
             (
-                interface.COST_HEADER,
+                request_parsing.COST_HEADER,
                 "a number, not below 0",
                 "The caller's estimate, in cost units.",
             ),
             (
-                interface.REQUEST_ID_HEADER,
+                request_parsing.REQUEST_ID_HEADER,
                 "ASCII text",
                 "The caller's name for the request; passed on, and in the "
                 "logs of router and sidecar.",
             ),
             (
-                parents.PARENT_HEADER,
+                parent_tokens.PARENT_HEADER,
                 "as received",
                 "For upstreams: sent back with the calls that they make on "
                 "behalf of a request, which are accounted to its team and "
