--- a/sycamorefall/admission/__init__.py
+++ b/sycamorefall/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admission: an upstream's concurrency limit, and estimates of the wait."""
+"""Admission control: concurrency limits, wait estimates, parent tokens."""
 
 __all__ = [
     "PARENT_HEADER",
--- a/sycamorefall/admission/count_history.py
+++ b/sycamorefall/admission/count_history.py
@@ -1,21 +1,25 @@
-"""A count's recent range, for comparison with reports that lag."""
+"""Minimum and maximum of a count over a sliding window.
 
-__all__ = ["CountHistory", "find_range", "note_count"]
+Load reports arrive with an unknown delay. They are compared with the range of
+values that the count had during the longest possible delay.
+"""
+
+__all__ = ["CountHistory", "compute_range", "record_count"]
 
 import dataclasses
 
 BUCKETS = 16
-"""Parts into which the window is cut; bounds the memory at any rate."""
+"""Buckets per window; bounds the memory at any rate of changes."""
 
 
 @dataclasses.dataclass(slots=True)
 class CountHistory:
-    """Least and most of a count in each part of a sliding window.
+    """Minimum and maximum of a count in each bucket of a sliding window.
 
     Attributes:
-        window: Seconds that are remembered.
-        current: The count now.
-        buckets: (number of the part, least, most), oldest first.
+        window: Length of the window, in seconds.
+        current: Latest value of the count.
+        buckets: (bucket number, minimum, maximum), oldest first.
     """
 
     window: float
@@ -25,51 +29,58 @@
     )
 
 
-def _find_bucket(history: CountHistory, now: float) -> int:
+def _compute_bucket(history: CountHistory, now: float) -> int:
     return int(now * BUCKETS / history.window)
 
 
-def note_count(history: CountHistory, now: float, count: int) -> None:
-    """Notes a count's new value.
+def record_count(history: CountHistory, now: float, count: int) -> None:
+    """Records a new value of the count.
 
     Args:
         history: The history; changed.
-        now: This process's time, never falling.
-        count: The value from now on.
+        now: This process's monotonic time.
+        count: The new value.
     """
-    bucket = _find_bucket(history, now)
-    least, most = min(history.current, count), max(history.current, count)
+    bucket = _compute_bucket(history, now)
+    minimum, maximum = min(history.current, count), max(history.current, count)
     if history.buckets and history.buckets[-1][0] == bucket:
-        _, known_least, known_most = history.buckets.pop()
-        least, most = min(least, known_least), max(most, known_most)
-    history.buckets.append((bucket, least, most))
+        _, known_minimum, known_maximum = history.buckets.pop()
+        minimum, maximum = (
+            min(minimum, known_minimum),
+            max(maximum, known_maximum),
+        )
+    history.buckets.append((bucket, minimum, maximum))
     history.current = count
-    _forget_old(history, bucket)
+    _drop_expired_buckets(history, bucket)
 
 
-def _forget_old(history: CountHistory, bucket: int) -> None:
+def _drop_expired_buckets(history: CountHistory, bucket: int) -> None:
     while history.buckets and history.buckets[0][0] < bucket - BUCKETS:
         history.buckets.pop(0)
 
 
-def find_range(history: CountHistory, now: float) -> tuple[int, int]:
-    """Finds the least and the most that the count was in the window.
+def compute_range(history: CountHistory, now: float) -> tuple[int, int]:
+    """Computes the minimum and maximum of the count within the window.
 
     Args:
-        history: The history; old parts are dropped.
+        history: The history; buckets older than the window are dropped.
         now: This process's time.
 
     Returns:
-        Least and most value.
+        Minimum and maximum, including the current value.
 
     Example:
         >>> history = CountHistory(window=2.0)
         >>> for now, count in ((1.0, 4), (2.0, 1), (3.5, 2)):
-        ...     note_count(history, now, count)
-        >>> find_range(history, 3.5)
+        ...     record_count(history, now, count)
+        >>> compute_range(history, 3.5)
         (1, 4)
     """
-    _forget_old(history, _find_bucket(history, now))
-    least = min((part[1] for part in history.buckets), default=history.current)
-    most = max((part[2] for part in history.buckets), default=history.current)
-    return min(least, history.current), max(most, history.current)
+    _drop_expired_buckets(history, _compute_bucket(history, now))
+    minimum = min(
+        (part[1] for part in history.buckets), default=history.current
+    )
+    maximum = max(
+        (part[2] for part in history.buckets), default=history.current
+    )
+    return min(minimum, history.current), max(maximum, history.current)
--- a/sycamorefall/admission/latency.py
+++ b/sycamorefall/admission/latency.py
@@ -1,4 +1,4 @@
-"""Follows a plain service by the latency of its answers."""
+"""Adapts the concurrency limit of a plain service to its response latency."""
 
 __all__ = [
     "adjust_to_latency",
@@ -8,31 +8,31 @@
 from sycamorefall.admission import load_reports
 
 LATENCY_WINDOW = 128
-"""Requests whose mean latency is compared with the baseline."""
+"""Responses whose mean latency is compared with the baseline."""
 
 PROBING_WINDOW = 32
-"""The same while the limit still doubles with each window."""
+"""Responses in a window while the limit still doubles with each window."""
 
-PROBING_SECONDS = 2.0
-"""Seconds after which it doubles without a whole window, if calls are slow."""
+PROBING_INTERVAL = 2.0
+"""Seconds after which a probing limit doubles before its window is full."""
 
-FEWEST_ANSWERS = 4
-"""Answers without which it doesn't double."""
+MIN_PROBING_RESPONSES = 4
+"""Minimum of responses for a doubling before the window is full."""
 
-TOLERANCE = 2.0
-"""Mean latency, in baselines, above which the limit is lowered."""
+MAX_LATENCY_RATIO = 2.0
+"""Ratio of mean latency to baseline above which the limit is lowered."""
 
-DECREASE = 0.9
-"""Factor by which the limit is lowered on high latency."""
+DECREASE_FACTOR = 0.9
+"""Factor by which the limit is multiplied after a slow window."""
 
-BASELINE_FALL = 0.05
-"""Weight of a window that was faster than the baseline."""
+BASELINE_DECREASE_WEIGHT = 0.05
+"""Weight in the baseline of a window that was faster than the baseline."""
 
-BASELINE_RISE = 0.05
-"""Weight of a slower window while the limit is not used up."""
+BASELINE_INCREASE_WEIGHT = 0.05
+"""Weight in the baseline of a slower window while the limit isn't used up."""
 
-UNMOVED = 0.65
-"""Share of a slow window's latency that counts as no better."""
+UNCHANGED_LATENCY_SHARE = 0.65
+"""Share of the highest slow mean; a window above it counts as no faster."""
 
 
 def adjust_to_latency(
@@ -41,89 +41,104 @@
     latency: float,
     is_engine: bool,
 ) -> None:
-    """Learns from an answer, while its request still counts as in flight.
+    """Adjusts the limit to a response's latency.
 
-    Additive increase, multiplicative decrease on the mean latency of a
-    window of answers against the least such mean seen lately. The first
-    window is taken at a low limit, so that the baseline holds no queueing. An
-    engine's latency is mostly the length of its answer, so for engines only
-    the growth applies, and only while no load reports come.
+    Call it while the request still counts as in flight. The limit follows
+    additive increase, multiplicative decrease: the mean latency of a window
+    of responses is compared with a baseline, which follows the lowest recent
+    means. The first window is measured at a low limit, so that the baseline
+    includes no queueing. The latency of a model engine depends mostly on the
+    length of the response. For engines the limit is therefore only increased,
+    and only while no load reports arrive.
 
     Args:
         limit: The limit; changed.
         now: This process's time.
-        latency: Seconds the upstream took.
+        latency: Seconds that the upstream took to respond.
         is_engine: Whether the upstream is a model engine.
     """
-    reports_come = now - limit.reported <= load_reports.REPORT_LIFETIME
-    if not reports_come:
+    has_recent_report = now - limit.reported_at <= load_reports.REPORT_LIFETIME
+    if not has_recent_report:
         limit.foreign = 0
-    in_use = (
+    is_used_up = (
         limit.in_flight.current
-        >= limit_module.IN_USE * limit_module.compute_own_limit(limit)
+        >= limit_module.USED_UP_SHARE * limit_module.compute_own_limit(limit)
     )
     if is_engine:
-        if in_use and not reports_come:
-            _grow_by_answer(limit)
+        if is_used_up and not has_recent_report:
+            _increase_per_response(limit)
         return
     limit.latency_sum += latency
     limit.latency_count += 1
-    if limit.probing and in_use:
-        _hurry(limit, now)
+    if limit.probing and is_used_up:
+        _increase_within_window(limit, now)
     window = PROBING_WINDOW if limit.probing else LATENCY_WINDOW
     if limit.latency_count >= window:
-        _judge_window(limit, in_use)
+        _evaluate_window(limit, is_used_up)
 
 
-def _grow_by_answer(limit: limit_module.ConcurrencyLimit) -> None:
-    """Doubles the limit with each round of answers, or adds one to it."""
+def _increase_per_response(limit: limit_module.ConcurrencyLimit) -> None:
+    """Adds the response's share of one round's increase.
+
+    Over a round of responses the limit doubles while probing, or grows by
+    one.
+    """
     if limit.capacity < limit.cap:
         step = 1.0 if limit.probing else 1.0 / limit.capacity
         limit_module.set_capacity(limit, limit.capacity + step)
 
 
-def _hurry(limit: limit_module.ConcurrencyLimit, now: float) -> None:
-    """Doubles the limit in the midst of a window that takes long.
+def _increase_within_window(
+    limit: limit_module.ConcurrencyLimit, now: float
+) -> None:
+    """Doubles the limit before a slow window is full.
 
-    Guards against slots that idle for minutes after a restart: a window of
-    calls that take seconds lasts as long at a low limit. The price is a
-    baseline that may hold some queueing.
+    After a restart the limit is low, so a window of calls that take seconds
+    lasts for minutes, while slots stay idle. The cost is a baseline that may
+    include some queueing.
     """
-    limit.answers += 1
-    if limit.answers == 1:
-        limit.grown = now
-    if limit.answers < FEWEST_ANSWERS or now - limit.grown < PROBING_SECONDS:
+    limit.responses_since_growth += 1
+    if limit.responses_since_growth == 1:
+        limit.first_response_at = now
+    if (
+        limit.responses_since_growth < MIN_PROBING_RESPONSES
+        or now - limit.first_response_at < PROBING_INTERVAL
+    ):
         return
-    limit.answers = 0
-    limit_module.grow(limit, limit.cap)
+    limit.responses_since_growth = 0
+    limit_module.increase_capacity(limit, limit.cap)
 
 
-def _judge_window(limit: limit_module.ConcurrencyLimit, in_use: bool) -> None:
+def _evaluate_window(
+    limit: limit_module.ConcurrencyLimit, is_used_up: bool
+) -> None:
     mean = limit.latency_sum / limit.latency_count
     limit.latency_sum, limit.latency_count = 0.0, 0
-    limit.answers = 0
+    limit.responses_since_growth = 0
     if limit.baseline == 0.0:
         limit.baseline = mean
-    slow = mean > TOLERANCE * limit.baseline
-    if slow and in_use:
-        _back_off(limit, mean)
+    slow = mean > MAX_LATENCY_RATIO * limit.baseline
+    if slow and is_used_up:
+        _decrease_capacity(limit, mean)
         return
     limit.slow_mean = 0.0
     if mean < limit.baseline:
-        limit.baseline += BASELINE_FALL * (mean - limit.baseline)
-    elif not in_use:
-        limit.baseline += BASELINE_RISE * (mean - limit.baseline)
-    if in_use:
-        limit_module.grow(limit, limit.cap)
+        limit.baseline += BASELINE_DECREASE_WEIGHT * (mean - limit.baseline)
+    elif not is_used_up:
+        limit.baseline += BASELINE_INCREASE_WEIGHT * (mean - limit.baseline)
+    if is_used_up:
+        limit_module.increase_capacity(limit, limit.cap)
 
 
-def _back_off(limit: limit_module.ConcurrencyLimit, mean: float) -> None:
+def _decrease_capacity(
+    limit: limit_module.ConcurrencyLimit, mean: float
+) -> None:
     """Lowers the limit after a slow window.
 
-    Guards against calls that became longer by themselves: they look like
-    congestion, and the limit would be lowered to one for good. If half the
-    limit makes them no faster, the concurrency was not the cause, and what
-    was measured is the new baseline.
+    Calls that take longer for other reasons look like congestion and would
+    lower the limit to one permanently. If calls are no faster at half the
+    limit, the concurrency was not the cause, and the measured mean becomes
+    the new baseline.
     """
     limit.probing = False
     capacity = min(limit.capacity, limit.cap)
@@ -131,7 +146,7 @@
         limit.slow_capacity = capacity
     limit.slow_mean = max(limit.slow_mean, mean)
     if capacity <= max(1.0, limit.slow_capacity / 2):
-        if mean > UNMOVED * limit.slow_mean:
+        if mean > UNCHANGED_LATENCY_SHARE * limit.slow_mean:
             limit.baseline = mean
         limit.slow_mean = 0.0
-    limit_module.set_capacity(limit, DECREASE * capacity)
+    limit_module.set_capacity(limit, DECREASE_FACTOR * capacity)
--- a/sycamorefall/admission/limit.py
+++ b/sycamorefall/admission/limit.py
@@ -1,11 +1,11 @@
-"""How many requests a sidecar lets into its upstream at once.
-
-An engine admits what it is given and knows no priorities, so the order of
-requests is the fleet's only while they wait at routers: the engine's inner
-queue must stay near empty. It must not run dry either. `adjust_to_load` follows
-the engine's lagged load reports; `adjust_to_latency` follows plain services,
-which
-report no queue, by the latency of their answers.
+"""Concurrency limit of the requests that a sidecar passes to its upstream.
+
+A model engine accepts every request and has no priorities. The routers decide
+the order of requests only while these wait at a router, so the engine's
+internal queue must stay nearly empty. The engine must not run out of work
+either. `adjust_to_load` adapts the limit to the delayed load reports of an
+engine. `adjust_to_latency` adapts it to the response latency of a plain
+service, which reports no queue.
 """
 
 __all__ = [
@@ -13,7 +13,7 @@
     "compute_own_limit",
     "count_claimable",
     "count_startable",
-    "grow",
+    "increase_capacity",
     "record_end",
     "record_start",
     "set_capacity",
@@ -25,39 +25,41 @@
 
 from sycamorefall.admission import count_history
 
-LONGEST_LAG = 2.0
-"""Seconds by which a load report may lag behind what it describes."""
+MAX_REPORT_LAG = 2.0
+"""Maximum age, in seconds, of the load that a report describes."""
 
-IN_USE = 0.75
-"""Share of the limit in flight from which on it counts as used up."""
+USED_UP_SHARE = 0.75
+"""Share of the limit in flight from which the limit counts as used up."""
 
 
 @dataclasses.dataclass(slots=True)
 class ConcurrencyLimit:
-    """The limit at one upstream.
+    """Concurrency limit of one upstream and the measurements behind it.
 
     Attributes:
-        cap: Most requests in progress, by the configuration.
-        ahead: Claims made before a slot comes free, to hide the time that a
-            claim takes; they are also what the inner queue holds.
-        foreign: Requests at the upstream that this process did not start, by
-            the upstream's last load report.
-        capacity: Requests that the upstream works on at once, as measured;
-            infinite while only the cap is known.
-        probing: Whether no sign of overload was seen yet, so that the limit
-            doubles each round in place of growing by one.
-        in_flight: Own requests at the upstream, lately.
-        reported: When the last load report came.
-        busiest: Most requests running by the last report, if it showed a
-            surplus in the inner queue; -1 if it did not.
-        baseline: Mean latency without queueing; 0 if not known.
-        slow_mean: Highest mean latency while the limit falls; 0 if it does
-            not fall.
-        slow_capacity: The capacity when it began to fall.
-        grown: When the first answer came since the limit last grew.
-        answers: Answers since then.
-        latency_sum: Sum of latencies in the current window.
-        latency_count: Requests in the current window.
+        cap: Configured maximum of requests in progress.
+        ahead: Claims made before a slot is free, which hides the round trip
+            of a claim. Their requests wait in the upstream's internal queue.
+        foreign: Requests at the upstream that this process did not start,
+            according to the upstream's last load report.
+        capacity: Measured number of requests that the upstream processes
+            concurrently; infinite while only the cap is known.
+        probing: Whether no overload has been observed yet; the limit then
+            doubles in each round instead of growing by one.
+        in_flight: Recent history of this process's requests at the upstream.
+        reported_at: When the last load report was received.
+        running_while_queued: Running requests according to the last load
+            report, if it showed more queued requests than `ahead`; else -1.
+        baseline: Mean latency without queueing, in seconds; 0 if unknown.
+        slow_mean: Highest mean latency since the limit began to decrease, in
+            seconds; 0 while the limit is not decreasing.
+        slow_capacity: Capacity when the limit began to decrease.
+        first_response_at: Time of the first response that
+            `responses_since_growth` counts.
+        responses_since_growth: Responses while the probing limit was used up,
+            since it last doubled or a window ended.
+        latency_sum: Sum of the latencies in the current window, in seconds.
+        latency_count: Responses in the current window.
     """
 
     cap: int = 1
@@ -66,74 +68,76 @@
     capacity: float = math.inf
     probing: bool = True
     in_flight: count_history.CountHistory = dataclasses.field(
-        default_factory=lambda: count_history.CountHistory(LONGEST_LAG)
+        default_factory=lambda: count_history.CountHistory(MAX_REPORT_LAG)
     )
-    reported: float = -math.inf
-    busiest: int = -1
+    reported_at: float = -math.inf
+    running_while_queued: int = -1
     baseline: float = 0.0
     slow_mean: float = 0.0
     slow_capacity: float = 0.0
-    grown: float = 0.0
-    answers: int = 0
+    first_response_at: float = 0.0
+    responses_since_growth: int = 0
     latency_sum: float = 0.0
     latency_count: int = 0
 
 
 def start_at_minimum(limit: ConcurrencyLimit) -> None:
-    """Starts at one request, because what runs at the upstream is unknown.
+    """Sets the capacity to one request, as the upstream's load is unknown.
 
-    Guards against a restart of the sidecar beside a busy upstream: with the
-    whole cap at once the upstream would hold twice the cap, half of it in
-    its inner queue, out of the fleet's order. The first load report tells
-    what is there, else the limit doubles with each round of answers.
+    A sidecar may restart while its upstream is busy. If it used the whole cap
+    at once, the upstream would hold twice the cap, half of it in its internal
+    queue, where the routers no longer control the order. The first load
+    report shows the actual load; without reports the limit doubles with each
+    round of responses.
     """
     limit.capacity = 1.0
     limit.probing = True
 
 
 def record_start(limit: ConcurrencyLimit, now: float) -> None:
-    """Notes that an own request was passed to the upstream."""
+    """Records that this process passed a request to the upstream."""
     in_flight = limit.in_flight.current + 1
-    count_history.note_count(limit.in_flight, now, in_flight)
+    count_history.record_count(limit.in_flight, now, in_flight)
 
 
 def record_end(limit: ConcurrencyLimit, now: float) -> None:
-    """Notes that an own request left the upstream."""
+    """Records that a request of this process ended at the upstream."""
     in_flight = max(0, limit.in_flight.current - 1)
-    count_history.note_count(limit.in_flight, now, in_flight)
+    count_history.record_count(limit.in_flight, now, in_flight)
 
 
-def grow(limit: ConcurrencyLimit, most: float) -> None:
-    """Doubles the limit while it probes, or adds one to it, up to a bound."""
+def increase_capacity(limit: ConcurrencyLimit, maximum: float) -> None:
+    """Doubles the capacity while probing, else adds one, up to a maximum."""
     step = limit.capacity if limit.probing else 1.0
-    if limit.capacity < most:
-        set_capacity(limit, min(most, limit.capacity + step))
+    if limit.capacity < maximum:
+        set_capacity(limit, min(maximum, limit.capacity + step))
 
 
 def set_capacity(limit: ConcurrencyLimit, capacity: float) -> None:
-    """Sets the measured capacity, at least 1 and at most the cap."""
+    """Sets the measured capacity, clamped between 1 and the cap."""
     limit.capacity = max(1.0, min(float(limit.cap), capacity))
 
 
 def compute_own_limit(limit: ConcurrencyLimit) -> int:
-    """Counts the own requests that the upstream can work on at once.
+    """Computes how many of this process's requests may run concurrently.
 
-    Guards against a limit stuck at zero: foreign requests may fill the
-    upstream, or a wrong report may say so, and without a request of its own
-    there the sidecar would never see an answer that shows otherwise. One is
-    always let in; in the inner queue of a full upstream it does little harm.
+    This is the capacity that foreign requests leave, but at least 1. Foreign
+    requests may fill the upstream, or a wrong report may say so. At a limit
+    of zero the sidecar would receive no response that shows the contrary, and
+    the limit would never recover. One request in the internal queue of a
+    full upstream does little harm.
     """
     capacity = int(min(limit.cap, limit.capacity))
     return min(limit.cap, max(1, capacity - limit.foreign))
 
 
 def count_claimable(limit: ConcurrencyLimit, running: int, claimed: int) -> int:
-    """Counts further claims that may be made now.
+    """Computes how many further requests may be claimed from routers now.
 
     Args:
         limit: The limit.
-        running: Requests in progress.
-        claimed: Claims whose request has not come yet.
+        running: Requests in progress at this sidecar.
+        claimed: Claims whose request has not arrived yet.
 
     Returns:
         Number of claims, not negative.
@@ -142,10 +146,10 @@
 
 
 def count_startable(limit: ConcurrencyLimit) -> int:
-    """Counts further requests that may be passed to the upstream now.
+    """Computes how many further requests may be passed to the upstream now.
 
     Returns:
-        Number of requests; with those in flight never above the cap.
+        Number of requests; together with those in flight at most the cap.
 
     Example:
         >>> limit = ConcurrencyLimit(cap=8)
@@ -157,5 +161,5 @@
         >>> count_startable(limit)
         3
     """
-    most = min(limit.cap, compute_own_limit(limit) + limit.ahead)
-    return max(0, most - limit.in_flight.current)
+    maximum = min(limit.cap, compute_own_limit(limit) + limit.ahead)
+    return max(0, maximum - limit.in_flight.current)
--- a/sycamorefall/admission/load_reports.py
+++ b/sycamorefall/admission/load_reports.py
@@ -1,4 +1,4 @@
-"""Follows a model engine's load reports, which lag behind."""
+"""Adapts the concurrency limit to the delayed load reports of an engine."""
 
 __all__ = [
     "REPORT_LIFETIME",
@@ -14,17 +14,18 @@
 from sycamorefall.admission import limit as limit_module
 
 REPORT_LIFETIME = 10.0
-"""Seconds after which a report says nothing any more."""
+"""Seconds after which a load report is no longer used."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class LoadReport:
-    """An upstream's report of its load, some time ago.
+    """Load that an upstream reports, up to `limit.MAX_REPORT_LAG` old.
 
     Attributes:
-        running: Requests being worked on.
-        queued: Requests in its inner queue.
-        slots: Requests it works on at once; 0 if it doesn't say.
+        running: Requests that the upstream is processing.
+        queued: Requests in the upstream's internal queue.
+        slots: Requests that the upstream processes concurrently; 0 if the
+            report doesn't tell.
     """
 
     running: int
@@ -35,66 +36,72 @@
 def record_foreign(
     limit: limit_module.ConcurrencyLimit, now: float, report: LoadReport
 ) -> None:
-    """Takes over how many requests of others an upstream reports.
+    """Updates the number of foreign requests from a load report.
 
-    The report describes the past, by an unknown lag of up to `LONGEST_LAG`.
-    Only what exceeds the most own requests of that time is surely foreign.
+    The report describes an unknown time within the last
+    `limit.MAX_REPORT_LAG` seconds.
+    Only what exceeds the maximum of this process's own requests within that
+    time is certainly foreign.
 
     Args:
         limit: The limit; changed.
         now: This process's time.
         report: The report.
     """
-    _, most = count_history.find_range(limit.in_flight, now)
-    limit.foreign = max(0, report.running + report.queued - most)
-    limit.reported = now
+    _, maximum = count_history.compute_range(limit.in_flight, now)
+    limit.foreign = max(0, report.running + report.queued - maximum)
+    limit.reported_at = now
 
 
 def adjust_to_load(
     limit: limit_module.ConcurrencyLimit, now: float, report: LoadReport
 ) -> None:
-    """Takes over a load report of a model engine.
+    """Adjusts the limit to a load report of a model engine.
 
-    Guards against oscillation, which shows as an inner queue that runs full
-    and dry in turns: held against what is in flight now, a lagged report
-    shows a queue that has long been drained, and the limit would be lowered
-    for it again and again. Therefore nothing is ever subtracted from the
-    limit: while an inner queue is seen, what the engine is running is its
-    capacity, whenever that was; and the limit only grows when it was used up
-    at every time that the report can be about.
+    The rules below avoid oscillation, in which the engine's internal queue
+    overflows and runs empty in turns. A delayed report shows a queue that may
+    have drained since; a limit that is reduced by the length of that queue
+    would be reduced for the same queue again and again. Therefore the queue
+    length is never subtracted. While reports show a queue, the number of
+    running requests is taken as the capacity, as this holds at whatever time
+    the report describes. The limit grows only if it was used up at every
+    time that the report may describe.
 
     Args:
         limit: The limit; changed.
         now: This process's time.
         report: The report.
     """
-    is_first = limit.reported == -math.inf
+    is_first = limit.reported_at == -math.inf
     record_foreign(limit, now, report)
     surplus = report.queued > limit.ahead
     if surplus:
-        _shrink_to(limit, report.running, is_first)
+        _decrease_capacity(limit, report.running, is_first)
     elif is_first and report.slots:
         limit_module.set_capacity(limit, report.slots)
     elif report.queued < limit.ahead and _was_used_up(limit, now):
-        limit_module.grow(limit, report.slots or math.inf)
-    limit.busiest = report.running if surplus else -1
+        limit_module.increase_capacity(limit, report.slots or math.inf)
+    limit.running_while_queued = report.running if surplus else -1
 
 
 def _was_used_up(limit: limit_module.ConcurrencyLimit, now: float) -> bool:
-    least, _ = count_history.find_range(limit.in_flight, now)
-    return least >= max(
-        1.0, limit_module.IN_USE * limit_module.compute_own_limit(limit)
+    minimum, _ = count_history.compute_range(limit.in_flight, now)
+    return minimum >= max(
+        1.0, limit_module.USED_UP_SHARE * limit_module.compute_own_limit(limit)
     )
 
 
-def _shrink_to(
+def _decrease_capacity(
     limit: limit_module.ConcurrencyLimit, running: int, is_first: bool
 ) -> None:
-    """Lowers the limit to what the engine runs while others queue.
+    """Sets the capacity to the running requests while others are queued.
 
-    One report may catch a burst that the engine is just admitting, with few
-    running yet. A queue that is still there in the next report is real.
+    A single report may show a burst that the engine is still admitting, with
+    few requests running yet. Only a queue that two successive reports show,
+    or the first report of all, lowers the limit.
     """
-    if is_first or limit.busiest >= 0:
+    if is_first or limit.running_while_queued >= 0:
         limit.probing = False
-        limit_module.set_capacity(limit, max(running, limit.busiest))
+        limit_module.set_capacity(
+            limit, max(running, limit.running_while_queued)
+        )
--- a/sycamorefall/admission/parent_tokens.py
+++ b/sycamorefall/admission/parent_tokens.py
@@ -1,14 +1,15 @@
-"""Calls that an upstream makes on behalf of a request.
-
-A sidecar passes a token to its upstream with each request. The upstream sends
-it back, as it is, with the calls it makes to other services, to any router.
-By it the call is accounted to the team of the request that caused it, and
-ends with that request's time.
-
-The token is signed with a hash of the team's own bearer key, which the
-operators' text gives to every process of the system and to no other team. So
-routers and sidecars need no secret of their own, and a caller can at most
-forge a token of its own team, which it can call as anyway.
+"""Tokens that attribute an upstream's calls to the request that caused them.
+
+A sidecar passes a token to its upstream with each request. When the upstream
+calls other services to process that request, through any router, it sends the
+unchanged token along. The router charges the call to the team of the
+parent request and limits the call's deadline to that of the parent request.
+
+The token is signed with a hash of the team's own bearer key. The operators'
+configuration distributes this hash to every process of the system and to no
+other team. Routers and sidecars therefore need no secret of their own, and a
+caller can at most forge a token of its own team, for which it has the key
+anyway.
 """
 
 __all__ = [
@@ -28,24 +29,25 @@
 from sycamorefall import configuration
 
 PARENT_HEADER = "Sycamorefall-Parent"
-"""Header that carries the token, to the upstream and back to a router."""
+"""Header of the token, to the upstream and from it back to a router."""
 
-LONGEST_TOKEN = 1024
-"""Characters of a token; a longer one is none of ours."""
+MAX_TOKEN_LENGTH = 1024
+"""Maximum number of characters of a token; a longer text is invalid."""
 
 _MAC_SIZE = hashlib.sha256().digest_size
 
 
 class Parent(msgspec.Struct, frozen=True, array_like=True):
-    """The request on whose behalf a call is made.
+    """The request that causes an upstream to call another service.
 
     Attributes:
-        team: Its team.
-        service: The service whose upstream makes the call.
-        attempt_id: The attempt that the upstream runs.
-        remaining: Seconds that were left to its caller's deadline when it
-            was passed to the upstream. No clocks are compared between VMs,
-            so this is more than is left now, by the time it has run.
+        team: Team of the request.
+        service: Service whose upstream makes the call.
+        attempt_id: Attempt of the request that the upstream processes.
+        remaining: Seconds that were left until the request's deadline when
+            the request was passed to the upstream. As clocks of different
+            VMs aren't compared, the time that has passed since then is not
+            subtracted.
     """
 
     team: str
@@ -65,15 +67,15 @@
 def issue_token(
     in_force: configuration.Configuration, parent: Parent
 ) -> str | None:
-    """Issues the token for a request that is passed to an upstream.
+    """Issues a signed token for a request that is passed to an upstream.
 
     Args:
         in_force: The configuration in force.
         parent: The request.
 
     Returns:
-        Text that fits an HTTP header, or None if the team has no key, or is
-        no longer listed.
+        The token as URL-safe Base64, or None if the team has no key or is no
+        longer in the configuration.
     """
     team = in_force.teams.get(parent.team)
     if team is None or not team.keys_sha256:
@@ -86,22 +88,21 @@
 def verify_token(
     in_force: configuration.Configuration, text: str
 ) -> Parent | None:
-    """Reads and checks a token.
+    """Decodes a token and verifies its signature.
 
-    Guards against a caller that names another team to spend that team's
-    share: the signature is checked against each of the named team's keys, in
-    a time that tells nothing about them. All keys count, so that tokens
-    outlive the change from one key to the next.
+    The verification prevents a caller from spending the share of another
+    team. The signature is compared with that of each key of the named team,
+    in constant time so that nothing about the keys leaks. All keys of the
+    team are accepted, so that tokens stay valid during key rotation.
 
     Args:
         in_force: The configuration in force.
         text: The header's value.
 
     Returns:
-        The request on whose behalf the call is made, or None if the token
-        is not valid.
+        The parent request, or None if the token is invalid.
     """
-    if len(text) > LONGEST_TOKEN:
+    if len(text) > MAX_TOKEN_LENGTH:
         return None
     try:
         token = base64.b64decode(text, altchars=b"-_", validate=True)
--- a/sycamorefall/admission/tests/test_limit.py
+++ b/sycamorefall/admission/tests/test_limit.py
@@ -1,4 +1,4 @@
-"""The concurrency limit: near empty, never dry, never above the cap."""
+"""Concurrency limit: short internal queue, no idle slots, within the cap."""
 
 import hypothesis
 from hypothesis import strategies
@@ -70,14 +70,12 @@
 
 @pytest.mark.parametrize("cap", [9, 16, 32])
 @pytest.mark.parametrize(("capacity", "slots"), [(8, 8), (5, 8), (8, 0)])
-def test_inner_queue_of_an_engine_stays_near_empty_and_never_dry(
-    cap, capacity, slots
-):
-    """A cap far above what the engine can do fills its inner queue.
-
-    A user sees a small team's request stand behind a flood inside the
-    engine, which knows no teams. The limit must find the capacity, also when
-    the engine names more slots than its memory lets it use, or none.
+def test_internal_queue_stays_short_and_engine_stays_busy(cap, capacity, slots):
+    """A cap far above the engine's capacity fills its internal queue.
+
+    The engine knows no teams, so a small team's request waits there behind
+    all requests of a flooding team. The limit must find the capacity, also
+    when the engine reports more slots than its memory allows, or none.
     """
     before = upstreams.run_limit(
         upstreams.Upstream(capacity, slots),
@@ -105,34 +103,35 @@
 
 
 def test_sidecar_restarted_beside_a_busy_engine_starts_low():
-    """A restarted sidecar knows nothing of what its predecessor started.
+    """A restarted sidecar doesn't know its predecessor's requests.
 
-    With the whole cap at once the engine would hold twice its slots, and
-    whatever the sidecar hands out next waits in the inner queue.
+    If it used the whole cap at once, the engine would hold twice as many
+    requests as it has slots, and all further requests would wait in the
+    engine's internal queue.
     """
     left = {f"foreign-{index}": 5.0 for index in range(8)}
     upstream = upstreams.Upstream(8, 8, left=left)
     figures = upstreams.run_limit(upstream, create_limit(16), 4)
-    # Two until the first report, and one more because that report may be
-    # about a time when the two were already there.
+    # Two until the first report, and one more because that report may
+    # describe a time when the two were already running.
     assert figures.most_in_flight <= 3
 
 
-def test_foreign_requests_are_not_mistaken_for_own_ones_that_ended():
+def test_own_ended_requests_in_a_delayed_report_are_not_counted_as_foreign():
     limit = create_limit(8)
     admission.adjust_to_load(limit, 0.0, admission.LoadReport(0, 0, 8))
     for _ in range(8):
         admission.record_start(limit, 1.0)
     for _ in range(8):
         admission.record_end(limit, 1.6)
-    # The report still shows the eight that have just ended.
+    # The report still shows the eight requests that have just ended.
     admission.adjust_to_load(limit, 1.7, admission.LoadReport(8, 0, 8))
     assert limit.foreign == 0
     admission.adjust_to_load(limit, 9.0, admission.LoadReport(3, 0, 8))
     assert limit.foreign == 3
 
 
-def test_burst_that_the_engine_is_just_admitting_is_no_full_queue():
+def test_limit_ignores_a_burst_that_the_engine_is_still_admitting():
     limit = create_limit(8)
     admission.adjust_to_load(limit, 0.0, admission.LoadReport(0, 0, 8))
     admission.adjust_to_load(limit, 0.5, admission.LoadReport(1, 6, 8))
@@ -156,7 +155,7 @@
     assert admission.compute_own_limit(limit) == 8
 
 
-def test_plain_service_is_not_driven_far_beyond_its_capacity():
+def test_plain_service_is_not_loaded_far_beyond_its_capacity():
     figures = upstreams.run_limit(
         upstreams.Upstream(8, shares=True),
         create_limit(32),
@@ -167,11 +166,12 @@
     assert figures.idle < 0.08
 
 
-def test_slow_plain_service_is_used_soon_after_a_restart():
-    """Calls of three seconds after a restart of the sidecar.
+def test_slow_plain_service_is_fully_used_soon_after_a_restart():
+    """After a sidecar restart, calls of three seconds fill windows slowly.
 
-    A window of 32 answers at two in flight lasts most of a minute; all that
-    time slots idle while work waits.
+    A window of 32 responses with two requests in flight lasts most of a
+    minute. If the limit grew only at its end, slots would stay idle for that
+    time while requests wait.
     """
     figures = upstreams.run_limit(
         upstreams.Upstream(8, shares=True), create_limit(8), 120, mean_work=3.0
@@ -179,11 +179,11 @@
     assert figures.idle < 0.12
 
 
-def test_plain_calls_that_became_longer_do_not_hold_the_limit_down():
+def test_longer_plain_calls_do_not_lower_the_limit_permanently():
     """Calls that take four times as long look like congestion.
 
-    A user would see a service at a fraction of its capacity for good. Half
-    the limit does not make the calls faster, which tells the two apart.
+    The service would be limited to a fraction of its capacity permanently.
+    Unlike under congestion, calls are no faster at half the limit.
     """
     limit = create_limit(8)
     upstream = upstreams.Upstream(8, shares=True)
--- a/sycamorefall/admission/wait_estimates.py
+++ b/sycamorefall/admission/wait_estimates.py
@@ -1,4 +1,8 @@
-"""Estimates how long a request will wait, from the measured drain rate."""
+"""Estimates how long a request will wait, from the queue's drain rate.
+
+The drain rate is measured as the mean time between departures, that is,
+between requests that leave the queue for an upstream.
+"""
 
 __all__ = [
     "DrainRate",
@@ -16,36 +20,36 @@
 import math
 
 SMOOTHING = 1 / 64
-"""Least weight of the newest interval in the mean time between departures.
+"""Minimum weight of the newest interval in the mean time between departures.
 
-Departures come in clumps, as teams take turns; a mean of the last few would
-swing with every turn, and be multiplied by the whole queue.
+Departures come in bursts, as teams take turns. A mean of the last few would
+fluctuate with every turn, and wait estimates multiply it by the queue length.
 """
 
-FEWEST_DEPARTURES = 4
-"""Departures before which a rate is too little known to refuse by it."""
+MIN_DEPARTURES = 4
+"""Departures that have to be measured before a request may be refused."""
 
 RUN_QUANTILE = 0.8
-"""Share of a service's requests that run no longer than its run time."""
+"""Quantile of the requests' run times that `RunTime` estimates."""
 
 RUN_STEP = 0.05
-"""Share by which the run time moves with an answer."""
+"""Relative step of the run-time estimate per response."""
 
 RATE_LIFETIME = 30.0
-"""Seconds without a departure after which an idle queue's rate is dropped."""
+"""Seconds without a departure after which an idle queue's rate is stale."""
 
-LONGEST_RETRY_AFTER = 60
-"""Seconds; longer advice would outlive what it was computed from."""
+MAX_RETRY_AFTER = 60
+"""Seconds; a longer wait would outlast the measurements behind it."""
 
 
 @dataclasses.dataclass(slots=True)
 class DrainRate:
-    """How fast a queue drains.
+    """Measured drain rate of a queue.
 
     Attributes:
         interval: Mean seconds between departures while work waits.
         last_departure: Time of the last departure.
-        departures: Departures that the mean is of.
+        departures: Number of departures measured.
     """
 
     interval: float = 0.0
@@ -55,12 +59,12 @@
 
 @dataclasses.dataclass(slots=True)
 class RunTime:
-    """How long a service's requests run, once handed out.
+    """Estimated run time of a service's requests, without their wait.
 
     Attributes:
-        seconds: Quantile of the time until the answer is whole; 0 if not
-            known.
-        last_answer: Time of the last answer.
+        seconds: `RUN_QUANTILE` quantile of the time from the start of an
+            attempt to its complete response; 0 if unknown.
+        last_answer: Time of the last complete response.
     """
 
     seconds: float = 0.0
@@ -68,16 +72,18 @@
 
 
 def record_run_time(run_time: RunTime, now: float, seconds: float) -> None:
-    """Learns from an answer.
+    """Updates the run-time estimate with the run time of one request.
 
-    A quantile and not the mean, because a few long answers say little about
-    most others. It rises by more than it falls, so it settles where the
-    wanted share of the answers is below it.
+    The estimate is a quantile rather than the mean, as a few long responses
+    say little about most others. It is multiplied by a larger factor when it
+    rises than when it falls, so that it converges to the value that
+    `RUN_QUANTILE` of the run times stay below.
 
     Args:
-        run_time: The run time; changed.
-        now: Time of the answer.
-        seconds: How long it took from the hand-out.
+        run_time: The estimate; changed.
+        now: Time of the complete response.
+        seconds: Seconds from the start of the attempt to the complete
+            response.
     """
     run_time.last_answer = now
     if run_time.seconds == 0.0:
@@ -89,56 +95,57 @@
 
 
 def record_departure(rate: DrainRate, now: float, busy_since: float) -> None:
-    """Counts one request that left the queue for an upstream.
+    """Updates the drain rate with a request that left for an upstream.
 
     Args:
-        rate: The rate; changed.
+        rate: The drain rate; changed.
         now: Time of the departure.
-        busy_since: Since when the queue has not been empty; idle time before
-            it says nothing about the rate.
+        busy_since: Time since which the queue has not been empty; callers
+            pass the arrival of the oldest waiting request. Idle time before
+            it is left out of the rate.
     """
     elapsed = max(0.0, now - max(rate.last_departure, busy_since))
     rate.last_departure = now
     rate.departures += 1
-    rate.interval += _weigh_newest(rate) * (elapsed - rate.interval)
+    rate.interval += _compute_smoothing(rate) * (elapsed - rate.interval)
 
 
-def _weigh_newest(rate: DrainRate) -> float:
+def _compute_smoothing(rate: DrainRate) -> float:
     return max(SMOOTHING, 1.0 / rate.departures)
 
 
 def compute_departure_interval(
     rate: DrainRate, now: float, busy_since: float | None
 ) -> float:
-    """Finds the mean time between departures, the current pause included.
+    """Computes the mean time between departures, including the current gap.
 
-    Guards against a rate that stands still with the queue: when an upstream
-    hangs, nothing departs, so departures alone would show the old rate for
-    ever, and callers would be let in to wait in vain. The pause so far is at
-    least part of the next interval, and counts as soon as it is longer than
-    the mean.
+    When an upstream hangs, nothing departs. Departures alone would show the
+    previous rate indefinitely, and requests would be admitted that can't be
+    served in time. The time since the last departure is a lower bound of the
+    next interval, so it is included once it exceeds the mean.
 
     Args:
         rate: The queue's drain rate.
         now: This process's time.
-        busy_since: Since when the queue has not been empty; None if it is.
+        busy_since: Time since which the queue has not been empty, as for
+            `record_departure`; None if the queue is empty.
 
     Returns:
-        Seconds; 0 while nothing is known.
+        Seconds; 0 while no departure has been measured.
     """
     if busy_since is None or not rate.departures:
         return rate.interval
-    pause = now - max(rate.last_departure, busy_since)
-    excess = max(0.0, pause - rate.interval)
-    return rate.interval + _weigh_newest(rate) * excess
+    gap = now - max(rate.last_departure, busy_since)
+    excess = max(0.0, gap - rate.interval)
+    return rate.interval + _compute_smoothing(rate) * excess
 
 
 def estimate_wait(interval: float, ahead: int) -> float:
-    """Estimates the wait of a request.
+    """Estimates how long a request waits until it leaves the queue.
 
     Args:
         interval: Mean seconds between departures.
-        ahead: Requests that leave before it.
+        ahead: Requests that leave before the request.
 
     Returns:
         Seconds; 0 while the rate is unknown.
@@ -150,47 +157,47 @@
     rate: DrainRate,
     interval: float,
     ahead: int,
-    left: float,
+    time_left: float,
 ) -> bool:
-    """Tells whether a request will wait beyond its deadline.
+    """Tells whether a request is expected to wait beyond its deadline.
 
-    Guards against a stale slow rate that refuses for ever: a request with
-    none before it is never judged, so there is always one that waits and
-    shows by its departure what the rate is now.
+    An outdated low rate must not refuse requests forever. A request that no
+    other precedes is therefore never refused: its departure yields a new
+    measurement of the rate.
 
     Args:
         rate: The queue's drain rate.
         interval: Mean seconds between departures, of
             `compute_departure_interval`.
-        ahead: Requests that leave before it.
-        left: Seconds until it would have to be handed out.
+        ahead: Requests that leave before the request.
+        time_left: Seconds until the request has to be handed out.
 
     Returns:
-        Whether it is to be answered at once.
+        Whether the request is to be refused at once.
     """
-    if ahead == 0 or rate.departures < FEWEST_DEPARTURES:
+    if ahead == 0 or rate.departures < MIN_DEPARTURES:
         return False
-    return estimate_wait(interval, ahead) > left
+    return estimate_wait(interval, ahead) > time_left
 
 
 def is_stale(rate: DrainRate, now: float) -> bool:
-    """Tells whether an idle queue's rate is too old to tell anything."""
+    """Tells whether an idle queue's rate is too old to be used."""
     return now - rate.last_departure > RATE_LIFETIME
 
 
 def suggest_retry_after(interval: float, waiting: int) -> int:
-    """Suggests when a refused caller should come back.
+    """Computes the Retry-After value of a refused request.
 
     Args:
         interval: Mean seconds between departures.
         waiting: Requests waiting now.
 
     Returns:
-        Whole seconds, at least 1.
+        Whole seconds, between 1 and `MAX_RETRY_AFTER`.
 
     Example:
         >>> suggest_retry_after(0.5, waiting=9)
         5
     """
     wait = math.ceil(estimate_wait(interval, waiting))
-    return min(LONGEST_RETRY_AFTER, max(1, wait))
+    return min(MAX_RETRY_AFTER, max(1, wait))
--- a/sycamorefall/sharing/__init__.py
+++ b/sycamorefall/sharing/__init__.py
@@ -1,4 +1,4 @@
-"""Fair sharing: service accounts, waiting work, choice of the next team."""
+"""Fair sharing of a service: accounts, waiting requests, team selection."""
 
 __all__ = [
     "Account",
@@ -22,7 +22,7 @@
     "drop_idle_accounts",
     "estimate_cost",
     "get_oldest_arrival",
-    "is_open",
+    "may_send",
     "list_entries",
     "merge_entries",
     "pop_earliest",
@@ -53,7 +53,7 @@
     ByteBudget,
     compute_next_send_time,
     compute_remaining_rate,
-    is_open,
+    may_send,
     spend_bytes,
 )
 from sycamorefall.sharing.cost_estimates import (
--- a/sycamorefall/sharing/account_exchange.py
+++ b/sycamorefall/sharing/account_exchange.py
@@ -1,8 +1,11 @@
-"""Exchange of account entries between sidecars under a byte budget.
+"""Replication of account entries between sidecars, within a byte budget.
 
-Every change of a team's sum is worth telling, at once while the budget lasts.
-When it does not, changes of a team are told together and the teams whose sum
-changed most go first: the interval stretches, the budget does not.
+While the budget allows, each change of a team's own sum is sent at once. When
+the budget is used up, a team's changes are combined into one entry and the
+teams whose sums changed most are sent first: the interval between updates
+grows, while the traffic stays within the budget.
+
+A sidecar's siblings are the other sidecars of the same service.
 """
 
 __all__ = [
@@ -22,67 +25,73 @@
 from sycamorefall.sharing import budget as budget_module
 
 EXCHANGE_RATE = 1800.0
-"""Bytes per second that a sidecar may send for accounts, over all siblings.
+"""Bytes per second of account updates that a sidecar sends to all siblings.
 
-Its siblings send as much, so about the same comes in again.
+Its siblings send as much, so a sidecar receives about the same.
 """
 
 EXCHANGE_BURST = 7200.0
-"""Bytes of account entries that a sidecar may save up."""
+"""Burst size of the budget for account updates, in bytes."""
 
 EXCHANGE_INTERVAL = 0.02
-"""Least seconds between two sendings."""
+"""Minimum seconds between two updates."""
 
-HEAD_BYTES = 36
+HEADER_BYTES = 36
 """Size of an update without its entries, framing included."""
 
-TEAM_NUMBER = 1 << 15
-"""Stands for a team's number where an entry's size is measured."""
+PLACEHOLDER_TEAM_INDEX = 1 << 15
+"""Placeholder for a team's name index when the size of an entry is measured."""
+
+MAX_ENTRIES = 64
+"""Maximum number of entries in one update."""
 
-MOST_ENTRIES = 64
-"""Entries in one update."""
+MIN_ENTRIES = 4
+"""Entries that an update may hold, however many siblings receive it.
 
-LEAST_ENTRIES = 4
-"""Entries in one update, however many siblings get it."""
+Also the number of entries in an update that only repeats.
+"""
 
-SENDING_BYTES = 7200
-"""Rough size of one sending to all siblings, the largest."""
+MAX_SEND_BYTES = 7200
+"""Approximate maximum size of one update, summed over all siblings."""
 
-TYPICAL_BYTES = 22
-"""Rough size of an entry."""
+TYPICAL_ENTRY_BYTES = 22
+"""Approximate size of an entry."""
 
-REPEATS = 2
-"""Entries told a second time in each update."""
+REPEATS_PER_UPDATE = 2
+"""Entries sent for the second time in each update with changes."""
 
-REPEAT_PAUSE = 1.0
-"""Seconds between updates that only repeat."""
+REPEAT_INTERVAL = 1.0
+"""Minimum seconds from an update to one that only repeats entries."""
 
-WORTH_TELLING = 1.0
-"""Change of a team's sum, in cost units, below which nothing is told."""
+MIN_REPORTED_CHANGE = 1.0
+"""Change of a team's sum, in cost units, below which no entry is sent."""
 
 
 @dataclasses.dataclass(slots=True)
 class AccountExchange:
-    """What a sidecar told its siblings, and what it may still send.
+    """State of a sidecar's account updates to its siblings.
 
     Attributes:
-        told: Own sum (served and reserved) and offset last told, by team.
-        repeats: Teams to be told a second time, oldest first.
-        pages: Entries of all owners still to be told to a new sibling.
-        next_send: When something may be sent again, but for the budget.
-        next_repeat: When an update that only repeats may be sent.
-        budget: What may be sent.
+        last_sent: Own sum (served plus reserved) and offset as last sent, by
+            team.
+        pending_repeats: Teams whose entries have to be sent a second time,
+            oldest first.
+        pending_pages: Entries of all owners that a new sibling has yet to be
+            sent, by sibling. The last ones are sent first.
+        next_send_at: Earliest time of the next update, apart from the budget.
+        next_repeat_at: Earliest time of an update with repeated entries only.
+        budget: Byte budget of the updates.
     """
 
-    told: dict[str, tuple[float, float]] = dataclasses.field(
+    last_sent: dict[str, tuple[float, float]] = dataclasses.field(
         default_factory=dict
     )
-    repeats: dict[str, None] = dataclasses.field(default_factory=dict)
-    pages: dict[str, list[messages.AccountEntry]] = dataclasses.field(
+    pending_repeats: dict[str, None] = dataclasses.field(default_factory=dict)
+    pending_pages: dict[str, list[messages.AccountEntry]] = dataclasses.field(
         default_factory=dict
     )
-    next_send: float = 0.0
-    next_repeat: float = 0.0
+    next_send_at: float = 0.0
+    next_repeat_at: float = 0.0
     budget: budget_module.ByteBudget = dataclasses.field(
         default_factory=lambda: budget_module.ByteBudget(
             EXCHANGE_RATE, EXCHANGE_BURST, EXCHANGE_BURST
@@ -96,31 +105,35 @@
     sibling: str,
     include_other_owners: bool,
 ) -> None:
-    """Has a sibling told what it can't know, as it is new or was cut off.
+    """Schedules the entries that a new or reconnected sibling may lack.
+
+    This sidecar's own entries are sent to all siblings again.
 
     Args:
         exchange: The exchange; changed.
-        accounts: This sidecar's view of the accounts.
+        accounts: The accounts as this sidecar knows them.
         sibling: VM name of the sibling.
-        include_other_owners: Whether this sidecar is the one to tell it the
-            entries of
-            all owners, of those too that are gone and can't tell their own.
+        include_other_owners: Whether to send the sibling the entries of all
+            owners, too. This covers processes that ended and can't send
+            their own.
     """
-    own = _list_own_teams(accounts)
-    exchange.repeats |= dict.fromkeys(own)
+    own = _list_teams_with_own_entry(accounts)
+    exchange.pending_repeats |= dict.fromkeys(own)
     if include_other_owners and accounts.teams:
         entries = accounts_module.list_entries(
             accounts, accounts.teams, own_only=False
         )
-        entries.sort(key=_measure_weight)
-        exchange.pages[sibling] = entries
+        entries.sort(key=_compute_units)
+        exchange.pending_pages[sibling] = entries
 
 
-def _measure_weight(entry: messages.AccountEntry) -> float:
+def _compute_units(entry: messages.AccountEntry) -> float:
     return entry.served + entry.reserved
 
 
-def _list_own_teams(accounts: accounts_module.ServiceAccounts) -> list[str]:
+def _list_teams_with_own_entry(
+    accounts: accounts_module.ServiceAccounts,
+) -> list[str]:
     return [
         team
         for team, account in accounts.teams.items()
@@ -131,11 +144,15 @@
 def compute_next_update_time(
     exchange: AccountExchange, accounts: accounts_module.ServiceAccounts
 ) -> float:
-    """Tells when `build_due_updates` has something to tell."""
-    if accounts.unsent or exchange.pages:
-        due = exchange.next_send
-    elif exchange.repeats:
-        due = exchange.next_repeat
+    """Computes the time at which `build_due_updates` has updates to send.
+
+    Returns:
+        The time; infinite if there is nothing to send.
+    """
+    if accounts.unsent or exchange.pending_pages:
+        due = exchange.next_send_at
+    elif exchange.pending_repeats:
+        due = exchange.next_repeat_at
     else:
         return float("inf")
     return max(due, budget_module.compute_next_send_time(exchange.budget))
@@ -147,51 +164,54 @@
     now: float,
     siblings: list[str],
 ) -> list[tuple[str, list[messages.AccountEntry]]]:
-    """Lists what siblings are to be told now.
+    """Builds the updates that are due, and charges them to the budget.
 
-    Guards against a lost update, which would leave a sibling with an old
-    entry for as long as the team does not change: each entry is told a
-    second time, a little later.
+    Each changed entry is sent a second time a little later. If an update was
+    sent only once and got lost, a sibling would keep the outdated entry until
+    the team's sum changes again.
 
     Args:
         exchange: The exchange; changed.
-        accounts: The accounts; their set of unsent teams is emptied.
+        accounts: The accounts; teams whose entries are sent, or changed too
+            little to be sent, are removed from the unsent ones.
         now: This process's time.
         siblings: VM names of all siblings.
 
     Returns:
-        Entries by sibling.
+        Pairs of a sibling and the entries to send to it.
     """
     if not siblings:
         accounts.unsent.clear()
-        exchange.repeats.clear()
-        exchange.pages.clear()
+        exchange.pending_repeats.clear()
+        exchange.pending_pages.clear()
         return []
-    exchange.next_send = now + EXCHANGE_INTERVAL
-    changed = _take_changed(exchange, accounts, _limit_entries(siblings))
+    exchange.next_send_at = now + EXCHANGE_INTERVAL
+    changed = _pop_changed_teams(
+        exchange, accounts, _compute_max_entries(siblings)
+    )
     repeated: list[str] = []
-    if changed or now >= exchange.next_repeat:
-        repeated = _take_repeats(exchange, accounts, changed)
-        exchange.next_repeat = now + REPEAT_PAUSE
-    exchange.repeats |= dict.fromkeys(changed)
+    if changed or now >= exchange.next_repeat_at:
+        repeated = _pop_repeats(exchange, accounts, changed)
+        exchange.next_repeat_at = now + REPEAT_INTERVAL
+    exchange.pending_repeats |= dict.fromkeys(changed)
     entries = accounts_module.list_entries(accounts, changed + repeated)
     entries = [round_entry(entry) for entry in entries]
-    news = [(name, entries) for name in siblings] if entries else []
+    updates = [(name, entries) for name in siblings] if entries else []
     size = _measure_size(entries) * len(siblings) if entries else 0
-    pages = _take_pages(exchange, siblings)
+    pages = _pop_pages(exchange, siblings)
     size += sum(_measure_size(page) for _, page in pages)
     budget_module.spend_bytes(exchange.budget, now, size)
-    return news + pages
+    return updates + pages
 
 
 def _measure_size(entries: list[messages.AccountEntry]) -> int:
-    """Measures an update with names as indexes; a name's first is not counted.
+    """Measures an update in bytes, with names replaced by their indexes.
 
-    Each name travels once per link, and only while it is new.
+    The names themselves aren't counted, as each is sent only once per link.
     """
     parts = [
         (
-            TEAM_NUMBER,
+            PLACEHOLDER_TEAM_INDEX,
             0,
             entry.sequence,
             entry.served,
@@ -200,46 +220,52 @@
         )
         for entry in entries
     ]
-    return HEAD_BYTES + len(msgspec.msgpack.encode(parts))
+    return HEADER_BYTES + len(msgspec.msgpack.encode(parts))
 
 
-def _limit_entries(siblings: list[str]) -> int:
-    """Limits an update so that its sending doesn't overdraw for long.
+def _compute_max_entries(siblings: list[str]) -> int:
+    """Computes how many entries an update to all siblings may hold.
 
-    Guards against one large update to many siblings: nothing could be told
-    for half a minute after it, however much a team receives meanwhile.
+    After a large update to many siblings the budget would stay overdrawn for
+    half a minute, in which no change could be sent, however much a team
+    receives.
     """
-    room = (SENDING_BYTES / len(siblings) - HEAD_BYTES) / TYPICAL_BYTES
-    return max(LEAST_ENTRIES, min(MOST_ENTRIES, int(room)))
+    room = (MAX_SEND_BYTES / len(siblings) - HEADER_BYTES) / TYPICAL_ENTRY_BYTES
+    return max(MIN_ENTRIES, min(MAX_ENTRIES, int(room)))
 
 
-def _take_changed(
+def _pop_changed_teams(
     exchange: AccountExchange,
     accounts: accounts_module.ServiceAccounts,
-    most: int,
+    max_teams: int,
 ) -> list[str]:
-    """Takes the teams whose sum changed most since it was last told.
+    """Removes the teams whose sum changed most from the unsent ones.
 
-    What is charged within the reservation leaves the sum as it is, and with
-    it every sidecar's choice: an answer that streams makes no news.
+    The sum is of served and reserved units. A charge that a reservation
+    covers leaves the sum, and thus every sidecar's selection, unchanged. So a
+    streamed response causes no updates.
     """
     changes = {
-        team: _measure_change(exchange, accounts, team)
+        team: _compute_unsent_change(exchange, accounts, team)
         for team in accounts.unsent
     }
-    telling = sorted(
-        (team for team, change in changes.items() if change >= WORTH_TELLING),
+    reported = sorted(
+        (
+            team
+            for team, change in changes.items()
+            if change >= MIN_REPORTED_CHANGE
+        ),
         key=lambda team: (-changes[team], team),
     )
     accounts.unsent.clear()
-    accounts.unsent.update(telling[most:])
-    del telling[most:]
-    for team in telling:
-        exchange.told[team] = _sum_own(accounts, team)
-    return telling
+    accounts.unsent.update(reported[max_teams:])
+    del reported[max_teams:]
+    for team in reported:
+        exchange.last_sent[team] = _compute_own_sum(accounts, team)
+    return reported
 
 
-def _sum_own(
+def _compute_own_sum(
     accounts: accounts_module.ServiceAccounts, team: str
 ) -> tuple[float, float]:
     account = accounts.teams[team]
@@ -247,7 +273,7 @@
     return entry.served + entry.reserved, account.offset
 
 
-def _measure_change(
+def _compute_unsent_change(
     exchange: AccountExchange,
     accounts: accounts_module.ServiceAccounts,
     team: str,
@@ -255,44 +281,44 @@
     account = accounts.teams.get(team)
     if account is None or accounts.owner not in account.entries:
         return 0.0
-    before = exchange.told.get(team, (0.0, 0.0))
-    after = _sum_own(accounts, team)
+    before = exchange.last_sent.get(team, (0.0, 0.0))
+    after = _compute_own_sum(accounts, team)
     return sum(abs(new - old) for new, old in zip(after, before, strict=True))
 
 
-def _take_repeats(
+def _pop_repeats(
     exchange: AccountExchange,
     accounts: accounts_module.ServiceAccounts,
     changed: list[str],
 ) -> list[str]:
-    most = REPEATS if changed else LEAST_ENTRIES
+    max_teams = REPEATS_PER_UPDATE if changed else MIN_ENTRIES
     for team in changed:
-        exchange.repeats.pop(team, None)
-    taken = list(itertools.islice(exchange.repeats, most))
+        exchange.pending_repeats.pop(team, None)
+    taken = list(itertools.islice(exchange.pending_repeats, max_teams))
     for team in taken:
-        del exchange.repeats[team]
+        del exchange.pending_repeats[team]
     return [team for team in taken if team in accounts.teams]
 
 
-def _take_pages(
+def _pop_pages(
     exchange: AccountExchange, siblings: list[str]
 ) -> list[tuple[str, list[messages.AccountEntry]]]:
     pages = []
-    for name in list(exchange.pages):
-        left = exchange.pages[name]
-        if name in siblings and left:
-            page = [round_entry(entry) for entry in left[-MOST_ENTRIES:]]
+    for name in list(exchange.pending_pages):
+        remaining = exchange.pending_pages[name]
+        if name in siblings and remaining:
+            page = [round_entry(entry) for entry in remaining[-MAX_ENTRIES:]]
             pages.append((name, page))
-        del left[-MOST_ENTRIES:]
-        if not left or name not in siblings:
-            del exchange.pages[name]
+        del remaining[-MAX_ENTRIES:]
+        if not remaining or name not in siblings:
+            del exchange.pending_pages[name]
     return pages
 
 
 def round_entry(entry: messages.AccountEntry) -> messages.AccountEntry:
     """Rounds an entry to whole cost units, which take a third of the bytes.
 
-    The sums are rounded, not their changes, so the error never adds up.
+    The sums are rounded, not their changes, so errors don't accumulate.
     """
     return messages.AccountEntry(
         entry.team,
--- a/sycamorefall/sharing/accounts.py
+++ b/sycamorefall/sharing/accounts.py
@@ -1,11 +1,12 @@
 """Service accounts: what each team received from a service, over all sidecars.
 
-Every sidecar incarnation owns one entry per team and is the only one to write
-it; others keep the entry with the highest sequence number they saw. Entries
-count from an offset, which only ever rises: a higher offset voids whatever
-was counted from a lower one. Accounts are thus a state-based replicated
-counter: losing, repeating or reordering updates does no harm, and partitions
-heal by exchanging entries again.
+Every sidecar incarnation owns one entry per team and is the only writer of
+that entry. Other sidecars keep the version with the highest sequence number
+that they received. Entries count from an offset, which never decreases: a
+higher offset discards whatever was counted from a lower one. Accounts are
+thus a state-based replicated counter (CRDT). Lost, repeated or reordered
+updates do no harm, and after a partition the accounts converge once the
+entries are exchanged again.
 """
 
 __all__ = [
@@ -31,7 +32,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Entry:
-    """What one owner gave to a team; see `messages.AccountEntry`."""
+    """Cost units that one owner gave to a team; see `messages.AccountEntry`."""
 
     sequence: int = 0
     served: float = 0.0
@@ -43,22 +44,24 @@
     """One team's account at a service.
 
     Attributes:
-        entries: Entries by owner label, all counted from the offset.
+        entries: Entries by owner, all counted from the offset.
         total: Sum of served and reserved units over the entries.
-        offset: Order key from which the entries count; only ever rises, and
-            is whole, so that rounding on the way doesn't change it.
-        lift: What this process adds to the order key, and no other does.
-        quiet: Sweeps in a row that found the account unchanged; see
+        offset: Order key from which the entries count. Never decreases, and
+            is a whole number, so that the rounding in messages doesn't
+            change it.
+        local_offset: Further offset of the order key that only this process
+            applies.
+        idle_sweeps: Successive sweeps that found the account unchanged; see
             `team_selection.drop_idle_accounts`.
-        swept_total: Total at the last sweep.
+        total_at_last_sweep: Total at the last sweep.
     """
 
     entries: dict[str, Entry] = dataclasses.field(default_factory=dict)
     total: float = 0.0
     offset: float = 0.0
-    lift: float = 0.0
-    quiet: int = 0
-    swept_total: float = 0.0
+    local_offset: float = 0.0
+    idle_sweeps: int = 0
+    total_at_last_sweep: float = 0.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -66,85 +69,93 @@
     """All teams' accounts at a service, as one process knows them.
 
     Attributes:
-        owner: Label of the owner of this view.
+        owner: VM name and incarnation of this process, the owner of its own
+            entries.
         teams: Accounts by team.
         unsent: Teams whose own entry changed since it was last sent.
-        changes: Sequence number of the last change of an own entry. It is
-            one count for all teams, so that an account that was dropped and
-            comes back does not begin below what others have seen.
+        last_sequence: Sequence number of the last change of an own entry.
+            All teams share the counter, so that the entry of an account that
+            was dropped and created again has a higher number than others
+            have received.
     """
 
     owner: str
     teams: dict[str, Account] = dataclasses.field(default_factory=dict)
     unsent: set[str] = dataclasses.field(default_factory=set)
-    changes: int = 0
+    last_sequence: int = 0
 
 
-def _own_entry(accounts: ServiceAccounts, team: str) -> tuple[Account, Entry]:
+def _mark_own_entry_changed(
+    accounts: ServiceAccounts, team: str
+) -> tuple[Account, Entry]:
     account = accounts.teams.setdefault(team, Account())
     entry = account.entries.setdefault(accounts.owner, Entry())
-    accounts.changes += 1
-    entry.sequence = accounts.changes
+    accounts.last_sequence += 1
+    entry.sequence = accounts.last_sequence
     accounts.unsent.add(team)
     return account, entry
 
 
 def charge_team(accounts: ServiceAccounts, team: str, units: float) -> None:
-    """Adds served units to a team's own entry.
+    """Adds served units to this process's entry of a team.
 
     Args:
         accounts: The accounts; changed.
         team: The team.
         units: Cost units, not negative.
     """
-    account, entry = _own_entry(accounts, team)
+    account, entry = _mark_own_entry_changed(accounts, team)
     entry.served += units
     account.total += units
 
 
 def reserve_units(accounts: ServiceAccounts, team: str, units: float) -> None:
-    """Adds to (or, if negative, takes from) a team's reserved units.
+    """Changes the reserved units of a team in this process's entry.
 
-    Without reservations every sidecar would see the same team as the one
-    with the least service and give it all free slots before the cost of the
-    first of them shows.
+    Without reservations every sidecar would select the same team, the one
+    with the least service, and give it all free slots before the cost of its
+    first request is charged.
 
     Args:
         accounts: The accounts; changed.
         team: The team.
-        units: Change of the estimate for work in flight, in cost units.
+        units: Change of the estimated cost of work in flight, in cost units;
+            negative to release reserved units.
     """
-    account, entry = _own_entry(accounts, team)
+    account, entry = _mark_own_entry_changed(accounts, team)
     entry.reserved += units
     account.total += units
 
 
 def raise_offset(accounts: ServiceAccounts, team: str, offset: float) -> None:
-    """Raises a team's offset to at least a value, and counts anew from there.
+    """Raises a team's offset to at least a value and restarts the count.
 
-    The offset is a maximum, never a sum, so that two sidecars which raise it
-    at the same time do not raise it twice. Service that this process has not
-    heard of yet is voided with the rest, so this is for accounts that have
-    long been at rest.
+    Offsets are merged by their maximum rather than added, so that two
+    sidecars that raise an offset at the same time don't raise it twice. The
+    higher offset also discards service of which this process has not received
+    the entry yet. It is therefore meant for accounts that have not changed
+    for long.
 
     Args:
         accounts: The accounts; changed.
         team: The team.
-        offset: The order key to count from; rounded up to a whole unit.
+        offset: New offset of the order key; rounded up to a whole unit.
     """
     accounts.teams.setdefault(team, Account())
-    if _void_entries(accounts, team, float(math.ceil(offset))):
-        _own_entry(accounts, team)
+    if _discard_entries_below(accounts, team, float(math.ceil(offset))):
+        _mark_own_entry_changed(accounts, team)
 
 
-def _void_entries(accounts: ServiceAccounts, team: str, offset: float) -> bool:
-    """Voids what counts from a lower offset, but for own work in flight."""
+def _discard_entries_below(
+    accounts: ServiceAccounts, team: str, offset: float
+) -> bool:
+    """Discards entries of a lower offset, except for own reserved units."""
     account = accounts.teams[team]
     if offset <= account.offset:
         return False
     own = account.entries.get(accounts.owner)
     account.offset = offset
-    account.lift = 0.0
+    account.local_offset = 0.0
     account.entries.clear()
     account.total = 0.0
     if own is not None:
@@ -152,12 +163,12 @@
         account.entries[accounts.owner] = own
         account.total = own.reserved
         if own.reserved:
-            _own_entry(accounts, team)
+            _mark_own_entry_changed(accounts, team)
     return True
 
 
 def compute_reserved(accounts: ServiceAccounts, team: str) -> float:
-    """Computes a team's reserved units, over all sidecars."""
+    """Sums a team's reserved units over all owners."""
     account = accounts.teams.get(team)
     if account is None:
         return 0.0
@@ -165,7 +176,7 @@
 
 
 def drop_account(accounts: ServiceAccounts, team: str) -> None:
-    """Forgets an account."""
+    """Removes a team's account, and the team from those to be sent."""
     accounts.teams.pop(team, None)
     accounts.unsent.discard(team)
 
@@ -173,7 +184,7 @@
 def compute_order_key(
     accounts: ServiceAccounts, team: str, weight: float
 ) -> float:
-    """Computes a team's order key: the least is served next.
+    """Computes a team's order key; the team with the least is served next.
 
     Args:
         accounts: The accounts.
@@ -181,8 +192,9 @@
         weight: The team's weight.
 
     Returns:
-        The team's offset and lift, plus units served and reserved since the
-        offset, per weight.
+        The team's offset plus its local offset, plus the units served and
+        reserved since the offset divided by the weight; 0 for a team without
+        an account.
 
     Example:
         >>> accounts = ServiceAccounts("engine-1/1")
@@ -193,21 +205,23 @@
     account = accounts.teams.get(team)
     if account is None:
         return 0.0
-    return account.offset + account.lift + account.total / weight
+    return account.offset + account.local_offset + account.total / weight
 
 
 def merge_entries(
     accounts: ServiceAccounts, entries: Iterable[messages.AccountEntry]
 ) -> None:
-    """Takes over entries of other owners where they are newer.
+    """Merges received entries, where they are newer than the known ones.
+
+    Entries that this process owns are skipped, but for their offset.
 
     Args:
         accounts: The accounts; changed.
-        entries: Entries as received, in any order.
+        entries: Received entries, in any order.
     """
     for received in entries:
         account = accounts.teams.setdefault(received.team, Account())
-        _void_entries(accounts, received.team, received.offset)
+        _discard_entries_below(accounts, received.team, received.offset)
         outdated = received.offset < account.offset
         if outdated or received.owner == accounts.owner:
             continue
@@ -224,15 +238,16 @@
 def list_entries(
     accounts: ServiceAccounts, teams: Iterable[str], own_only: bool = True
 ) -> list[messages.AccountEntry]:
-    """Lists entries of some teams for sending.
+    """Lists the entries of some teams in the form of messages.
 
     Args:
         accounts: The accounts.
-        teams: Teams whose entries are wanted; unknown ones are left out.
+        teams: Teams whose entries to list; teams without an account are
+            skipped.
         own_only: Whether to leave out the entries of other owners.
 
     Returns:
-        The entries as message parts.
+        The entries, as sent in `messages.AccountUpdate`.
     """
     return [
         messages.AccountEntry(
--- a/sycamorefall/sharing/budget.py
+++ b/sycamorefall/sharing/budget.py
@@ -1,10 +1,10 @@
-"""Byte budgets: what a process may send for control, per second."""
+"""Byte budgets that limit the control traffic of a process."""
 
 __all__ = [
     "ByteBudget",
     "compute_next_send_time",
     "compute_remaining_rate",
-    "is_open",
+    "may_send",
     "spend_bytes",
 ]
 
@@ -13,18 +13,19 @@
 
 @dataclasses.dataclass(slots=True)
 class ByteBudget:
-    """A token bucket that may be overdrawn by one sending.
+    """A token bucket that one transmission may overdraw.
 
-    Whoever sends waits until the level is above zero and then takes what it
-    needs, so that a sending larger than the bucket still goes, and the next
-    one waits the longer. Over any time the bytes spent are at most
-    `burst + rate * time` and one sending.
+    A sender waits until the level is not negative and then subtracts the
+    size of the transmission, whatever it is. A transmission larger than the
+    bucket is thus possible, and delays the next one accordingly. Over any
+    period the bytes sent are at most `burst + rate * period` plus one
+    transmission.
 
     Attributes:
-        rate: Bytes per second.
-        burst: Most bytes that may be saved up.
-        level: Bytes that may be sent now; below 0 if overdrawn.
-        updated: When the level was last brought up to date.
+        rate: Bytes added per second.
+        burst: Maximum level, in bytes.
+        level: Bytes that may be sent now; negative if overdrawn.
+        updated: Time for which `level` was computed.
     """
 
     rate: float
@@ -33,22 +34,24 @@
     updated: float = 0.0
 
 
-def compute_remaining_rate(most: float, per_link: float, links: int) -> float:
-    """Computes what is left of a budget beside its links' heartbeats.
+def compute_remaining_rate(
+    total_rate: float, rate_per_link: float, links: int
+) -> float:
+    """Computes the rate that the heartbeats of all links leave.
 
     Args:
-        most: Bytes per second without any link.
-        per_link: Bytes per second that a link's heartbeats take.
+        total_rate: Bytes per second, heartbeats included.
+        rate_per_link: Bytes per second that the heartbeats of a link take.
         links: Number of links.
 
     Returns:
-        Bytes per second, at least a tenth of the most.
+        Bytes per second, at least a tenth of the total rate.
 
     Example:
         >>> [compute_remaining_rate(4000.0, 50.0, links) for links in (4, 400)]
         [3800.0, 400.0]
     """
-    return max(most / 10, most - per_link * links)
+    return max(total_rate / 10, total_rate - rate_per_link * links)
 
 
 def _refill(budget: ByteBudget, now: float) -> None:
@@ -58,31 +61,32 @@
 
 
 def spend_bytes(budget: ByteBudget, now: float, size: float) -> None:
-    """Takes bytes out, below zero if need be.
+    """Subtracts sent bytes from the level, which may become negative.
 
     Args:
         budget: The budget; changed.
         now: This process's time.
-        size: Bytes that are sent now, over all receivers.
+        size: Bytes that are sent now, summed over all receivers.
     """
     _refill(budget, now)
     budget.level -= size
 
 
-def is_open(budget: ByteBudget, now: float, overdraft: float = 0.0) -> bool:
-    """Tells whether something may be sent now."""
+def may_send(budget: ByteBudget, now: float, overdraft: float = 0.0) -> bool:
+    """Tells whether the budget allows a transmission now."""
     return now >= compute_next_send_time(budget, overdraft)
 
 
 def compute_next_send_time(budget: ByteBudget, overdraft: float = 0.0) -> float:
-    """Tells from when on something may be sent.
+    """Computes the time from which the budget allows a transmission.
 
     Args:
         budget: The budget.
-        overdraft: Bytes by which the budget may be overdrawn already.
+        overdraft: Bytes by which the budget may be overdrawn beforehand.
 
     Returns:
-        The time; in the past if something may be sent now.
+        The time; in the past if a transmission is allowed now, infinite if
+        the budget is used up and its rate is 0.
 
     Example:
         >>> budget = ByteBudget(rate=100.0, burst=50.0, level=50.0)
@@ -93,7 +97,7 @@
     lacking = -(budget.level + overdraft)
     if lacking <= 0.0:
         return budget.updated
-    # A sidecar that knows no router may save up nothing: its rate is 0.
+    # The rate of a sidecar that knows no router is 0.
     return budget.updated + (
         lacking / budget.rate if budget.rate else float("inf")
     )
--- a/sycamorefall/sharing/cost_estimates.py
+++ b/sycamorefall/sharing/cost_estimates.py
@@ -1,4 +1,4 @@
-"""Estimates of a request's cost, from the team's own recent requests."""
+"""Estimates of request costs, as moving averages of each team's requests."""
 
 __all__ = [
     "CostEstimates",
@@ -10,23 +10,23 @@
 import dataclasses
 
 SMOOTHING = 0.2
-"""Weight of the newest cost in the mean."""
+"""Weight of the newest cost in the exponential moving average."""
 
 
 MAX_LEAD_REQUESTS = 128
-"""Mean requests by which a team may be ahead of another that waits."""
+"""Mean request costs by which a team may be ahead of another that waits."""
 
-MOST_TEAMS = 4096
-"""Teams whose costs are remembered; the one served longest ago goes first."""
+MAX_TEAMS = 4096
+"""Teams with a stored mean; the one served longest ago is evicted first."""
 
 
 @dataclasses.dataclass(slots=True)
 class CostEstimates:
-    """Mean costs at one service.
+    """Moving averages of the request costs at one service, in cost units.
 
     Attributes:
-        overall: Mean over all teams; 0 while nothing has ended.
-        teams: Mean of each team's recent requests, the last served last.
+        overall: Average over all teams; 0 until a request has ended.
+        teams: Average by team, in order of the teams' last ended requests.
     """
 
     overall: float = 0.0
@@ -34,16 +34,16 @@
 
 
 def record_cost(estimates: CostEstimates, team: str, units: float) -> None:
-    """Learns from a request that has ended.
+    """Updates the averages with the cost of a request that has ended.
 
     Args:
         estimates: The estimates; changed.
-        team: Whose request it was.
-        units: Its cost.
+        team: The request's team.
+        units: The request's cost, in cost units.
     """
-    known = estimates.teams.pop(team, units)
-    estimates.teams[team] = known + SMOOTHING * (units - known)
-    if len(estimates.teams) > MOST_TEAMS:
+    previous = estimates.teams.pop(team, units)
+    estimates.teams[team] = previous + SMOOTHING * (units - previous)
+    if len(estimates.teams) > MAX_TEAMS:
         del estimates.teams[next(iter(estimates.teams))]
     overall = estimates.overall or units
     estimates.overall = overall + SMOOTHING * (units - overall)
@@ -53,15 +53,15 @@
     """Estimates the cost of a team's next request.
 
     Returns:
-        Cost units: the team's mean, else the mean of all, else 0.
+        Cost units: the team's average, else that of all teams, else 0.
     """
     return estimates.teams.get(team, estimates.overall)
 
 
 def compute_max_lead(estimates: CostEstimates) -> float:
-    """Computes how far a team may get ahead of another that waits.
+    """Computes by how much a team may be ahead of another that waits.
 
     Returns:
-        Cost units; unlimited while no cost is known.
+        Cost units; infinite while no cost is known.
     """
     return MAX_LEAD_REQUESTS * estimates.overall or float("inf")
--- a/sycamorefall/sharing/demand.py
+++ b/sycamorefall/sharing/demand.py
@@ -1,4 +1,4 @@
-"""A sidecar's view of the work that waits at the routers."""
+"""Requests waiting at the routers, as a sidecar knows them."""
 
 __all__ = [
     "Demand",
@@ -21,22 +21,23 @@
     """Waiting requests of one team at one router.
 
     Attributes:
-        count: How many are believed to wait.
-        oldest_since: Since when the oldest waits, by this process's clock.
+        count: Assumed number of waiting requests.
+        oldest_arrived_at: Arrival time of the oldest one, by this process's
+            clock.
     """
 
     count: int
-    oldest_since: float
+    oldest_arrived_at: float
 
 
 @dataclasses.dataclass(slots=True)
 class RouterDemand:
-    """What one router incarnation announced.
+    """Waiting requests that one router incarnation announced.
 
     Attributes:
-        incarnation: The router's process.
-        sequence: Highest announcement seen.
-        teams: Waiting work by team.
+        incarnation: Incarnation of the router's process.
+        sequence: Highest sequence number of an announcement received.
+        teams: Waiting requests by team.
     """
 
     incarnation: int
@@ -46,12 +47,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Demand:
-    """All waiting work that a sidecar knows of.
+    """All waiting requests that a sidecar knows of.
 
     Attributes:
-        routers: Announcements by router.
-        teams: Names of routers with work, by team.
-        total: Requests believed to wait, over all teams and routers.
+        routers: Announced requests by router.
+        teams: Names of the routers with waiting requests, by team.
+        total: Assumed number of waiting requests, over all teams and routers.
     """
 
     routers: dict[str, RouterDemand] = dataclasses.field(default_factory=dict)
@@ -66,58 +67,58 @@
     incarnation: int,
     waiting: messages.Waiting,
 ) -> list[str]:
-    """Takes over an announcement.
+    """Applies a router's announcement of waiting requests.
 
-    An announcement older than one already seen is ignored, so that reordered
-    or repeated messages don't bring back work that was claimed.
+    An announcement that is not newer than the last one is ignored, so that
+    reordered or repeated messages don't restore requests that were claimed.
 
     Args:
-        demand: The view; changed.
+        demand: The known waiting requests; changed.
         now: This process's time, in seconds.
-        router: The sender.
-        incarnation: The sender's process.
+        router: VM name of the sender.
+        incarnation: Incarnation of the sender's process.
         waiting: The announcement.
 
     Returns:
-        Teams that had no work waiting anywhere before.
+        Teams that had no waiting requests at any router before.
     """
-    known = demand.routers.get(router)
-    if known is None or known.incarnation != incarnation:
+    router_demand = demand.routers.get(router)
+    if router_demand is None or router_demand.incarnation != incarnation:
         drop_router(demand, router)
-        known = demand.routers[router] = RouterDemand(incarnation)
-    if waiting.sequence <= known.sequence:
+        router_demand = demand.routers[router] = RouterDemand(incarnation)
+    if waiting.sequence <= router_demand.sequence:
         return []
-    known.sequence = waiting.sequence
+    router_demand.sequence = waiting.sequence
     before = set(demand.teams)
     if waiting.complete:
         announced = {entry.team for entry in waiting.teams}
-        for team in known.teams.keys() - announced:
+        for team in router_demand.teams.keys() - announced:
             _set_count(demand, router, team, 0, now)
     for entry in waiting.teams:
-        since = now - entry.oldest_ms / 1000
-        _set_count(demand, router, entry.team, entry.count, since)
+        arrived_at = now - entry.oldest_ms / 1000
+        _set_count(demand, router, entry.team, entry.count, arrived_at)
     return [team for team in demand.teams if team not in before]
 
 
 def _set_count(
-    demand: Demand, router: str, team: str, count: int, since: float
+    demand: Demand, router: str, team: str, count: int, arrived_at: float
 ) -> None:
     teams = demand.routers[router].teams
     before = teams[team].count if team in teams else 0
     demand.total += max(0, count) - before
     if count > 0:
-        teams[team] = TeamDemand(count, since)
+        teams[team] = TeamDemand(count, arrived_at)
         demand.teams.setdefault(team, set()).add(router)
         return
     teams.pop(team, None)
-    holders = demand.teams.get(team, set())
-    holders.discard(router)
-    if not holders:
+    router_names = demand.teams.get(team, set())
+    router_names.discard(router)
+    if not router_names:
         demand.teams.pop(team, None)
 
 
 def list_teams(demand: Demand) -> list[str]:
-    """Lists teams with work waiting."""
+    """Lists the teams with waiting requests at any router."""
     return list(demand.teams)
 
 
@@ -125,44 +126,46 @@
     """Chooses the router that holds a team's oldest waiting request.
 
     Args:
-        demand: The view.
+        demand: The known waiting requests.
         team: The team.
 
     Returns:
-        The router's VM name, or None if no router has work of the team.
+        The router's VM name, or None if no request of the team waits.
     """
-    holders = demand.teams.get(team)
-    if not holders:
+    router_names = demand.teams.get(team)
+    if not router_names:
         return None
     return min(
-        holders,
+        router_names,
         key=lambda name: (
-            demand.routers[name].teams[team].oldest_since,
+            demand.routers[name].teams[team].oldest_arrived_at,
             name,
         ),
     )
 
 
 def remove_waiting_request(demand: Demand, router: str, team: str) -> None:
-    """Counts one waiting request less, as it is being claimed."""
-    known = demand.routers.get(router)
-    entry = known.teams.get(team) if known else None
+    """Subtracts a request that is being claimed from a team's count."""
+    router_demand = demand.routers.get(router)
+    entry = router_demand.teams.get(team) if router_demand else None
     if entry is not None:
-        _set_count(demand, router, team, entry.count - 1, entry.oldest_since)
+        _set_count(
+            demand, router, team, entry.count - 1, entry.oldest_arrived_at
+        )
 
 
 def drop_router(demand: Demand, router: str, team: str | None = None) -> None:
-    """Forgets a router's waiting work.
+    """Removes the waiting requests of a router.
 
     Args:
-        demand: The view; changed.
-        router: The router.
-        team: Only this team's work; all work if None.
+        demand: The known waiting requests; changed.
+        router: VM name of the router.
+        team: Team whose requests to remove; all teams if None.
     """
-    known = demand.routers.get(router)
-    if known is None:
+    router_demand = demand.routers.get(router)
+    if router_demand is None:
         return
-    for name in [team] if team is not None else list(known.teams):
+    for name in [team] if team is not None else list(router_demand.teams):
         _set_count(demand, router, name, 0, 0.0)
     if team is None:
         del demand.routers[router]
--- a/sycamorefall/sharing/fairness_bound.py
+++ b/sycamorefall/sharing/fairness_bound.py
@@ -1,4 +1,4 @@
-"""The stated bound on the fairness gap."""
+"""Upper bound of the fairness gap between two backlogged teams."""
 
 __all__ = ["compute_gap_bound"]
 
@@ -10,20 +10,20 @@
     rate: float,
     lightest_weight: float = 1.0,
 ) -> float:
-    """Computes the most that two backlogged teams' service can differ.
+    """Computes the maximum difference of two backlogged teams' service.
 
-    A team is given a slot only while it is the one that received least in
-    the eyes of a sidecar. Whatever can then still be charged to it unseen is
-    at most every claim and run in flight at the largest cost, and what all
-    upstreams give while an account entry is on its way. The same may happen
-    to the other team at the other end of the window.
+    A sidecar gives a slot only to the team that received least according to
+    its accounts. What can be charged to the team beyond that is limited to
+    the largest cost of every claim and run in flight, plus what all upstreams
+    serve until an account entry arrives. The same may happen to the other
+    team at the other end of the period in question, hence the factor of 2.
 
     Args:
         in_flight: Claims and runs that can be in flight at the service.
         largest_cost: Cost units of the largest request.
-        staleness: Seconds until a change of an account is seen everywhere.
-        rate: Cost units per second that all upstreams give together.
-        lightest_weight: The least weight among the teams.
+        staleness: Seconds until all sidecars know of an account's change.
+        rate: Cost units per second that all upstreams serve together.
+        lightest_weight: Minimum of the teams' weights.
 
     Returns:
         Cost units per weight.
--- a/sycamorefall/sharing/queues.py
+++ b/sycamorefall/sharing/queues.py
@@ -1,4 +1,4 @@
-"""Requests waiting at a router, per service and team, within bounds."""
+"""Queues of the requests that wait at a router, by service and team."""
 
 __all__ = [
     "TeamQueue",
@@ -20,8 +20,11 @@
 import heapq
 import math
 
-SPARE_ENTRIES = 64
-"""Outdated entries that the order by length may hold beside its own."""
+MAX_STALE_ENTRIES = 64
+"""Outdated entries of the length heap, besides one per queue, that are kept.
+
+With more of them the heap is rebuilt.
+"""
 
 
 @dataclasses.dataclass(slots=True)
@@ -29,10 +32,11 @@
     """Waiting requests of one team at one service.
 
     Attributes:
-        arrivals: Time of arrival by request, oldest first.
-        deadlines: Sorted (deadline, request) of all waiting requests. Taking
-            one out moves the rest, which at the few hundred that may wait
-            is cheaper than a heap that can't be counted in.
+        arrivals: Arrival time by request, oldest request first.
+        deadlines: Sorted (deadline, request) of all waiting requests. A
+            removal shifts the items behind it. At the few hundred requests
+            that may wait this is cheaper than a heap, in which the requests
+            before a deadline can't be counted by bisection.
         weight: The team's weight.
     """
 
@@ -48,20 +52,21 @@
     Attributes:
         queues: Team queues by service and team; empty ones are dropped.
         total: Waiting requests over all queues.
-        lengths: Heap of (-length by weight, service, team). Each queue has an
-            entry that is at least as long as the queue is, and may have
-            outdated ones: joining adds an entry, leaving adds none.
-        count: Queues that hold requests.
+        length_heap: Heap of (-length / weight, service, team). Each queue
+            has an entry that is at least as long as the queue, and may have
+            outdated ones: adding a request pushes an entry, removing one
+            does not.
+        queue_count: Queues that hold requests.
     """
 
     queues: dict[str, dict[str, TeamQueue]] = dataclasses.field(
         default_factory=dict
     )
     total: int = 0
-    lengths: list[tuple[float, str, str]] = dataclasses.field(
+    length_heap: list[tuple[float, str, str]] = dataclasses.field(
         default_factory=list
     )
-    count: int = 0
+    queue_count: int = 0
 
 
 def add_request(
@@ -73,49 +78,56 @@
     deadline: float,
     weight: float | None = None,
 ) -> None:
-    """Adds a request.
+    """Adds a request to the queue of its service and team.
 
     Args:
         waiting: The queues; changed.
         service: The service.
         team: The team.
-        request: Number of the request at this router, growing with arrival.
-        arrived: When the request came to this router.
-        deadline: When its caller stops waiting.
-        weight: The team's weight; as known before if None.
+        request: Number of the request at this router; increases with each
+            arrival.
+        arrived: When the request arrived at this router.
+        deadline: When the request's caller stops waiting.
+        weight: The team's weight; unchanged if None.
     """
     teams = waiting.queues.setdefault(service, {})
     queue = teams.get(team)
     if queue is None:
         queue = teams[team] = TeamQueue()
-        waiting.count += 1
+        waiting.queue_count += 1
     if weight is not None:
         queue.weight = weight
-    is_back = bool(queue.arrivals) and request < next(reversed(queue.arrivals))
+    is_requeued = bool(queue.arrivals) and request < next(
+        reversed(queue.arrivals)
+    )
     queue.arrivals[request] = arrived
-    if is_back:
-        # A request that waits again is not the newest: it would be the first
-        # to be lost on overflow, after it has waited longest.
+    if is_requeued:
+        # A request that is queued again must not become the newest one, as
+        # the newest is dropped first on overflow, and it has waited longest.
         queue.arrivals = dict(sorted(queue.arrivals.items()))
     bisect.insort(queue.deadlines, (deadline, request))
     waiting.total += 1
-    _note_length(waiting, service, team, queue)
+    _push_length(waiting, service, team, queue)
 
 
-def _note_length(
+def _push_length(
     waiting: WaitingQueues, service: str, team: str, queue: TeamQueue
 ) -> None:
-    if len(waiting.lengths) > 2 * waiting.count + SPARE_ENTRIES:
-        waiting.lengths = [
-            (_measure_queue(waiting.queues[name][owner]), name, owner)
-            for name, owner in list_queues(waiting)
+    if len(waiting.length_heap) > 2 * waiting.queue_count + MAX_STALE_ENTRIES:
+        waiting.length_heap = [
+            (
+                _compute_heap_key(waiting.queues[name][queue_team]),
+                name,
+                queue_team,
+            )
+            for name, queue_team in list_queues(waiting)
         ]
-        heapq.heapify(waiting.lengths)
-    entry = (_measure_queue(queue), service, team)
-    heapq.heappush(waiting.lengths, entry)
+        heapq.heapify(waiting.length_heap)
+    entry = (_compute_heap_key(queue), service, team)
+    heapq.heappush(waiting.length_heap, entry)
 
 
-def _measure_queue(queue: TeamQueue) -> float:
+def _compute_heap_key(queue: TeamQueue) -> float:
     return -len(queue.arrivals) / queue.weight
 
 
@@ -126,17 +138,17 @@
     request: int,
     deadline: float,
 ) -> bool:
-    """Takes a request out.
+    """Removes a request from its queue.
 
     Args:
         waiting: The queues; changed.
         service: The service.
         team: The team.
-        request: The request.
-        deadline: Its deadline, as when it joined.
+        request: Number of the request.
+        deadline: The deadline with which the request was added.
 
     Returns:
-        Whether it was waiting.
+        Whether the request was waiting.
     """
     queue = waiting.queues.get(service, {}).get(team)
     if queue is None or request not in queue.arrivals:
@@ -154,16 +166,16 @@
 def _drop_queue(waiting: WaitingQueues, service: str, team: str) -> None:
     teams = waiting.queues[service]
     del teams[team]
-    waiting.count -= 1
+    waiting.queue_count -= 1
     if not teams:
         del waiting.queues[service]
 
 
 def pop_earliest(waiting: WaitingQueues, service: str, team: str) -> int | None:
-    """Takes out the team's request with the earliest deadline.
+    """Removes the team's request with the earliest deadline.
 
     Returns:
-        The request, or None if the team has nothing waiting.
+        The request's number, or None if no request of the team waits.
     """
     queue = waiting.queues.get(service, {}).get(team)
     if queue is None:
@@ -174,10 +186,10 @@
 
 
 def peek_newest(waiting: WaitingQueues, service: str, team: str) -> int | None:
-    """Finds the team's request that came last.
+    """Returns the team's request that arrived last, without removing it.
 
     Returns:
-        The request, or None if the team has nothing waiting.
+        The request's number, or None if no request of the team waits.
     """
     queue = waiting.queues.get(service, {}).get(team)
     return next(reversed(queue.arrivals)) if queue else None
@@ -192,7 +204,7 @@
 def count_requests_ahead(
     waiting: WaitingQueues, service: str, team: str, deadline: float
 ) -> int:
-    """Counts a team's waiting requests that go before a new one.
+    """Counts a team's waiting requests that leave before a new one.
 
     Args:
         waiting: The queues.
@@ -201,7 +213,7 @@
         deadline: The new request's deadline.
 
     Returns:
-        Requests whose deadline is not later.
+        Number of requests whose deadline is not later.
     """
     queue = waiting.queues.get(service, {}).get(team)
     if queue is None:
@@ -212,7 +224,7 @@
 def list_deadlines(
     waiting: WaitingQueues, service: str, team: str
 ) -> list[tuple[float, int]]:
-    """Lists a team's waiting requests as (deadline, request), in order."""
+    """Lists (deadline, request) of a team's requests, sorted by deadline."""
     queue = waiting.queues.get(service, {}).get(team)
     return list(queue.deadlines) if queue else []
 
@@ -220,41 +232,41 @@
 def get_oldest_arrival(
     waiting: WaitingQueues, service: str, team: str
 ) -> float | None:
-    """Tells when the team's oldest waiting request arrived."""
+    """Returns the arrival time of the team's oldest request, or None."""
     queue = waiting.queues.get(service, {}).get(team)
     return next(iter(queue.arrivals.values())) if queue else None
 
 
 def find_longest_queue(waiting: WaitingQueues) -> tuple[str, str] | None:
-    """Finds the service and team with the most requests waiting by weight.
+    """Finds the queue with the most requests in proportion to its weight.
 
-    An entry at the top of the order that is longer than its queue is now is
-    put right and sinks; no queue can be longer than its own entry, so the
-    first entry that is true is the longest. Each entry sinks at most as often
-    as requests left its queue, so a call costs little however many teams
-    have work waiting.
+    If the top entry of the heap is longer than its queue is now, the entry is
+    corrected and sifted down. No queue is longer than its longest entry, so
+    the first correct entry at the top belongs to the longest queue. An entry
+    is corrected at most as often as requests left its queue. The amortized
+    cost of a call is thus low, however many teams have waiting requests.
 
     Args:
-        waiting: The queues; only the order by length is put right.
+        waiting: The queues; only outdated heap entries are changed.
 
     Returns:
-        Service and team, or None if nothing waits.
+        Service and team, or None if no request waits.
     """
-    while waiting.lengths:
-        length, service, team = waiting.lengths[0]
+    while waiting.length_heap:
+        length, service, team = waiting.length_heap[0]
         queue = waiting.queues.get(service, {}).get(team)
         if queue is None:
-            heapq.heappop(waiting.lengths)
+            heapq.heappop(waiting.length_heap)
             continue
-        true = _measure_queue(queue)
+        true = _compute_heap_key(queue)
         if length >= true:
             return service, team
-        heapq.heapreplace(waiting.lengths, (true, service, team))
+        heapq.heapreplace(waiting.length_heap, (true, service, team))
     return None
 
 
 def list_queues(waiting: WaitingQueues) -> list[tuple[str, str]]:
-    """Lists (service, team) of all queues that hold requests."""
+    """Lists (service, team) of all nonempty queues."""
     return [
         (service, team)
         for service, teams in waiting.queues.items()
--- a/sycamorefall/sharing/team_selection.py
+++ b/sycamorefall/sharing/team_selection.py
@@ -1,4 +1,9 @@
-"""The choice of the team that is served next."""
+"""Selection of the team that is served next, by least received service.
+
+Each sidecar selects the waiting team with the lowest order key. The keys act
+as the virtual times of a fair queue: charges raise them, and a team that
+starts to wait is raised to the floor, the highest minimum seen so far.
+"""
 
 __all__ = [
     "FairnessState",
@@ -13,25 +18,28 @@
 
 from sycamorefall.sharing import accounts as accounts_module
 
-Weigh = Callable[[str], float]
-"""Gives a team's weight."""
+WeightLookup = Callable[[str], float]
+"""Function that returns a team's weight."""
+
+SWEEP_SIZE = 256
+"""Accounts checked per call of `drop_idle_accounts`."""
 
-SWEEP = 256
-"""Accounts looked at in one go when those of idle teams are dropped."""
+MIN_IDLE_SWEEPS = 20
+"""Successive sweeps without a change before an account is dropped.
 
-QUIET_SWEEPS = 20
-"""Sweeps without a change after which a team is idle: 10 s or more."""
+They take 10 seconds or more.
+"""
 
 
 @dataclasses.dataclass(slots=True)
 class FairnessState:
-    """State of the choice at one service.
+    """State of the team selection at one service.
 
     Attributes:
-        floor: Least order key among waiting teams, when last looked at;
-            never falls.
+        floor: Highest minimum so far of the waiting teams' order keys;
+            never decreases.
         max_lead: Cost units by which a waiting team may be ahead of another;
-            see `limit_lead`.
+            see `_limit_lead`.
     """
 
     floor: float = 0.0
@@ -42,26 +50,29 @@
     fairness: FairnessState,
     accounts: accounts_module.ServiceAccounts,
     waiting: Collection[str],
-    weigh: Weigh,
+    find_weight: WeightLookup,
 ) -> str | None:
-    """Chooses the waiting team that received least.
+    """Chooses the waiting team with the lowest order key.
 
     Args:
-        fairness: State of the choice; its floor may rise.
-        accounts: The service's accounts; teams far behind may be lifted.
-        waiting: Teams with work waiting.
-        weigh: Gives a team's weight.
+        fairness: State of the selection; its floor may rise.
+        accounts: The service's accounts; the keys of teams that are behind
+            by more than the maximum lead are raised.
+        waiting: Teams with waiting requests.
+        find_weight: Returns a team's weight.
 
     Returns:
-        The team, or None if none waits.
+        The team, or None if no team has waiting requests.
     """
     if not waiting:
         return None
     keys = {
-        team: accounts_module.compute_order_key(accounts, team, weigh(team))
+        team: accounts_module.compute_order_key(
+            accounts, team, find_weight(team)
+        )
         for team in waiting
     }
-    _limit_lead(fairness, accounts, keys, weigh)
+    _limit_lead(fairness, accounts, keys, find_weight)
     least = min(keys.values())
     fairness.floor = max(fairness.floor, least)
     return min(keys, key=lambda team: (keys[team], team))
@@ -71,23 +82,23 @@
     fairness: FairnessState,
     accounts: accounts_module.ServiceAccounts,
     keys: dict[str, float],
-    weigh: Weigh,
+    find_weight: WeightLookup,
 ) -> None:
-    """Lifts the teams that are further behind than the horizon.
+    """Raises the keys of teams that are behind by more than the maximum lead.
 
-    Guards against a team that was served alone during a partition and would
-    then be shut out until all others have caught up with it, for as long as
-    the partition lasted times the number of teams. What the others are
-    behind by more than the horizon is forgiven, so the leader pays back at
-    most the horizon.
+    A team that was served alone during a partition would otherwise not be
+    served until all others have caught up with it, which takes the duration
+    of the partition times the number of teams. The part of the lead beyond
+    the maximum is forgiven, so that the leading team waits only until the
+    others have received the maximum lead.
     """
     top, leader = max((key, team) for team, key in keys.items())
-    ceiling = top - fairness.max_lead / weigh(leader)
+    ceiling = top - fairness.max_lead / find_weight(leader)
     behind = [team for team, key in keys.items() if key < ceiling]
     for team in behind:
-        _lift_to(accounts, team, ceiling, weigh(team))
+        _raise_local_key(accounts, team, ceiling, find_weight(team))
         keys[team] = accounts_module.compute_order_key(
-            accounts, team, weigh(team)
+            accounts, team, find_weight(team)
         )
 
 
@@ -97,71 +108,78 @@
     team: str,
     weight: float,
 ) -> None:
-    """Lifts a team that was idle to the floor.
+    """Raises the order key of a team that was idle to the floor.
 
-    Without the lift a team could save up service while idle and then shut
-    the others out until it has caught up. A team without an account begins
-    to count at the floor, for all sidecars; any other is lifted in the eyes
-    of this one alone, as its account may hold service not yet heard of.
+    Without this a team could accumulate credit while idle and then keep the
+    others from being served until it has caught up. A team without an
+    account starts at the floor, for all sidecars. The key of any other team
+    is raised only at this sidecar, as the team may have received service
+    from other sidecars that this one doesn't know of yet.
 
     Args:
-        fairness: State of the choice.
+        fairness: State of the selection.
         accounts: The service's accounts; changed.
-        team: A team whose work begins to wait.
+        team: A team that had no waiting requests until now.
         weight: The team's weight.
     """
     if team not in accounts.teams:
         accounts_module.raise_offset(accounts, team, fairness.floor)
-    _lift_to(accounts, team, fairness.floor, weight)
+    _raise_local_key(accounts, team, fairness.floor, weight)
 
 
-def _lift_to(
+def _raise_local_key(
     accounts: accounts_module.ServiceAccounts,
     team: str,
     key: float,
     weight: float,
 ) -> None:
-    """Lifts a team's order key in the eyes of this sidecar."""
+    """Raises a team's order key to at least a value, at this sidecar only."""
     account = accounts.teams.setdefault(team, accounts_module.Account())
     current = accounts_module.compute_order_key(accounts, team, weight)
-    account.lift += max(0.0, key - current)
+    account.local_offset += max(0.0, key - current)
 
 
 def drop_idle_accounts(
     fairness: FairnessState,
     accounts: accounts_module.ServiceAccounts,
     waiting: Collection[str],
-    weigh: Weigh,
+    find_weight: WeightLookup,
     max_entries: int,
 ) -> None:
-    """Drops accounts that say nothing, a part of them at each call.
+    """Drops accounts that no longer matter; checks a part of them per call.
 
-    A team without work whose order key is not above the floor will be lifted
-    to the floor when it returns, whatever its account says. It must have
-    been at rest for a while: what is dropped voids the others' entries when
-    the team returns, those too that are still on their way. Accounts of
-    teams that always have work are counted anew when they hold the entries
-    of many processes that are gone.
+    When an idle team whose order key is not above the floor returns, its key
+    is raised to the floor, whatever its account contains. Its account may be
+    dropped once it has not changed for `MIN_IDLE_SWEEPS`. The delay matters:
+    when the team returns, its new offset discards the entries of all other
+    sidecars, including those still in transit.
+
+    Accounts of teams that are never idle restart from a new offset when they
+    hold too many entries, as these mostly belong to processes that ended.
 
     Args:
-        fairness: State of the choice.
+        fairness: State of the selection.
         accounts: The service's accounts; changed.
-        waiting: Teams with work waiting.
-        weigh: Gives a team's weight.
-        max_entries: Entries that an account may hold.
+        waiting: Teams with waiting requests.
+        find_weight: Returns a team's weight.
+        max_entries: Number of entries that an account may hold.
     """
-    for team in list(itertools.islice(accounts.teams, SWEEP)):
+    for team in list(itertools.islice(accounts.teams, SWEEP_SIZE)):
         account = accounts.teams.pop(team)
         accounts.teams[team] = account
         reserved = accounts_module.compute_reserved(accounts, team)
-        is_quiet = account.total == account.swept_total and reserved < 1.0
-        is_quiet = is_quiet and team not in waiting
-        account.quiet = account.quiet + 1 if is_quiet else 0
-        account.swept_total = account.total
-        key = accounts_module.compute_order_key(accounts, team, weigh(team))
-        if account.quiet >= QUIET_SWEEPS and key <= fairness.floor:
+        is_idle = (
+            account.total == account.total_at_last_sweep and reserved < 1.0
+        )
+        is_idle = is_idle and team not in waiting
+        account.idle_sweeps = account.idle_sweeps + 1 if is_idle else 0
+        account.total_at_last_sweep = account.total
+        key = accounts_module.compute_order_key(
+            accounts, team, find_weight(team)
+        )
+        if account.idle_sweeps >= MIN_IDLE_SWEEPS and key <= fairness.floor:
             accounts_module.drop_account(accounts, team)
         elif len(account.entries) > max_entries:
             accounts_module.raise_offset(
-                accounts, team, key - reserved / weigh(team)
+                accounts, team, key - reserved / find_weight(team)
             )
--- a/sycamorefall/sharing/tests/test_accounts.py
+++ b/sycamorefall/sharing/tests/test_accounts.py
@@ -1,4 +1,4 @@
-"""Accounts: the same state whatever becomes of the messages."""
+"""Service accounts converge whichever messages are lost or reordered."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -22,27 +22,27 @@
     st.sampled_from(TEAMS),
     st.integers(0, 500),
 )
-lifts = st.tuples(
-    st.just("lift"),
+offset_raises = st.tuples(
+    st.just("raise"),
     st.integers(0, OWNERS - 1),
     st.sampled_from(TEAMS),
     st.integers(0, 2000),
 )
-sendings = st.tuples(
+deliveries = st.tuples(
     st.just("send"),
     st.integers(0, OWNERS - 1),
     st.integers(0, OWNERS - 1),
     st.integers(0, 50),
 )
-steps = st.lists(st.one_of(charges, reservations, lifts, sendings))
+steps = st.lists(st.one_of(charges, reservations, offset_raises, deliveries))
 
 
 def create_views(count=OWNERS):
     return [sharing.ServiceAccounts(f"engine-{i}/1") for i in range(count)]
 
 
-def take_step(views, past, step):
-    """Takes one step; sendings deliver some earlier entries, in any order."""
+def execute_step(views, past, step):
+    """Executes a step; a "send" delivers earlier entries in any order."""
     kind, owner, second, amount = step
     view = views[owner]
     match kind:
@@ -50,7 +50,7 @@
             sharing.charge_team(view, second, float(amount))
         case "reserve":
             sharing.reserve_units(view, second, float(amount))
-        case "lift":
+        case "raise":
             accounts_module.raise_offset(view, second, float(amount))
         case "send":
             chosen = past[amount % (len(past) + 1) :][:3]
@@ -66,15 +66,15 @@
 
 
 @hypothesis.given(steps)
-def test_loss_repetition_and_any_order_lead_to_the_same_accounts(taken):
+def test_accounts_converge_under_loss_repetition_and_reordering(steps_taken):
     views, past = create_views(), []
-    for step in taken:
-        take_step(views, past, step)
-    # A sidecar that adopts a higher offset restates its work in flight, so
-    # the news takes a second round.
+    for step in steps_taken:
+        execute_step(views, past, step)
+    # A sidecar that adopts a higher offset updates its own entry with its
+    # work in flight, which takes a second round to reach the others.
     exchange_all(views)
     exchange_all(views)
-    # Whatever was under way all the time arrives last, and again.
+    # All earlier messages arrive again, delayed.
     for view in views:
         sharing.merge_entries(view, reversed(past))
     for team in TEAMS:
@@ -83,14 +83,14 @@
 
 
 @hypothesis.given(steps)
-def test_keys_and_totals_always_add_up(taken):
+def test_offsets_never_decrease_and_totals_match_entries(steps_taken):
     views, past = create_views(), []
-    for step in taken:
+    for step in steps_taken:
         before = [
             {team: account.offset for team, account in view.teams.items()}
             for view in views
         ]
-        take_step(views, past, step)
+        execute_step(views, past, step)
         for view, offsets in zip(views, before, strict=True):
             for team, account in view.teams.items():
                 assert account.offset >= offsets.get(team, 0.0)
@@ -100,7 +100,7 @@
                 assert account.total == pytest.approx(sum(units))
 
 
-def test_two_lifts_at_once_do_not_lift_twice():
+def test_concurrent_offset_raises_do_not_add_up():
     one, other = create_views(2)
     for view in (one, other):
         accounts_module.raise_offset(view, "mill-a", 100.0)
@@ -108,10 +108,11 @@
     assert sharing.compute_order_key(one, "mill-a", 1.0) == 100.0
 
 
-def test_lift_from_a_stale_view_does_not_reach_other_sidecars():
-    # A mill's clerk sees every answer late for minutes after a quiet moment:
-    # one sidecar served the mill, another hadn't heard of all of it and
-    # lifted the mill, for all sidecars, on top of what it had received.
+def test_raise_from_outdated_accounts_stays_at_its_sidecar():
+    # A sidecar that doesn't know of all service that a team received raises
+    # the team to the floor. If this applied to all sidecars, it would add to
+    # the service received, and the team's requests would be late for minutes
+    # after a short idle time.
     served, unaware = create_views(2)
     sharing.charge_team(served, "mill-a", 100.0)
     exchange_all([served, unaware])
@@ -136,7 +137,7 @@
         assert sharing.compute_order_key(view, "new", 2.0) == 1000.0
 
 
-def test_work_in_flight_outlasts_a_higher_offset():
+def test_reserved_units_survive_a_higher_offset():
     busy, raising = create_views(2)
     sharing.reserve_units(busy, "mill-a", 50.0)
     exchange_all([busy, raising])
@@ -147,9 +148,10 @@
         assert sharing.compute_order_key(view, "mill-a", 1.0) == 1050.0
 
 
-def test_dropped_account_comes_back_with_entries_that_others_take():
-    # A sidecar forgets an idle team, which returns: were its entry numbered
-    # from 1 again, siblings would hold it for old and not see the service.
+def test_entries_of_an_account_created_again_are_accepted():
+    # A sidecar drops the account of an idle team, which then returns. If the
+    # sequence restarted from 1, siblings would ignore the entry as outdated
+    # and miss the service.
     own, other = create_views(2)
     for _ in range(5):
         sharing.charge_team(own, "mill-a", 10.0)
--- a/sycamorefall/sharing/tests/test_demand.py
+++ b/sycamorefall/sharing/tests/test_demand.py
@@ -1,4 +1,4 @@
-"""A sidecar's view of the work that waits."""
+"""Waiting requests at the routers, as a sidecar knows them."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -22,7 +22,7 @@
 
 
 @given(st.lists(STEPS, max_size=30))
-def test_total_and_holders_agree_with_the_routers_counts(steps):
+def test_total_and_router_names_match_the_counts_by_router(steps):
     demand = sharing.Demand()
     for sequence, (kind, router, *rest) in enumerate(steps, 1):
         if kind == "announce":
--- a/sycamorefall/sharing/tests/test_queues.py
+++ b/sycamorefall/sharing/tests/test_queues.py
@@ -1,4 +1,4 @@
-"""Queues of waiting requests against a plain model of them."""
+"""Queues of waiting requests, compared with a simple model."""
 
 import hypothesis
 from hypothesis import strategies
@@ -19,7 +19,7 @@
 
 
 @hypothesis.given(EVENTS)
-def test_queues_agree_with_a_plain_model(events):
+def test_queues_match_a_simple_model(events):
     waiting = queues.WaitingQueues()
     model = {}
     popped = {}
@@ -50,7 +50,7 @@
         earlier = sum(until <= deadline for until in mine.values())
         assert queues.count_requests_ahead(waiting, *key, deadline) == earlier
         assert waiting.total == sum(map(len, model.values()))
-        assert waiting.count == sum(map(bool, model.values()))
+        assert waiting.queue_count == sum(map(bool, model.values()))
         measures = {k: len(m) / TEAMS[k[1]] for k, m in model.items() if m}
         longest = queues.find_longest_queue(waiting)
         if not measures:
@@ -59,28 +59,31 @@
             assert measures[longest] == max(measures.values())
 
 
-def test_longest_queue_is_found_without_looking_at_all(monkeypatch):
-    """A router full of work looked at all 3,100 backlogged teams a request.
+def test_longest_queue_is_found_without_measuring_all_queues(monkeypatch):
+    """A full router compared the queues of all 3,100 teams for each request.
 
-    Callers saw every request take milliseconds just when the router was
-    busiest. Counted are the queues measured, not the time.
+    Every request took milliseconds just when the router was busiest. The test
+    counts the queues whose length is computed, not the time.
     """
     waiting = queues.WaitingQueues()
     for number in range(6200):
         team = f"team-{number % 3100}"
         queues.add_request(waiting, "a", team, number, 0.0, 1.0)
     measured = []
-    measure = queues._measure_queue
+    compute = queues._compute_heap_key
     monkeypatch.setattr(
         queues,
-        "_measure_queue",
-        lambda queue: measured.append(1) or measure(queue),
+        "_compute_heap_key",
+        lambda queue: measured.append(1) or compute(queue),
     )
     for number in range(7000, 8000):
         queues.add_request(waiting, "a", "flood", number, 0.0, 1.0)
         service, team = queues.find_longest_queue(waiting)
         newest = queues.peek_newest(waiting, service, team)
         queues.remove_request(waiting, service, team, newest, 1.0)
-    # Once in the thousand the order by length is built anew, over all.
+    # Once per thousand requests the heap is rebuilt from all queues.
     assert len(measured) < 1000 * 6 + 2 * 3101
-    assert len(waiting.lengths) <= 2 * waiting.count + queues.SPARE_ENTRIES + 1
+    assert (
+        len(waiting.length_heap)
+        <= 2 * waiting.queue_count + queues.MAX_STALE_ENTRIES + 1
+    )
--- a/sycamorefall/sharing/tests/test_team_selection.py
+++ b/sycamorefall/sharing/tests/test_team_selection.py
@@ -1,4 +1,4 @@
-"""The choice of the next team: nobody starves, nobody saves up service."""
+"""Team selection: no team starves, and idle teams accumulate no credit."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -20,8 +20,8 @@
 def test_no_backlogged_team_starves_under_any_flood(
     costs, sidecars, exchange, flood
 ):
-    # A small mill waits without end while a large member floods: the choice
-    # must come back to the mill, however costs fall and accounts lag.
+    # A small team waits while others flood the service. It must be selected
+    # regularly, whatever the costs are and however late accounts arrive.
     views = [sharing.ServiceAccounts(f"engine-{i}/1") for i in range(sidecars)]
     states = [sharing.FairnessState() for _ in views]
     teams = ["mill", *(f"flood-{i}" for i in range(flood))]
@@ -39,14 +39,15 @@
                 entries = sharing.list_entries(view, view.teams)
                 for other in views:
                     sharing.merge_entries(other, entries)
-        # What can pass unseen is one largest request per sidecar and what
-        # is chosen between two exchanges; each may cost 100 times the least.
+        # Not yet known to the other sidecars may be one request of the
+        # largest cost per sidecar, and those selected between two exchanges.
+        # Each may cost 100 times as much as the smallest.
         unseen = 100 * (sidecars + exchange)
         assert max(served.values()) - min(served.values()) <= 2 * unseen
         assert max(since.values()) <= 2 * unseen * len(teams)
 
 
-def test_team_that_was_idle_has_not_saved_up_service():
+def test_idle_team_accumulates_no_credit():
     accounts = sharing.ServiceAccounts("engine-1/1")
     fairness = sharing.FairnessState()
     for _ in range(100):
@@ -60,10 +61,10 @@
     assert turns.count("a") == turns.count("idle") == 10
 
 
-def test_team_far_ahead_after_a_partition_pays_back_at_most_the_horizon():
-    # A partition leaves one member alone with half of the upstreams. When it
-    # heals, that member's clerks must not wait until every other team has
-    # caught up with all it got meanwhile.
+def test_team_ahead_after_a_partition_waits_for_at_most_the_max_lead():
+    # During a partition one team alone is served by half of the upstreams.
+    # Afterwards the team must not wait until every other team has received
+    # as much.
     accounts = sharing.ServiceAccounts("engine-1/1")
     fairness = sharing.FairnessState(max_lead=500.0)
     sharing.charge_team(accounts, "ahead", 1_000_000.0)
@@ -75,7 +76,7 @@
     assert 500 / 10 <= turns.count("mill-a") <= 500 / 10 + 1
 
 
-def test_lead_within_the_horizon_is_paid_back_in_full():
+def test_lead_within_the_maximum_is_not_forgiven():
     accounts = sharing.ServiceAccounts("engine-1/1")
     fairness = sharing.FairnessState(max_lead=500.0)
     sharing.charge_team(accounts, "ahead", 400.0)
@@ -83,7 +84,7 @@
     assert sharing.compute_order_key(accounts, "mill", 1.0) == 0.0
 
 
-def test_horizon_follows_the_costs_seen():
+def test_max_lead_follows_the_recorded_costs():
     seen = sharing.CostEstimates()
     assert cost_estimates.compute_max_lead(seen) == float("inf")
     sharing.record_cost(seen, "mill-a", 20.0)
@@ -99,14 +100,15 @@
 
 
 def test_accounts_of_idle_teams_are_dropped_and_others_kept():
-    # Memory grows for weeks, as each of 31,000 teams has called once.
+    # Otherwise memory grows for weeks: each of 31,000 teams that ever called
+    # would keep an account.
     accounts = sharing.ServiceAccounts("engine-1/1")
     for number in range(1000):
         sharing.charge_team(accounts, f"team-{number}", 10.0)
     sharing.charge_team(accounts, "ahead", 900.0)
     sharing.reserve_units(accounts, "in-flight", 5.0)
     fairness = sharing.FairnessState(floor=100.0)
-    rounds = -(-len(accounts.teams) // team_selection.SWEEP)
+    rounds = -(-len(accounts.teams) // team_selection.SWEEP_SIZE)
     sweep(fairness, accounts, {"team-7"}, times=rounds * 10)
     assert len(accounts.teams) > 900
     sweep(fairness, accounts, {"team-7"}, times=rounds * 15)
@@ -114,14 +116,14 @@
     assert accounts.unsent == accounts.teams.keys()
 
 
-def test_entries_of_processes_that_are_gone_do_not_pile_up():
-    # A team that always has work is never idle: each restart of a sidecar
-    # would leave one more entry in its account for ever.
+def test_entries_of_ended_processes_do_not_accumulate():
+    # The account of a team that is never idle isn't dropped. Each restart of
+    # a sidecar would leave one more entry in it permanently.
     accounts = sharing.ServiceAccounts("engine-1/1")
     for number in range(30):
-        gone = sharing.ServiceAccounts(f"engine-2/{number}")
-        sharing.charge_team(gone, "busy", 10.0)
-        sharing.merge_entries(accounts, sharing.list_entries(gone, ["busy"]))
+        ended = sharing.ServiceAccounts(f"engine-2/{number}")
+        sharing.charge_team(ended, "busy", 10.0)
+        sharing.merge_entries(accounts, sharing.list_entries(ended, ["busy"]))
     sharing.reserve_units(accounts, "busy", 5.0)
     before = sharing.compute_order_key(accounts, "busy", 1.0)
     sweep(sharing.FairnessState(), accounts, {"busy"})
@@ -129,9 +131,9 @@
     assert sharing.compute_order_key(accounts, "busy", 1.0) == before
 
 
-def test_costs_of_teams_not_seen_for_long_are_forgotten():
+def test_costs_of_the_teams_served_longest_ago_are_evicted():
     seen = sharing.CostEstimates()
-    for number in range(cost_estimates.MOST_TEAMS + 5):
+    for number in range(cost_estimates.MAX_TEAMS + 5):
         sharing.record_cost(seen, f"team-{number}", 10.0)
-    assert len(seen.teams) == cost_estimates.MOST_TEAMS
+    assert len(seen.teams) == cost_estimates.MAX_TEAMS
     assert "team-0" not in seen.teams
