--- a/sycamorefall/configuration/__init__.py
+++ b/sycamorefall/configuration/__init__.py
@@ -1,4 +1,9 @@
-"""The operators' text: parsing, checking, versions, spreading."""
+"""The fleet configuration that operators publish as text on the platform.
+
+Parses and validates the text, decides which revision is in force, splits
+published values into blocks that peers exchange, and schedules the reads of the
+platform.
+"""
 
 __all__ = [
     "Block",
--- a/sycamorefall/configuration/documents.py
+++ b/sycamorefall/configuration/documents.py
@@ -1,7 +1,8 @@
-"""Published values as documents: ordered, and cut into blocks by content.
+"""Versioned documents that hold published values and consist of blocks.
 
-A process fetches from a peer only the blocks that it does not hold yet, so
-a change of one section costs a few kilobytes and not the whole value.
+A document is split into content-defined blocks. A process fetches from a peer
+only the blocks that it doesn't hold yet, so a change of one section transfers a
+few kilobytes instead of the whole value.
 """
 
 __all__ = [
@@ -25,22 +26,22 @@
 import msgspec
 
 MEAN_BLOCK_SECTIONS = 32
-"""Sections in a block, on average."""
+"""Average number of sections in a block."""
 
 MAX_BLOCK_SECTIONS = 256
-"""Sections after which a block ends in any case."""
+"""Maximum number of sections in a block."""
 
 _SECTION_STARTS = ("[", "{")
 
 
 class DocumentKind(enum.Enum):
-    """What a document is.
+    """Type of a document.
 
-    TEXT: the operators' text in force.
-    REFUSED: the newest text that was found bad.
-    VMS: the list of VMs, one JSON object a line.
-    RIVAL: a text that lost to the one in force under the same revision; only
-        its head is passed on.
+    TEXT: the configuration text in force.
+    REFUSED: the newest configuration text that failed validation.
+    VMS: the list of VMs, one JSON object per line.
+    RIVAL: a configuration text with the revision of the one in force and a
+        lower digest, so it isn't used. Processes exchange only its head.
     """
 
     TEXT = "text"
@@ -50,19 +51,24 @@
 
 
 class Block(msgspec.Struct, frozen=True, array_like=True):
-    """A run of whole sections and the hash that names it."""
+    """Consecutive whole sections of a document.
+
+    Attributes:
+        name: Hash of the text, which identifies the block.
+        text: The sections.
+    """
 
     name: str
     text: str
 
 
 class Document(msgspec.Struct, frozen=True):
-    """A published value.
+    """A value that the platform published, at one revision.
 
     Attributes:
-        revision: The platform's revision of it.
+        revision: Revision that the platform gave to the value.
         digest: Hash of the whole value.
-        blocks: The value, cut at section boundaries.
+        blocks: Blocks whose concatenated texts are the value.
     """
 
     revision: int
@@ -71,23 +77,23 @@
 
     @property
     def key(self) -> tuple[int, str]:
-        """Orders documents of a kind, the same way at every process.
+        """Sort key that orders documents of one kind by age.
 
-        Guards against two values under one revision, from operators who race
-        or from a platform that was split: half of the fleet would keep one
-        and half the other. The digest decides between them, and it is the
-        same wherever it is computed.
+        Two values may have the same revision, if operators publish at the
+        same time or the platform was partitioned. Without a tie-break each
+        process would keep the value that it saw first, and the fleet would
+        disagree. The digest breaks the tie in the same way at every process.
         """
         return self.revision, self.digest
 
     @property
     def text(self) -> str:
-        """The whole value."""
+        """The whole value, joined from its blocks."""
         return "".join(block.text for block in self.blocks)
 
 
 class DocumentHead(msgspec.Struct, frozen=True, array_like=True):
-    """What orders a document, without its content."""
+    """Kind, revision and digest of a document, without its content."""
 
     kind: DocumentKind
     revision: int
@@ -95,12 +101,12 @@
 
     @property
     def key(self) -> tuple[int, str]:
-        """Orders like the document's own key."""
+        """The same sort key as that of the document."""
         return self.revision, self.digest
 
 
 class Manifest(msgspec.Struct, frozen=True, array_like=True):
-    """A document's head and the names of its blocks, in order."""
+    """Head of a document and the names of its blocks, in order."""
 
     head: DocumentHead
     blocks: tuple[str, ...]
@@ -110,7 +116,7 @@
     r"""Creates a document from a published value.
 
     Args:
-        revision: The platform's revision.
+        revision: Revision that the platform gave to the value.
         text: The value.
 
     Returns:
@@ -129,17 +135,17 @@
 
 
 def split_blocks(text: str) -> tuple[Block, ...]:
-    r"""Cuts a value into blocks whose boundaries depend on content alone.
+    r"""Splits a value into blocks by content-defined chunking.
 
-    A block ends before a section whose own hash says so, in one of
-    `MEAN_BLOCK_SECTIONS` cases; an inserted section therefore moves no boundary
-    but the nearest ones, and all other blocks keep their names.
+    A section starts a new block if its hash is a multiple of
+    `MEAN_BLOCK_SECTIONS`. An inserted section therefore moves only the nearest
+    boundaries, and all other blocks keep their names.
 
     Args:
-        text: INI text, or one JSON object a line.
+        text: INI text, or one JSON object per line.
 
     Returns:
-        The blocks; joined they are the text.
+        Blocks whose concatenated texts are `text`.
 
     Example:
         >>> [block.text for block in split_blocks("[a]\nx = 1\n")]
@@ -148,8 +154,10 @@
     blocks: list[str] = []
     current: list[str] = []
     for section in _split_sections(text):
-        ends = int(_hash_text(section, 4), 16) % MEAN_BLOCK_SECTIONS == 0
-        if current and (ends or len(current) >= MAX_BLOCK_SECTIONS):
+        starts_block = (
+            int(_hash_text(section, 4), 16) % MEAN_BLOCK_SECTIONS == 0
+        )
+        if current and (starts_block or len(current) >= MAX_BLOCK_SECTIONS):
             blocks.append("".join(current))
             current = []
         current.append(section)
@@ -168,7 +176,7 @@
 
 
 def create_manifest(kind: DocumentKind, document: Document) -> Manifest:
-    """Lists a document's blocks by name."""
+    """Creates the manifest of a document: its head and its blocks' names."""
     head = DocumentHead(kind, document.revision, document.digest)
     return Manifest(head, tuple(block.name for block in document.blocks))
 
@@ -176,7 +184,15 @@
 def list_missing_blocks(
     manifest: Manifest, held: Iterable[Block]
 ) -> tuple[str, ...]:
-    """Lists the blocks of a manifest that are not among the held ones."""
+    """Lists the blocks of a manifest that a process doesn't hold.
+
+    Args:
+        manifest: Manifest of the document.
+        held: Blocks that the process holds.
+
+    Returns:
+        Names of the missing blocks, each once, in the manifest's order.
+    """
     known = {block.name for block in held}
     return tuple(
         dict.fromkeys(name for name in manifest.blocks if name not in known)
@@ -186,23 +202,23 @@
 def assemble_document(
     manifest: Manifest, held: Iterable[Block]
 ) -> Document | None:
-    """Builds a document from blocks.
+    """Assembles a document from blocks and verifies its digest.
 
-    Guards against a peer that took a newer value between its manifest and
-    its blocks, and against damage on the way: the result is kept only if its
-    digest is the manifest's.
+    The peer may have replaced the document between sending its manifest and
+    its blocks, or data may have been damaged in transit. The digest of the
+    assembled text detects both.
 
     Args:
-        manifest: What the document consists of.
-        held: Blocks held before and fetched now.
+        manifest: Manifest of the document.
+        held: Blocks that the process holds or has just fetched.
 
     Returns:
-        The document, or None if blocks are missing or don't fit.
+        The document, or None if blocks are missing or the digest differs.
     """
     known = {block.name: block for block in held}
     if not all(name in known for name in manifest.blocks):
         return None
     blocks = tuple(known[name] for name in manifest.blocks)
     document = Document(manifest.head.revision, manifest.head.digest, blocks)
-    is_whole = _hash_text(document.text, 16) == document.digest
-    return document if is_whole else None
+    is_intact = _hash_text(document.text, 16) == document.digest
+    return document if is_intact else None
--- a/sycamorefall/configuration/ini_reader.py
+++ b/sycamorefall/configuration/ini_reader.py
@@ -1,4 +1,4 @@
-"""Reading of an operators' text as INI; a fault names its line."""
+"""Reads a configuration text as INI and reports errors with line numbers."""
 
 __all__ = ["check_unicode", "read_ini"]
 
@@ -8,16 +8,16 @@
 
 
 def read_ini(text: str) -> configparser.ConfigParser:
-    """Reads sections and options.
+    """Reads the sections and options of a text.
 
     Args:
         text: INI text.
 
     Returns:
-        The sections.
+        A parser that holds the sections.
 
     Raises:
-        errors.ConfigurationRefused: The text is not INI.
+        errors.ConfigurationRefused: The text is not valid INI.
     """
     parser = configparser.ConfigParser(interpolation=None, default_section="")
     try:
@@ -42,9 +42,13 @@
 
 
 def check_unicode(text: str) -> None:
-    """Refuses half of a surrogate pair, which no codec down the line takes."""
+    """Refuses a text with a lone surrogate, which UTF-8 can't encode.
+
+    Raises:
+        errors.ConfigurationRefused: The text holds a lone surrogate.
+    """
     try:
         text.encode("utf-8")
     except UnicodeEncodeError as fault:
         line = text.count("\n", 0, fault.start) + 1
-        raise errors.ConfigurationRefused(line, "not Unicode") from fault
+        raise errors.ConfigurationRefused(line, "not valid Unicode") from fault
--- a/sycamorefall/configuration/polling.py
+++ b/sycamorefall/configuration/polling.py
@@ -1,8 +1,10 @@
-"""When a process reads the platform: as a watch, as a slow poll, backed off.
+"""Schedules the reads of the platform: watches, slow polls and backoff.
 
-The platform serves about 2,000 reads a second to the whole fleet, a waiting
-watch being one. So a few processes watch, chosen anew each epoch without
-any talk between them; the others learn from their peers and poll slowly.
+A watch is a long poll: a read that the platform holds open until the value
+changes or the wait ends. The platform serves about 2,000 reads per second to
+the whole fleet, and a watch counts as one. Therefore only a few processes
+watch. Each process computes by itself, anew in every epoch, which processes
+watch; the others learn of changes from their peers and poll slowly.
 """
 
 __all__ = [
@@ -26,34 +28,36 @@
 import random
 
 EPOCH_SECONDS = 300.0
-"""Seconds after which other processes watch."""
+"""Seconds after which the watching processes are chosen anew."""
 
 WATCH_WAIT = 30.0
-"""Seconds that a watch may wait for a change."""
+"""Seconds that the platform holds a watch open while nothing changes."""
 
 MAX_WATCH_PAUSE = 0.2
-"""Longest pause between two watches, in seconds."""
+"""Maximum pause between two watches, in seconds."""
 
 WATCH_START_SPREAD = 2.0
-"""Seconds over which new watchers begin."""
+"""Seconds over which the first reads of new watchers are spread."""
 
 INITIAL_BACKOFF = 2.0
-"""Seconds until the next read after a first failure, before jitter."""
+"""Seconds from a first failure to the next read, before jitter."""
 
 MAX_BACKOFF = 30.0
-"""Seconds until the next read after many failures, before jitter."""
+"""Maximum seconds from a failure to the next read, before jitter."""
 
 MAX_RETRY_AFTER = 120.0
-"""Most seconds that a platform's Retry-After is followed."""
+"""Maximum Retry-After of the platform that is honored, in seconds."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PlannedRead:
-    """A read to be sent.
+    """Parameters of a read that is about to be sent.
 
     Attributes:
-        after: Only a higher revision is wanted; None if any is.
-        wait: Seconds that the platform may wait for one.
+        after: The platform sends the value only if its revision is higher;
+            None if it sends the value in any case.
+        wait: Seconds that the platform waits for a higher revision before it
+            answers that there is none.
     """
 
     after: int | None
@@ -62,17 +66,18 @@
 
 @dataclasses.dataclass(slots=True)
 class ReadSchedule:
-    """When to read one value of the platform.
+    """State of the schedule by which one published value is read.
 
     Attributes:
         interval: Seconds between two polls, before jitter.
-        random: Source of the jitter.
-        next_read_at: When the next read is due.
-        watching: Whether this process holds a watch.
-        read_unconditionally: Whether the next read asks for the value in any
-            case.
-        skip_wait: Whether the next read is to be answered at once.
-        failures: Reads in a row that gave nothing usable.
+        random: Random number generator of the jitter.
+        next_read_at: Time at which the next read is due.
+        watching: Whether this process watches the value, instead of polling.
+        read_unconditionally: Whether the next read asks for the value even if
+            its revision is not higher than the known one.
+        skip_wait: Whether the platform answers the next read at once, also
+            while watching.
+        failures: Consecutive reads that failed or brought nothing useful.
     """
 
     interval: float
@@ -87,17 +92,18 @@
 def choose_watchers(names: Iterable[str], epoch: int, count: int) -> set[str]:
     """Chooses the VMs whose processes watch the platform in an epoch.
 
-    By rendezvous hashing, each process finds the same ones by itself. If
-    processes see different lists or epochs, a few more or fewer watch; slow
-    polls cover an epoch in which none does.
+    Rendezvous hashing gives the same result at each process without
+    communication. If processes have different VM lists or epochs, a few more
+    or fewer of them watch. If none watches in an epoch, the slow polls still
+    find changes.
 
     Args:
-        names: The live VMs.
+        names: Names of the live VMs.
         epoch: Number of the epoch.
-        count: How many are to watch.
+        count: Number of VMs to choose.
 
     Returns:
-        The chosen VMs.
+        Names of the chosen VMs.
 
     Example:
         >>> choose_watchers(["router-1"], 7, 4)
@@ -114,30 +120,32 @@
 def create_read_schedule(
     interval: float, start_spread: float, seed: int, now: float
 ) -> ReadSchedule:
-    """Creates a schedule whose first read comes at a random time.
+    """Creates a schedule whose first read is due at a random time.
 
-    Guards against a fleet that restarts at once: 1,280 processes would send
-    2,560 reads in the first instant, over the platform's 2,000 a second.
+    If the whole fleet restarts at the same time, its 1,280 processes would
+    otherwise send 2,560 reads at once, more than the 2,000 per second that
+    the platform serves.
 
     Args:
         interval: Seconds between two polls, before jitter.
-        start_spread: Seconds over which first reads are spread.
+        start_spread: Seconds over which the first reads are spread.
         seed: Seed of the jitter.
-        now: This process's time.
+        now: Current time, in seconds of this process's clock.
 
     Returns:
         The schedule.
     """
-    source = random.Random(seed)
-    first = now + source.uniform(0.0, start_spread)
-    return ReadSchedule(interval, source, first)
+    generator = random.Random(seed)
+    first_read_at = now + generator.uniform(0.0, start_spread)
+    return ReadSchedule(interval, generator, first_read_at)
 
 
 def set_watching(schedule: ReadSchedule, now: float, watching: bool) -> None:
-    """Makes a process watch in this epoch, or poll again.
+    """Switches a schedule between watching and polling.
 
-    A new watcher first reads the whole value: to a wait for more than the
-    revision in use, a platform that was set back would never answer.
+    A new watcher first reads the value unconditionally. If the platform was
+    restored to a lower revision, a watch for a revision higher than the known
+    one would never bring a value, and the rollback would stay unnoticed.
     """
     if watching and not schedule.watching:
         schedule.read_unconditionally = True
@@ -146,9 +154,11 @@
 
 
 def schedule_read_soon(schedule: ReadSchedule, now: float) -> None:
-    """Makes the next read due soon, unless it is backed off.
+    """Makes the next read due within `WATCH_START_SPREAD` seconds.
 
-    It doesn't wait for a change: what the platform shows now is in question.
+    While the schedule backs off, the due time stays. In either case the next
+    read doesn't wait for a change, as the caller wants to know the value that
+    the platform publishes now.
     """
     schedule.skip_wait = True
     if not schedule.failures:
@@ -157,14 +167,14 @@
 
 
 def plan_read(schedule: ReadSchedule, known: int) -> PlannedRead:
-    """Plans the read that is due.
+    """Computes the parameters of the read that is due.
 
     Args:
         schedule: The schedule.
-        known: Revision in use.
+        known: Revision of the value that this process knows; 0 if none.
 
     Returns:
-        What to ask for.
+        The parameters.
     """
     if schedule.read_unconditionally or not known:
         return PlannedRead(None, 0.0)
@@ -176,18 +186,19 @@
 def record_response(
     schedule: ReadSchedule, now: float, read: PlannedRead, useful: bool
 ) -> None:
-    """Plans on after an answer.
+    """Schedules the next read after the platform answered one.
 
-    Guards against a platform that answers watches at once with nothing new:
-    the next watch would follow at once, for ever. Only an answer that
-    brought something, or came after the wait, lets a watch follow closely.
+    The next watch follows closely only if the response was useful; otherwise
+    the schedule backs off as after a failure. A platform that answers watches
+    at once without a change would otherwise get an endless series of
+    immediate watches.
 
     Args:
         schedule: The schedule; changed.
-        now: This process's time.
+        now: Current time, in seconds of this process's clock.
         read: The read that was answered.
-        useful: Whether it was a first whole read, brought a higher revision,
-            or came after most of the wait.
+        useful: Whether the response was that of a first unconditional read,
+            brought a higher revision, or came after most of the wait.
     """
     if not useful:
         record_failure(schedule, now)
@@ -205,20 +216,21 @@
 def record_failure(
     schedule: ReadSchedule, now: float, retry_after: float = 0.0
 ) -> None:
-    """Backs off after a read that gave nothing usable.
+    """Schedules the next read with exponential backoff after a failure.
 
-    Guards against a platform that is overloaded or down: reads repeated at
-    the same pace would keep it so, and all of them at its return would bring
-    it down again. The pause doubles, and its jitter keeps processes apart.
+    Reads repeated at an unchanged rate would keep an overloaded platform
+    overloaded, and if all processes read at the moment it recovers, it would
+    fail again. The backoff doubles with each failure, and jitter spreads the
+    processes over time.
 
     Args:
         schedule: The schedule; changed.
-        now: This process's time.
-        retry_after: Seconds that the platform asked to stay away.
+        now: Current time, in seconds of this process's clock.
+        retry_after: Value of the platform's Retry-After header, in seconds.
     """
     doubled = INITIAL_BACKOFF * 2.0 ** min(schedule.failures, 16)
     pause = min(MAX_BACKOFF, doubled) * schedule.random.uniform(0.5, 1.5)
-    advised = min(retry_after, MAX_RETRY_AFTER)
-    advised *= schedule.random.uniform(1.0, 1.5)
+    requested = min(retry_after, MAX_RETRY_AFTER)
+    requested *= schedule.random.uniform(1.0, 1.5)
     schedule.failures += 1
-    schedule.next_read_at = now + max(pause, advised)
+    schedule.next_read_at = now + max(pause, requested)
--- a/sycamorefall/configuration/schema.py
+++ b/sycamorefall/configuration/schema.py
@@ -1,4 +1,4 @@
-"""What a valid operators' text says: services, teams and limits."""
+"""Schema of a valid configuration text: services, teams and limits."""
 
 __all__ = [
     "Configuration",
@@ -21,7 +21,11 @@
 
 
 class ServiceKind(enum.Enum):
-    """What stands behind a service."""
+    """Type of the upstreams of a service.
+
+    ENGINE: model engines.
+    PLAIN: plain HTTP services.
+    """
 
     ENGINE = "engine"
     PLAIN = "plain"
@@ -32,7 +36,8 @@
 
     Attributes:
         name: The team.
-        weight: Its share relative to the other teams.
+        weight: Share of capacity that the team gets, relative to the
+            weights of the other teams.
         keys_sha256: SHA-256 of each bearer key, in hex.
     """
 
@@ -45,16 +50,19 @@
     """Section `[service NAME]`.
 
     Attributes:
-        name: The service; for engines, the model that callers name.
+        name: Name of the service; for engines, the model that callers
+            request.
         kind: Model engine or plain service.
-        depends_on: Services that its work calls.
-        concurrency: Most requests in progress at one upstream.
-        idempotent: Whether requests that don't say may be run again; by
-            default engines' may, and plain services' by their HTTP method.
+        depends_on: Names of the services that this service calls while it
+            handles a request.
+        concurrency: Maximum number of requests in progress at one upstream.
+        idempotent: Whether a request may be executed again if its headers
+            don't say. By default, requests to engines may, and requests to
+            plain services may if their HTTP method is idempotent.
         prompt_weight: Cost units of one prompt token.
         output_weight: Cost units of one output token.
-        upstreams_check_orders: Whether its upstreams refuse an order that
-            carries an old fencing number.
+        upstreams_check_orders: Whether the service's upstreams refuse a
+            request that carries an outdated fencing number.
     """
 
     name: str
@@ -68,12 +76,15 @@
 
 
 class FleetLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Section `[limits]`: bounds that hold at every router alike.
+    """Section `[limits]`: limits that are the same at every router.
 
     Attributes:
-        waiting_per_team: Requests of one team that may wait at one router.
-        waiting_per_router: Requests that may wait at one router.
-        retries: Further attempts of an idempotent request.
+        waiting_per_team: Maximum number of requests of one team that wait
+            at one router.
+        waiting_per_router: Maximum number of requests that wait at one
+            router.
+        retries: Maximum number of attempts of an idempotent request after
+            the first.
     """
 
     waiting_per_team: Count = 500
@@ -82,12 +93,12 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """A valid configuration.
+    """A parsed and validated configuration text.
 
     Attributes:
         teams: Teams by name.
         services: Services by name.
-        limits: Bounds for all routers.
+        limits: Limits for all routers.
         team_by_key: Team name by SHA-256 of a bearer key.
     """
 
@@ -98,7 +109,7 @@
 
 
 def hash_key(key: str) -> str:
-    """Hashes a bearer key as the configuration text holds it.
+    """Computes the SHA-256 of a bearer key, in hex, as in `keys_sha256`.
 
     Example:
         >>> hash_key("secret")[:8]
--- a/sycamorefall/configuration/tests/test_blocks.py
+++ b/sycamorefall/configuration/tests/test_blocks.py
@@ -1,4 +1,4 @@
-"""Blocks of sections: the same meaning as the whole text, parsed once."""
+"""Blocks parse to the same result as the whole text, and are cached."""
 
 import configparser
 
@@ -28,21 +28,23 @@
 TEXTS = st.lists(LINES, max_size=60).map("\n".join)
 
 
-def read(part):
+def read_sections(part):
     parser = configparser.ConfigParser(interpolation=None, default_section="")
     parser.read_string(part)
     return [(name, dict(parser[name])) for name in parser.sections()]
 
 
 @given(TEXTS)
-def test_blocks_say_what_the_whole_text_says(whole):
+def test_blocks_parse_to_the_sections_of_the_whole_text(whole):
     blocks = [block.text for block in documents.split_blocks(whole)]
     assert "".join(blocks) == whole
     try:
-        expected = read(whole)
+        expected = read_sections(whole)
     except configparser.Error:
         return
-    assert [found for block in blocks for found in read(block)] == expected
+    assert [
+        found for block in blocks for found in read_sections(block)
+    ] == expected
 
 
 def write_teams(count, weight=1):
@@ -53,11 +55,11 @@
     )
 
 
-def test_changed_team_costs_its_block_and_no_other():
-    """Each change of a large text must not stop the loop for all of it.
+def test_change_of_one_team_parses_only_its_block():
+    """A small change of a large text must not block the event loop.
 
-    An operator changes one team's weight among a thousand. A process that
-    parsed all of them again would pass no token on meanwhile.
+    An operator changes the weight of one team among a thousand. A process
+    that parsed all sections again would forward no tokens meanwhile.
     """
     text.parse_configuration(write_teams(1000)).unwrap()
     before = text._parse_block.cache_info().misses
@@ -80,11 +82,11 @@
         ("[team x]\n[team x]\n", 3002, "[team x] is listed twice"),
     ],
 )
-def test_faults_name_only_the_line_in_the_whole_text(tail, line, reason):
-    """An operator is sent to the line of the text, not of a block of it.
+def test_errors_give_only_the_line_in_the_whole_text(tail, line, reason):
+    """An error must give its line in the whole text, not in a block.
 
-    A block is parsed as a text of its own, and the parser's own reasons
-    count its lines.
+    Each block is parsed on its own, and the messages of configparser hold line
+    numbers relative to the block.
     """
     fault = text.parse_configuration(write_teams(1000) + tail).failure()
     assert fault.line == line
--- a/sycamorefall/configuration/tests/test_documents.py
+++ b/sycamorefall/configuration/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Documents are cut so that a small change costs few bytes."""
+"""A small change of a document transfers only a few bytes."""
 
 from hypothesis import given, strategies
 
@@ -16,9 +16,10 @@
     )
 
 
-def test_change_of_one_section_costs_little():
+def test_change_of_one_section_transfers_few_bytes():
     # Operators change one team in a text of almost a megabyte, 2,700 times a
-    # day. Sent whole, that is 31 KB/s at each process, over its budget of 7.
+    # day. Sending the whole text would take 31 KB/s at each process, more than
+    # its budget of 7 KB/s.
     old = documents.create_document(1, write_large())
     new = documents.create_document(2, write_large(changed=4000))
     manifest = documents.create_manifest(KIND, new)
@@ -30,7 +31,7 @@
     assert whole == new
 
 
-def test_document_of_mixed_or_missing_blocks_is_not_taken():
+def test_document_with_wrong_or_missing_blocks_is_rejected():
     old = documents.create_document(1, "[a]\nx = 1\n")
     new = documents.create_document(2, "[a]\nx = 2\n")
     manifest = documents.create_manifest(KIND, new)
@@ -40,5 +41,5 @@
 
 
 @given(strategies.text(alphabet="[]{}ab=\n\r\x0c\u2028 "))
-def test_blocks_joined_are_the_text(text):
+def test_concatenated_blocks_are_the_text(text):
     assert documents.create_document(1, text).text == text
--- a/sycamorefall/configuration/tests/test_polling.py
+++ b/sycamorefall/configuration/tests/test_polling.py
@@ -1,4 +1,4 @@
-"""Reads of the platform stay few, also when all processes start at once."""
+"""Rate of platform reads, in steady state and when all processes restart."""
 
 import collections
 
@@ -9,7 +9,7 @@
 LIMIT = 2000
 
 
-def start_all(now=0.0):
+def create_all_schedules(now=0.0):
     return [
         polling.create_read_schedule(120.0, SPREAD, seed, now)
         for seed in range(2 * FLEET)
@@ -20,7 +20,7 @@
     return max(collections.Counter(int(time) for time in times).values())
 
 
-def test_watchers_are_few_and_the_same_for_all():
+def test_all_processes_choose_the_same_watchers():
     names = [f"vm-{index}" for index in range(FLEET)]
     chosen = polling.choose_watchers(names, 7, 4)
     assert len(chosen) == 4
@@ -28,17 +28,20 @@
     assert chosen != polling.choose_watchers(names, 8, 4)
 
 
-def test_fleet_that_restarts_at_once_stays_under_the_platforms_limit():
-    # A failed update restarts all processes in the same second. Reading both
-    # values at once they would send 2,560 reads, more than the platform
-    # serves, and most would start without a configuration.
-    assert count_peak(one.next_read_at for one in start_all()) < LIMIT / 2
+def test_restart_of_the_whole_fleet_stays_below_the_read_limit():
+    # A failed update restarts all processes within the same second. If each
+    # read both values at once, the fleet would send 2,560 reads, more than the
+    # platform serves, and most processes would start without a configuration.
+    assert (
+        count_peak(schedule.next_read_at for schedule in create_all_schedules())
+        < LIMIT / 2
+    )
 
 
-def test_fleet_backs_off_from_a_platform_that_refuses():
-    # The platform answers 503 to all. Reads repeated at the old pace would
-    # keep it down; those of a fleet must get fewer and stay spread.
-    schedules = start_all()
+def test_fleet_backs_off_while_the_platform_refuses_reads():
+    # The platform answers 503 to all reads. Retries at an unchanged rate would
+    # keep it overloaded, so the rate has to fall and the reads stay spread.
+    schedules = create_all_schedules()
     times = []
     for schedule in schedules:
         while schedule.next_read_at < 120.0:
@@ -49,7 +52,7 @@
     assert count_peak(late) < LIMIT / 10
 
 
-def test_platforms_advice_is_followed():
+def test_retry_after_of_the_platform_is_honored_up_to_a_maximum():
     schedule = polling.create_read_schedule(120.0, 0.0, 1, 0.0)
     polling.record_failure(schedule, 0.0, retry_after=50.0)
     assert 50.0 <= schedule.next_read_at <= 75.0
@@ -57,9 +60,9 @@
     assert schedule.next_read_at <= 1.5 * polling.MAX_RETRY_AFTER
 
 
-def test_watch_that_is_answered_at_once_with_nothing_is_backed_off():
-    # A platform that doesn't know `wait` answers each watch at once. A
-    # watcher that went on at once would send reads without pause.
+def test_watch_answered_at_once_without_a_change_backs_off():
+    # A platform that doesn't support `wait` answers each watch at once. A
+    # watcher that repeated it at once would send reads without a pause.
     schedule = polling.create_read_schedule(120.0, 0.0, 1, 0.0)
     polling.set_watching(schedule, 0.0, True)
     first = polling.plan_read(schedule, known=0)
@@ -73,7 +76,7 @@
     assert reads < 12
 
 
-def test_new_watcher_reads_whole_so_that_a_platform_set_back_is_seen():
+def test_new_watcher_reads_unconditionally_to_detect_a_rollback():
     schedule = polling.create_read_schedule(120.0, 0.0, 1, 0.0)
     read = polling.plan_read(schedule, known=5)
     polling.record_response(schedule, 0.0, read, useful=True)
--- a/sycamorefall/configuration/tests/test_versions.py
+++ b/sycamorefall/configuration/tests/test_versions.py
@@ -1,4 +1,4 @@
-"""In force is the highest valid text, whatever the order of the offers."""
+"""The highest valid text is in force, in whatever order texts arrive."""
 
 import itertools
 
@@ -11,7 +11,7 @@
     return f"[team a]\nweight = {weight}\n"
 
 
-OFFERS = [
+TEXTS = [
     (1, write_text(1)),
     (2, write_text(2)),
     (2, write_text(3)),
@@ -20,8 +20,8 @@
 
 
 def test_lower_revision_is_ignored_and_counted():
-    # The platform comes back from an old backup and shows revision 1. Taken,
-    # it would undo what operators changed since.
+    # The platform is restored from an old backup and publishes revision 1.
+    # Adopting it would undo the operators' later changes.
     state = configuration.VersionState()
     configuration.submit_text(state, 2, write_text(2))
     assert (
@@ -32,28 +32,29 @@
     assert state.older_seen == 1
 
 
-def test_all_orders_of_offers_end_alike_and_never_lead_back():
-    # Two operators race, so revision 2 has two texts, and revision 3 is bad.
-    # Processes see them in different orders; they must end with the same.
-    ends = set()
-    for order in itertools.permutations(OFFERS * 2, 5):
+def test_all_orders_of_texts_give_the_same_result_without_rollback():
+    # Two operators publish at the same time, so revision 2 has two texts, and
+    # revision 3 is invalid. Processes receive them in different orders and must
+    # reach the same state.
+    results = set()
+    for order in itertools.permutations(TEXTS * 2, 5):
         state = configuration.VersionState()
         keys = [(0, "")]
         for revision, text in order:
             configuration.submit_text(state, revision, text)
             keys.append(state.document.key if state.document else (0, ""))
         assert keys == sorted(keys)
-        if set(order) == set(OFFERS):
+        if set(order) == set(TEXTS):
             shown = (state.conflict, state.refusal, state.refused.revision)
-            ends.add((state.document.key, *shown))
-    assert len(ends) == 1
-    _, conflict, refusal, refused = ends.pop()
+            results.add((state.document.key, *shown))
+    assert len(results) == 1
+    _, conflict, refusal, refused = results.pop()
     assert "revision 2 has two texts" in conflict
     assert "line 2" in refusal
     assert refused == 3
 
 
-def test_bad_text_under_the_revision_in_force_changes_nothing():
+def test_invalid_text_with_the_revision_in_force_is_not_adopted():
     state = configuration.VersionState()
     configuration.submit_text(state, 2, write_text(2))
     assert configuration.submit_text(state, 2, "bad") in (
@@ -64,7 +65,7 @@
     assert state.conflict
 
 
-def test_good_text_after_a_bad_one_clears_the_refusal():
+def test_valid_text_after_an_invalid_one_clears_the_refusal():
     state = configuration.VersionState()
     configuration.submit_text(state, 2, "bad")
     assert state.refusal
--- a/sycamorefall/configuration/text.py
+++ b/sycamorefall/configuration/text.py
@@ -1,7 +1,7 @@
-"""The operators' text: services, teams and limits, parsed and checked.
+"""Parses and validates the configuration text: services, teams and limits.
 
-Whether a text is valid depends on the text alone, so every process refuses
-or accepts a revision alike.
+Whether a text is valid depends on the text alone, so all processes make the
+same decision about a revision.
 """
 
 __all__ = ["parse_blocks", "parse_configuration"]
@@ -24,7 +24,10 @@
 Named = TypeVar("Named", schema.Team, schema.Service)
 
 PARSED_BLOCK_CACHE_SIZE = 512
-"""Parsed blocks that are kept: a megabyte's, and those of texts before it."""
+"""Number of cached parsed blocks.
+
+Enough for a text of one megabyte and the changed blocks of earlier texts.
+"""
 
 _NAME = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")
 _KEY_HASH = re.compile(r"^[0-9a-f]{64}$")
@@ -33,13 +36,13 @@
 def parse_configuration(
     text: str,
 ) -> result.Result[schema.Configuration, errors.ConfigurationRefused]:
-    r"""Parses and checks an operators' text.
+    r"""Parses and validates a configuration text.
 
     Args:
         text: The INI text, as the platform publishes it.
 
     Returns:
-        `Success` with the configuration, or `Failure` with the first fault.
+        `Success` with the configuration, or `Failure` with the first error.
 
     Example:
         >>> parse_configuration("[service a]\nkind = odd").failure().line
@@ -51,66 +54,78 @@
 def parse_blocks(
     blocks: Iterable[str],
 ) -> result.Result[schema.Configuration, errors.ConfigurationRefused]:
-    """Parses and checks a text that is cut at section boundaries.
+    """Parses and validates a text that is split at section boundaries.
 
-    What a block holds is kept, so a change of one section costs the parsing
-    of its block and not of a megabyte, which would stop the one loop of a
-    process for a second, 2,700 times a day.
+    Parsed blocks are cached, so after a change of one section only its block
+    is parsed again. Parsing a whole text of one megabyte would block the
+    process's single event loop for a second, and texts change 2,700 times a
+    day.
 
     Args:
-        blocks: Runs of whole sections; joined they are the text.
+        blocks: Blocks of whole sections, whose concatenation is the text.
 
     Returns:
-        `Success` with the configuration, or `Failure` with the first fault.
+        `Success` with the configuration, or `Failure` with the first error.
     """
     try:
-        return result.Success(_join_parts(_parse_parts(blocks)))
+        return result.Success(_merge_blocks(_parse_all_blocks(blocks)))
     except errors.ConfigurationRefused as fault:
         return result.Failure(fault)
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class _Part:
-    """What a block holds.
+class _ParsedBlock:
+    """Parsed content of a block.
 
     Attributes:
         teams: Teams by name.
         services: Services by name.
-        limits: The bounds, if they are here.
-        lines: Line numbers within the block.
-        count: Lines of the block.
+        limits: Section `[limits]`; None if the block doesn't have it.
+        lines: Line numbers of sections and options within the block.
+        line_count: Number of lines in the block.
     """
 
     teams: dict[str, schema.Team]
     services: dict[str, schema.Service]
     limits: schema.FleetLimits | None
     lines: ini.Lines
-    count: int
+    line_count: int
+
 
+def _parse_all_blocks(blocks: Iterable[str]) -> list[tuple[int, _ParsedBlock]]:
+    """Parses blocks.
+
+    Args:
+        blocks: Blocks of whole sections, in the order of the text.
 
-def _parse_parts(blocks: Iterable[str]) -> list[tuple[int, _Part]]:
-    """Parses blocks; gives each with the number of lines before it."""
-    parts: list[tuple[int, _Part]] = []
-    before = 0
+    Returns:
+        For each block the number of lines before it, and its content.
+
+    Raises:
+        errors.ConfigurationRefused: A block is not valid; the line number is
+            that in the whole text.
+    """
+    parsed: list[tuple[int, _ParsedBlock]] = []
+    offset = 0
     for block in blocks:
-        part = _parse_block(block)
-        if isinstance(part, errors.ConfigurationRefused):
-            line = before + part.line if part.line else 0
-            raise errors.ConfigurationRefused(line, part.reason)
-        parts.append((before, part))
-        before += part.count
-    return parts
+        content = _parse_block(block)
+        if isinstance(content, errors.ConfigurationRefused):
+            line = offset + content.line if content.line else 0
+            raise errors.ConfigurationRefused(line, content.reason)
+        parsed.append((offset, content))
+        offset += content.line_count
+    return parsed
 
 
 @functools.lru_cache(maxsize=PARSED_BLOCK_CACHE_SIZE)
-def _parse_block(text: str) -> _Part | errors.ConfigurationRefused:
+def _parse_block(text: str) -> _ParsedBlock | errors.ConfigurationRefused:
     try:
-        return _parse(text)
+        return _parse_sections(text)
     except errors.ConfigurationRefused as fault:
         return errors.ConfigurationRefused(fault.line, fault.reason)
 
 
-def _parse(text: str) -> _Part:
+def _parse_sections(text: str) -> _ParsedBlock:
     ini_reader.check_unicode(text)
     lines = ini.Lines(text)
     parser = ini_reader.read_ini(text)
@@ -122,24 +137,26 @@
         name: _parse_service(name, dict(parser[section]), lines)
         for section, name in _select_sections(parser, "service", lines)
     }
-    _refuse_other_sections(parser, lines)
+    _refuse_unknown_sections(parser, lines)
     limits = None
     if parser.has_section("limits"):
         options = dict(parser["limits"])
-        limits = _convert(options, schema.FleetLimits, "limits", lines)
-    return _Part(teams, services, limits, lines, text.count("\n"))
+        limits = _convert_options(options, schema.FleetLimits, "limits", lines)
+    return _ParsedBlock(teams, services, limits, lines, text.count("\n"))
 
 
-def _join_parts(parts: list[tuple[int, _Part]]) -> schema.Configuration:
-    lines = _join_lines(parts)
-    teams = _join_named([part.teams for _, part in parts], "team", lines)
-    services = _join_named(
-        [part.services for _, part in parts], "service", lines
+def _merge_blocks(
+    parsed: list[tuple[int, _ParsedBlock]],
+) -> schema.Configuration:
+    lines = _merge_line_numbers(parsed)
+    teams = _merge_sections([block.teams for _, block in parsed], "team", lines)
+    services = _merge_sections(
+        [block.services for _, block in parsed], "service", lines
     )
-    limits = [part.limits for _, part in parts if part.limits is not None]
+    limits = [block.limits for _, block in parsed if block.limits is not None]
     if len(limits) > 1:
         raise errors.ConfigurationRefused(
-            lines.find("limits"), "section [limits] is there twice"
+            lines.find("limits"), "[limits] is listed twice"
         )
     _check_dependencies(services, lines)
     return schema.Configuration(
@@ -150,50 +167,54 @@
     )
 
 
-def _join_lines(parts: list[tuple[int, _Part]]) -> ini.Lines:
+def _merge_line_numbers(
+    parsed: list[tuple[int, _ParsedBlock]],
+) -> ini.Lines:
     lines = ini.Lines("")
-    for before, part in parts:
-        lines.add(part.lines, before)
+    for offset, block in parsed:
+        lines.add(block.lines, offset)
     return lines
 
 
-def _join_named(
+def _merge_sections(
     maps: list[dict[str, Named]], kind: str, lines: ini.Lines
 ) -> dict[str, Named]:
-    joined: dict[str, Named] = {}
+    merged: dict[str, Named] = {}
     for named in maps:
-        # In the text's order, so that all processes name the same one.
-        twice = next((name for name in named if name in joined), None)
-        if twice is not None:
+        # The order is that of the text, so that all processes report the same
+        # duplicate.
+        duplicate = next((name for name in named if name in merged), None)
+        if duplicate is not None:
             raise errors.ConfigurationRefused(
-                lines.find(f"{kind} {twice}"), f"{kind} {twice} is listed twice"
+                lines.find(f"{kind} {duplicate}"),
+                f"{kind} {duplicate} is listed twice",
             )
-        joined |= named
-    return joined
+        merged |= named
+    return merged
 
 
 def _select_sections(
     parser: configparser.ConfigParser, kind: str, lines: ini.Lines
 ) -> list[tuple[str, str]]:
-    chosen = [
+    selected = [
         (section, section[len(kind) :].strip())
         for section in parser.sections()
         if section.startswith(f"{kind} ")
     ]
-    counts = collections.Counter(name for _, name in chosen)
-    for section, name in chosen:
+    counts = collections.Counter(name for _, name in selected)
+    for section, name in selected:
         if not _NAME.match(name):
             raise errors.ConfigurationRefused(
-                lines.find(section), f"bad {kind} name {name!r}"
+                lines.find(section), f"invalid {kind} name {name!r}"
             )
         if counts[name] > 1:
             raise errors.ConfigurationRefused(
                 lines.find(section), f"{kind} {name} is listed twice"
             )
-    return chosen
+    return selected
 
 
-def _refuse_other_sections(
+def _refuse_unknown_sections(
     parser: configparser.ConfigParser, lines: ini.Lines
 ) -> None:
     for section in parser.sections():
@@ -217,10 +238,10 @@
             )
     if "name" in options:
         raise errors.ConfigurationRefused(
-            lines.find(section, "name"), f"[{section}]: unknown key name"
+            lines.find(section, "name"), f"[{section}]: unknown option name"
         )
     fields = options | {"name": name, "keys_sha256": keys}
-    return _convert(fields, schema.Team, section, lines)
+    return _convert_options(fields, schema.Team, section, lines)
 
 
 def _parse_service(
@@ -229,11 +250,11 @@
     section = f"service {name}"
     if "name" in options:
         raise errors.ConfigurationRefused(
-            lines.find(section, "name"), f"[{section}]: unknown key name"
+            lines.find(section, "name"), f"[{section}]: unknown option name"
         )
     depends_on = _split_list(options.pop("depends_on", ""))
     fields = options | {"name": name, "depends_on": depends_on}
-    return _convert(fields, schema.Service, section, lines)
+    return _convert_options(fields, schema.Service, section, lines)
 
 
 def _split_list(value: str) -> tuple[str, ...]:
@@ -244,18 +265,18 @@
 _BOOLEANS = configparser.ConfigParser.BOOLEAN_STATES
 
 
-def _convert(
+def _convert_options(
     fields: dict[str, object], kind: type, section: str, lines: ini.Lines
 ) -> object:
     booleans = {"idempotent", "upstreams_check_orders"} & fields.keys()
-    readable = {
+    converted = {
         name: _BOOLEANS.get(str(value).lower(), value)
         if name in booleans
         else value
         for name, value in fields.items()
     }
     try:
-        return msgspec.convert(readable, kind, strict=False)
+        return msgspec.convert(converted, kind, strict=False)
     except msgspec.ValidationError as fault:
         option = _find_option(str(fault), fields)
         raise errors.ConfigurationRefused(
@@ -264,11 +285,11 @@
 
 
 def _find_option(fault: str, fields: dict[str, object]) -> str:
-    """Finds the option that a msgspec fault is about."""
-    named = re.search(r"`\$\.(\w+)|unknown field `(\w+)`", fault)
-    if not named:
+    """Finds the option that a msgspec error names; empty if there is none."""
+    match = re.search(r"`\$\.(\w+)|unknown field `(\w+)`", fault)
+    if not match:
         return ""
-    option = named[1] or named[2]
+    option = match[1] or match[2]
     return option if option in fields else ""
 
 
@@ -290,15 +311,18 @@
     services: dict[str, schema.Service], lines: ini.Lines
 ) -> None:
     for service in services.values():
-        for needed in service.depends_on:
-            if needed not in services:
+        for dependency in service.depends_on:
+            if dependency not in services:
                 raise errors.ConfigurationRefused(
                     lines.find(f"service {service.name}", "depends_on"),
-                    f"service {service.name} depends on unknown {needed}",
+                    f"service {service.name} depends on unknown "
+                    f"service {dependency}",
                 )
-    needed_by = {name: service.depends_on for name, service in services.items()}
+    dependencies = {
+        name: service.depends_on for name, service in services.items()
+    }
     try:
-        graphlib.TopologicalSorter(needed_by).prepare()
+        graphlib.TopologicalSorter(dependencies).prepare()
     except graphlib.CycleError as fault:
         cycle = fault.args[1]
         raise errors.ConfigurationRefused(
--- a/sycamorefall/configuration/versions.py
+++ b/sycamorefall/configuration/versions.py
@@ -1,4 +1,4 @@
-"""Which revision of the operators' text is in force at a process."""
+"""Decides which revision of the configuration text is in force."""
 
 __all__ = [
     "SubmitOutcome",
@@ -18,13 +18,14 @@
 
 
 class SubmitOutcome(enum.Enum):
-    """What came of a text that was offered.
+    """Result of submitting a configuration text.
 
-    ADOPTED: it is in force now.
-    REFUSED: it is not valid.
-    KNOWN: it is in force already, or was refused before.
+    ADOPTED: the text is in force now.
+    REFUSED: the text is not valid.
+    KNOWN: the text was in force already, or had been refused before.
     OLDER: a higher revision is in force.
-    CONFLICT: another text under the same revision goes before it.
+    CONFLICT: another text with the same revision and a higher digest is in
+        force.
     """
 
     ADOPTED = "adopted"
@@ -36,17 +37,20 @@
 
 @dataclasses.dataclass(slots=True)
 class VersionState:
-    """The configuration in force, and what was offered and not taken.
+    """The configuration in force, and the texts that were not adopted.
 
     Attributes:
-        document: The text of the configuration in force.
-        configuration: The configuration in force, if there is any.
-        refused: The newest text that was found bad, while it is newer than
-            the one in force.
-        refusal: Why it was.
-        rival: Digest of another text under the revision in force that goes
-            after it: the highest seen; empty if there is none.
-        older_seen: Offers of a lower revision, ignored.
+        document: Text of the configuration in force; None if there is none.
+        configuration: The configuration in force; None if there is none.
+        refused: The newest text that failed validation, while it is newer
+            than the one in force; None if there is none.
+        refusal: Error for which that text was refused; empty if there is
+            none.
+        rival: Highest digest seen of a text that has the revision in force
+            and a lower digest than the text in force; empty if there is
+            none.
+        older_seen: Number of submitted texts that were ignored because their
+            revision was lower than the one in force.
     """
 
     document: documents.Document | None = None
@@ -63,16 +67,18 @@
 
     @property
     def revision(self) -> int:
-        """Revision of the newest text judged, adopted or refused."""
+        """Revision of the newest text that was validated, adopted or not."""
         refused = self.refused.revision if self.refused else 0
         return max(self.in_force, refused)
 
     @property
     def conflict(self) -> str:
-        """Which two texts came under the revision in force, if any did."""
-        bad = self.refused
-        is_bad_rival = bad is not None and bad.revision == self.in_force
-        other = bad.digest if is_bad_rival else self.rival
+        """Names two texts that share the revision in force; empty if none."""
+        candidate = self.refused
+        is_refused_rival = (
+            candidate is not None and candidate.revision == self.in_force
+        )
+        other = candidate.digest if is_refused_rival else self.rival
         if not other or self.document is None:
             return ""
         return (
@@ -82,20 +88,20 @@
 
     @property
     def text(self) -> str:
-        """Text of the configuration in force."""
+        """Text of the configuration in force; empty if there is none."""
         return self.document.text if self.document else ""
 
 
 def submit_text(state: VersionState, revision: int, text: str) -> SubmitOutcome:
-    """Takes a text into force if it is newer and valid.
+    """Puts a configuration text in force if it is newer and valid.
 
     Args:
         state: Versions of this process; changed.
-        revision: The platform's revision of the text.
-        text: The operators' text.
+        revision: Revision that the platform gave to the text.
+        text: The configuration text.
 
     Returns:
-        What came of it.
+        The result.
     """
     return submit_document(state, documents.create_document(revision, text))
 
@@ -103,20 +109,21 @@
 def submit_document(
     state: VersionState, document: documents.Document
 ) -> SubmitOutcome:
-    """Takes a text into force if it is newer and valid.
+    """Puts a configuration text in force if it is newer and valid.
 
-    Guards against a stale platform: after it restarts from an old copy it
-    shows a lower revision, and a process that followed would bring back a
-    configuration that operators have replaced. In force is always the
-    highest valid text offered so far, whatever the order of the offers, so
-    no order leads back and all who saw the same texts agree.
+    A platform that restarts from an old copy publishes a lower revision.
+    Following it would bring back a configuration that operators have
+    replaced. The text in force is therefore always the valid text with the
+    highest key submitted so far, in whatever order the texts arrive. No order
+    leads back to an older text, and all processes that saw the same texts
+    agree.
 
     Args:
         state: Versions of this process; changed.
-        document: The operators' text at a revision.
+        document: The configuration text at its revision.
 
     Returns:
-        What came of it.
+        The result.
     """
     if document in (state.document, state.refused):
         return SubmitOutcome.KNOWN
@@ -127,11 +134,13 @@
         record_rival(state, document.revision, document.digest)
         if document.key < state.document.key:
             return SubmitOutcome.CONFLICT
-    return _judge(state, document)
+    return _validate_and_adopt(state, document)
 
 
-def _judge(state: VersionState, document: documents.Document) -> SubmitOutcome:
-    match text_module.parse_blocks(one.text for one in document.blocks):
+def _validate_and_adopt(
+    state: VersionState, document: documents.Document
+) -> SubmitOutcome:
+    match text_module.parse_blocks(block.text for block in document.blocks):
         case result.Success(configuration):
             replaced, state.document = state.document, document
             if replaced is None or replaced.revision < document.revision:
@@ -151,16 +160,16 @@
 
 
 def record_rival(state: VersionState, revision: int, digest: str) -> None:
-    """Notes that another text goes about under the revision in force.
+    """Records the digest of another text that has the revision in force.
 
-    It is not taken where ours goes before it, but operators are to see the
-    conflict, at each process alike.
+    The text in force has the higher digest and stays in force. The other
+    digest is stored so that each process shows the same conflict to operators.
 
     Args:
         state: Versions of this process; changed.
-        revision: The other text's revision.
-        digest: Its digest.
+        revision: Revision of the other text.
+        digest: Digest of the other text.
     """
-    ours = state.document
-    if ours is not None and ours.revision == revision and digest < ours.digest:
+    own = state.document
+    if own is not None and own.revision == revision and digest < own.digest:
         state.rival = max(state.rival, digest)
