--- a/sycamorefall/configuration/ini_reader.py
+++ b/sycamorefall/configuration/ini_reader.py
@@ -22,22 +22,22 @@
     parser = configparser.ConfigParser(interpolation=None, default_section="")
     try:
         parser.read_string(text)
-    except configparser.MissingSectionHeaderError as fault:
+    except configparser.MissingSectionHeaderError as error:
         reason = "text before the first [section]"
-        raise errors.ConfigurationRefused(fault.lineno, reason) from fault
-    except configparser.ParsingError as fault:
-        line = fault.errors[0][0]
-        raise errors.ConfigurationRefused(line, "not an INI line") from fault
-    except configparser.DuplicateSectionError as fault:
-        reason = f"[{fault.section}] is listed twice"
-        raise errors.ConfigurationRefused(fault.lineno, reason) from fault
-    except configparser.DuplicateOptionError as fault:
-        reason = f"[{fault.section}]: {fault.option} is given twice"
-        raise errors.ConfigurationRefused(fault.lineno, reason) from fault
-    except configparser.Error as fault:
-        line = getattr(fault, "lineno", None) or 0
-        reason = " ".join(str(fault).split())
-        raise errors.ConfigurationRefused(line, reason) from fault
+        raise errors.ConfigurationRefused(error.lineno, reason) from error
+    except configparser.ParsingError as error:
+        line = error.errors[0][0]
+        raise errors.ConfigurationRefused(line, "not an INI line") from error
+    except configparser.DuplicateSectionError as error:
+        reason = f"[{error.section}] is listed twice"
+        raise errors.ConfigurationRefused(error.lineno, reason) from error
+    except configparser.DuplicateOptionError as error:
+        reason = f"[{error.section}]: {error.option} is given twice"
+        raise errors.ConfigurationRefused(error.lineno, reason) from error
+    except configparser.Error as error:
+        line = getattr(error, "lineno", None) or 0
+        reason = " ".join(str(error).split())
+        raise errors.ConfigurationRefused(line, reason) from error
     return parser
 
 
@@ -49,6 +49,6 @@
     """
     try:
         text.encode("utf-8")
-    except UnicodeEncodeError as fault:
-        line = text.count("\n", 0, fault.start) + 1
-        raise errors.ConfigurationRefused(line, "not valid Unicode") from fault
+    except UnicodeEncodeError as error:
+        line = text.count("\n", 0, error.start) + 1
+        raise errors.ConfigurationRefused(line, "not valid Unicode") from error
--- a/sycamorefall/configuration/polling.py
+++ b/sycamorefall/configuration/polling.py
@@ -146,6 +146,11 @@
     A new watcher first reads the value unconditionally. If the platform was
     restored to a lower revision, a watch for a revision higher than the known
     one would never bring a value, and the rollback would stay unnoticed.
+
+    Args:
+        schedule: The schedule; changed.
+        now: Current time, in seconds of this process's clock.
+        watching: Whether this process is to watch the value from now on.
     """
     if watching and not schedule.watching:
         schedule.read_unconditionally = True
@@ -159,6 +164,10 @@
     While the schedule backs off, the due time stays. In either case the next
     read doesn't wait for a change, as the caller wants to know the value that
     the platform publishes now.
+
+    Args:
+        schedule: The schedule; changed.
+        now: Current time, in seconds of this process's clock.
     """
     schedule.skip_wait = True
     if not schedule.failures:
--- a/sycamorefall/configuration/tests/test_blocks.py
+++ b/sycamorefall/configuration/tests/test_blocks.py
@@ -88,7 +88,7 @@
     Each block is parsed on its own, and the messages of configparser hold line
     numbers relative to the block.
     """
-    fault = text.parse_configuration(write_teams(1000) + tail).failure()
-    assert fault.line == line
-    assert reason in fault.reason
-    assert "line" not in fault.reason
+    error = text.parse_configuration(write_teams(1000) + tail).failure()
+    assert error.line == line
+    assert reason in error.reason
+    assert "line" not in error.reason
--- a/sycamorefall/configuration/tests/test_text.py
+++ b/sycamorefall/configuration/tests/test_text.py
@@ -60,10 +60,10 @@
     parsed = text_module.parse_configuration(text)
     assert isinstance(parsed, result.Success | result.Failure)
     if isinstance(parsed, result.Failure):
-        fault = parsed.failure()
-        assert 0 <= fault.line <= text.count("\n") + 1
-        assert fault.reason
-        assert "\n" not in str(fault)
+        error = parsed.failure()
+        assert 0 <= error.line <= text.count("\n") + 1
+        assert error.reason
+        assert "\n" not in str(error)
     return parsed
 
 
--- a/sycamorefall/configuration/text.py
+++ b/sycamorefall/configuration/text.py
@@ -69,8 +69,8 @@
     """
     try:
         return result.Success(_merge_blocks(_parse_all_blocks(blocks)))
-    except errors.ConfigurationRefused as fault:
-        return result.Failure(fault)
+    except errors.ConfigurationRefused as error:
+        return result.Failure(error)
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -121,8 +121,8 @@
 def _parse_block(text: str) -> _ParsedBlock | errors.ConfigurationRefused:
     try:
         return _parse_sections(text)
-    except errors.ConfigurationRefused as fault:
-        return errors.ConfigurationRefused(fault.line, fault.reason)
+    except errors.ConfigurationRefused as error:
+        return errors.ConfigurationRefused(error.line, error.reason)
 
 
 def _parse_sections(text: str) -> _ParsedBlock:
@@ -238,7 +238,7 @@
             )
     if "name" in options:
         raise errors.ConfigurationRefused(
-            lines.find(section, "name"), f"[{section}]: unknown option name"
+            lines.find(section, "name"), f"[{section}]: unknown option `name`"
         )
     fields = options | {"name": name, "keys_sha256": keys}
     return _convert_options(fields, schema.Team, section, lines)
@@ -250,7 +250,7 @@
     section = f"service {name}"
     if "name" in options:
         raise errors.ConfigurationRefused(
-            lines.find(section, "name"), f"[{section}]: unknown option name"
+            lines.find(section, "name"), f"[{section}]: unknown option `name`"
         )
     depends_on = _split_list(options.pop("depends_on", ""))
     fields = options | {"name": name, "depends_on": depends_on}
@@ -277,16 +277,16 @@
     }
     try:
         return msgspec.convert(converted, kind, strict=False)
-    except msgspec.ValidationError as fault:
-        option = _find_option(str(fault), fields)
+    except msgspec.ValidationError as error:
+        option = _find_option(str(error), fields)
         raise errors.ConfigurationRefused(
-            lines.find(section, option), f"[{section}]: {fault}"
-        ) from fault
+            lines.find(section, option), f"[{section}]: {error}"
+        ) from error
 
 
-def _find_option(fault: str, fields: dict[str, object]) -> str:
+def _find_option(error: str, fields: dict[str, object]) -> str:
     """Finds the option that a msgspec error names; empty if there is none."""
-    match = re.search(r"`\$\.(\w+)|unknown field `(\w+)`", fault)
+    match = re.search(r"`\$\.(\w+)|unknown field `(\w+)`", error)
     if not match:
         return ""
     option = match[1] or match[2]
@@ -323,10 +323,10 @@
     }
     try:
         graphlib.TopologicalSorter(dependencies).prepare()
-    except graphlib.CycleError as fault:
-        cycle = fault.args[1]
+    except graphlib.CycleError as error:
+        cycle = error.args[1]
         raise errors.ConfigurationRefused(
             lines.find(f"service {cycle[0]}", "depends_on"),
             "services depend on each other in a cycle: "
             + " -> ".join(reversed(cycle)),
-        ) from fault
+        ) from error
--- a/sycamorefall/configuration/versions.py
+++ b/sycamorefall/configuration/versions.py
@@ -152,10 +152,10 @@
                 state.refused = None
                 state.refusal = ""
             return SubmitOutcome.ADOPTED
-        case result.Failure(fault):
+        case result.Failure(error):
             if state.refused is None or state.refused.key < document.key:
                 state.refused = document
-                state.refusal = str(fault)
+                state.refusal = str(error)
     return SubmitOutcome.REFUSED
 
 
--- a/sycamorefall/replication/__init__.py
+++ b/sycamorefall/replication/__init__.py
@@ -1,7 +1,7 @@
-"""Spreads the operators' text and the VM list from process to process.
+"""Replicates the configuration text and the VM list among processes.
 
-A few processes read the platform; the others hear of newer revisions on the
-control messages of their peers and fetch what changed from one of them.
+A few processes watch the platform. The others learn of newer revisions from the
+control messages of their peers, and fetch the changed blocks from one of them.
 """
 
 __all__ = [
--- a/sycamorefall/replication/exchange.py
+++ b/sycamorefall/replication/exchange.py
@@ -1,8 +1,6 @@
-"""Fetches documents from peers and serves them, over HTTP."""
+"""Fetches documents from peers, and serves them to peers, over HTTP."""
 
-__all__ = [
-    "DocumentExchanger",
-]
+__all__ = ["DocumentExchanger"]
 
 from collections.abc import Callable
 import dataclasses
@@ -17,31 +15,39 @@
 from sycamorefall.replication import offers, peers, replica
 
 FETCH_TIMEOUT = 5.0
-"""Seconds after which a fetch is given up."""
+"""Seconds after which a fetch is aborted."""
 
 MAX_RESPONSE_BYTES = 1 << 24
-"""Bytes of a peer's answer that are taken at most."""
+"""Maximum size of a peer's response, in bytes."""
 
-Take = Callable[[bytes], None]
+BodyHandler = Callable[[bytes], None]
 
 
 @dataclasses.dataclass(slots=True)
 class _Fetch:
-    """A fetch in progress, of an offer or of its blocks."""
+    """A fetch in progress.
+
+    Attributes:
+        address: Data address of the peer.
+        deadline: Time at which the fetch is aborted.
+        exchange: The HTTP request in progress: for an offer, then for its
+            blocks.
+    """
 
     address: str
-    until: float
+    deadline: float
     exchange: transport.Exchange | None = None
 
 
 class DocumentExchanger:
-    """The I/O around a replica.
+    """Performs a replica's fetches and answers those of its peers.
 
     Attributes:
-        fetches: Requests sent to peers.
-        failures: Fetches that gave nothing usable.
-        bytes_received: Size of peers' answers.
-        bytes_sent: Size of answers to peers and of requests to them.
+        fetches: Number of requests sent to peers.
+        failures: Number of failed fetches.
+        bytes_received: Total size of the responses of peers, in bytes.
+        bytes_sent: Total size of the requests and responses sent to peers, in
+            bytes.
     """
 
     __slots__ = (
@@ -67,9 +73,9 @@
 
         Args:
             state: The replica.
-            client: Sends the requests.
-            authenticator: Signs and checks requests and answers.
-            on_events: Called with what changed.
+            client: HTTP client that sends the requests.
+            authenticator: Signs and verifies requests and responses.
+            on_events: Called with the changes of the replica after a fetch.
         """
         self._state = state
         self._client = client
@@ -82,14 +88,18 @@
         self.bytes_sent = 0
 
     def find_next_due(self) -> float:
-        """Tells when `run` has something to do next."""
-        timeouts = (fetch.until for fetch in self._fetches.values())
-        return min([peers.find_next_due(self._state), *timeouts])
+        """Returns the time at which `run` has to be called next."""
+        deadlines = (fetch.deadline for fetch in self._fetches.values())
+        return min([peers.find_next_due(self._state), *deadlines])
 
     def run(self, now: float) -> None:
-        """Gives up late fetches and begins those that are due."""
-        late = [one for one in self._fetches.values() if now >= one.until]
-        for fetch in late:
+        """Aborts fetches that timed out and starts those that are due."""
+        expired = [
+            pending
+            for pending in self._fetches.values()
+            if now >= pending.deadline
+        ]
+        for fetch in expired:
             self._client.abort(fetch.exchange)
             self._fail(fetch)
         for address in peers.start_due_fetches(self._state, now):
@@ -100,36 +110,38 @@
                 fetch,
                 offers.OFFER_PATH,
                 offers.encode(request),
-                lambda data, fetch=fetch: self._take_offer(fetch, data),
+                lambda data, fetch=fetch: self._handle_offer(fetch, data),
             )
 
     def handle_call(self, call: transport.IncomingCall) -> bool:
-        """Answers a peer's request.
+        """Answers a request if a peer sent it to the replica.
 
-        The text is the operators': who is not of the fleet, by a digest or
-        else by its IP number, gets the answer of an unknown path.
+        The configuration text is confidential to the fleet. Other senders are
+        treated as if the path didn't exist. A peer is recognized by the
+        signature of the request, or by its IP address if the fleet has no
+        shared key.
 
         Args:
-            call: A request that came in.
+            call: An incoming request.
 
         Returns:
-            Whether it was one for a replica.
+            Whether the request was answered here.
         """
         if call.path not in (offers.OFFER_PATH, offers.BLOCKS_PATH):
             return False
-        if not self._is_peer(call):
+        if not self._is_from_peer(call):
             return False
         try:
-            body = self._make_answer(call.path, call.body)
-        except errors.MessageRefused as fault:
-            call.fail(errors.ErrorKind.MALFORMED_REQUEST, str(fault))
+            body = self._create_response(call.path, call.body)
+        except errors.MessageRefused as error:
+            call.fail(errors.ErrorKind.MALFORMED_REQUEST, str(error))
             return True
         self.bytes_sent += len(body)
         signature = self._authenticator.sign_body(call.path, body)
         call.respond(200, body, ((messages.SIGNATURE_HEADER, signature),))
         return True
 
-    def _is_peer(self, call: transport.IncomingCall) -> bool:
+    def _is_from_peer(self, call: transport.IncomingCall) -> bool:
         if self._authenticator.enabled:
             signature = call.headers.get(messages.SIGNATURE_HEADER, "")
             return self._authenticator.verify_body(
@@ -137,20 +149,22 @@
             )
         return peers.is_listed_host(self._state.directory, call.remote)
 
-    def _make_answer(self, path: str, body: bytes) -> bytes:
+    def _create_response(self, path: str, body: bytes) -> bytes:
         if path == offers.OFFER_PATH:
             request = offers.decode(body, offers.OfferRequest)
             return offers.encode(offers.create_offer(self._state, request))
-        wanted = offers.decode(body, offers.BlockRequest)
-        return offers.encode(offers.collect_blocks(self._state, wanted))
+        block_request = offers.decode(body, offers.BlockRequest)
+        return offers.encode(offers.collect_blocks(self._state, block_request))
 
-    def _post(self, fetch: _Fetch, path: str, body: bytes, take: Take) -> None:
+    def _post(
+        self, fetch: _Fetch, path: str, body: bytes, on_body: BodyHandler
+    ) -> None:
         self.fetches += 1
         self.bytes_sent += len(body)
         parts: list[bytes] = []
         heads: list[tuple[int, dict[str, str]]] = []
 
-        def feed(data: bytes) -> None:
+        def collect(data: bytes) -> None:
             parts.append(data)
             if sum(map(len, parts)) > MAX_RESPONSE_BYTES:
                 self._client.abort(fetch.exchange)
@@ -165,7 +179,7 @@
                 self._fail(fetch)
                 return
             try:
-                take(data)
+                on_body(data)
             except errors.MessageRefused:
                 self._fail(fetch)
 
@@ -182,37 +196,37 @@
                 on_head=lambda status, headers: heads.append(
                     (status, dict(headers))
                 ),
-                on_data=feed,
+                on_data=collect,
                 on_end=finish,
                 on_failure=lambda _: self._fail(fetch),
             ),
         )
 
-    def _take_offer(self, fetch: _Fetch, data: bytes) -> None:
+    def _handle_offer(self, fetch: _Fetch, data: bytes) -> None:
         self.bytes_received += len(data)
         offer = offers.decode(data, offers.Offer)
         wanted = offers.create_block_request(self._state, offer)
         if not wanted.names:
-            self._end(fetch, offer, offers.Blocks(()))
+            self._finish(fetch, offer, offers.Blocks(()))
             return
         self._post(
             fetch,
             offers.BLOCKS_PATH,
             offers.encode(wanted),
-            lambda blocks: self._take_blocks(fetch, offer, blocks),
+            lambda blocks: self._handle_blocks(fetch, offer, blocks),
         )
 
-    def _take_blocks(
+    def _handle_blocks(
         self, fetch: _Fetch, offer: offers.Offer, data: bytes
     ) -> None:
         self.bytes_received += len(data)
-        self._end(fetch, offer, offers.decode(data, offers.Blocks))
+        self._finish(fetch, offer, offers.decode(data, offers.Blocks))
 
-    def _end(
+    def _finish(
         self, fetch: _Fetch, offer: offers.Offer, blocks: offers.Blocks
     ) -> None:
-        events, is_whole = offers.apply_offer(self._state, offer, blocks)
-        if is_whole:
+        events, is_complete = offers.apply_offer(self._state, offer, blocks)
+        if is_complete:
             self._fetches.pop(fetch.address, None)
             now = transport.read_clock()
             peers.record_success(self._state, now, fetch.address, offer.settled)
--- a/sycamorefall/replication/offers.py
+++ b/sycamorefall/replication/offers.py
@@ -1,4 +1,9 @@
-"""What two processes tell each other about their documents; no I/O."""
+"""Messages by which a process fetches newer documents from a peer; no I/O.
+
+The process sends the heads of its documents (`OfferRequest`). The peer answers
+with the manifests of its newer documents (`Offer`). The process then requests
+the blocks that it lacks (`BlockRequest`, answered by `Blocks`).
+"""
 
 __all__ = [
     "BLOCKS_PATH",
@@ -25,27 +30,32 @@
 from sycamorefall.replication import replica
 
 OFFER_PATH = "/v1/configuration"
-"""Where a process tells its peers which documents it holds."""
+"""Path at which a process answers an `OfferRequest`."""
 
 BLOCKS_PATH = "/v1/configuration/blocks"
-"""Where a process gives its peers blocks of its documents."""
+"""Path at which a process answers a `BlockRequest`."""
 
 Kind = configuration.DocumentKind
 
 
 class OfferRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Heads of the documents that the asking process holds."""
+    """Asks a peer for its newer documents.
+
+    Attributes:
+        heads: Heads of the documents that the requesting process holds.
+    """
 
     heads: tuple[configuration.DocumentHead, ...]
 
 
 class Offer(msgspec.Struct, frozen=True, array_like=True):
-    """What a process holds.
+    """Documents that a process holds and a peer may fetch.
 
     Attributes:
-        settled: Whether it is past its start.
-        heads: Heads of all its documents.
-        manifests: Manifests of those that are newer than the asker's.
+        settled: Whether the offering process is settled.
+        heads: Heads of all documents of the offering process.
+        manifests: Manifests of the documents that are newer than those of the
+            requesting process.
     """
 
     settled: bool
@@ -54,13 +64,21 @@
 
 
 class BlockRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Names of blocks that are wanted."""
+    """Asks a peer for blocks of its documents.
+
+    Attributes:
+        names: Names of the blocks.
+    """
 
     names: tuple[str, ...]
 
 
 class Blocks(msgspec.Struct, frozen=True, array_like=True):
-    """Blocks that were asked for, as far as they are still held."""
+    """Answer to a `BlockRequest`.
+
+    Attributes:
+        blocks: Those of the requested blocks that the process still holds.
+    """
 
     blocks: tuple[configuration.Block, ...]
 
@@ -74,35 +92,35 @@
     """Decodes one of the messages of this module.
 
     Args:
-        data: Bytes as received.
-        kind: The message expected.
+        data: The received bytes.
+        kind: Class of the expected message.
 
     Returns:
         The message.
 
     Raises:
-        errors.MessageRefused: The bytes are something else.
+        errors.MessageRefused: The bytes are not such a message.
     """
     try:
         return msgspec.msgpack.decode(data, type=kind)
-    except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise errors.MessageRefused(str(fault)) from fault
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise errors.MessageRefused(str(error)) from error
 
 
 def create_offer_request(state: replica.ReplicaState) -> OfferRequest:
-    """Tells which documents this process holds."""
+    """Creates a request that holds the heads of this process's documents."""
     return OfferRequest(replica.list_heads(state))
 
 
 def create_offer(state: replica.ReplicaState, request: OfferRequest) -> Offer:
-    """Answers a peer with what it lacks.
+    """Creates the offer that answers a peer's request.
 
-    A starting process offers nothing: what it read may be a stale platform's
-    and is not known to be the highest.
+    A starting process offers nothing. It may have read its documents from a
+    stale platform, and doesn't know whether they are the newest.
 
     Args:
         state: The replica.
-        request: What the peer holds.
+        request: Request with the heads of the peer's documents.
 
     Returns:
         The offer.
@@ -121,7 +139,7 @@
 def collect_blocks(
     state: replica.ReplicaState, request: BlockRequest
 ) -> Blocks:
-    """Gives the wanted blocks that this process holds."""
+    """Collects the requested blocks that this process holds."""
     held = {block.name: block for block in _list_blocks(state)}
     return Blocks(tuple(held[name] for name in request.names if name in held))
 
@@ -129,14 +147,16 @@
 def _list_blocks(
     state: replica.ReplicaState,
 ) -> list[configuration.Block]:
-    held = replica.list_documents(state).values()
-    return list(itertools.chain.from_iterable(one.blocks for one in held))
+    documents = replica.list_documents(state).values()
+    return list(
+        itertools.chain.from_iterable(document.blocks for document in documents)
+    )
 
 
 def create_block_request(
     state: replica.ReplicaState, offer: Offer
 ) -> BlockRequest:
-    """Finds the blocks of an offer that this process lacks."""
+    """Creates a request for the blocks of an offer that this process lacks."""
     held = _list_blocks(state)
     missing = (
         configuration.list_missing_blocks(manifest, held)
@@ -149,24 +169,24 @@
 def apply_offer(
     state: replica.ReplicaState, offer: Offer, fetched: Blocks
 ) -> tuple[list[replica.Event], bool]:
-    """Takes an offer's documents.
+    """Assembles the documents of an offer and applies them.
 
     Args:
         state: The replica; changed.
         offer: A peer's offer.
-        fetched: The blocks that were lacking.
+        fetched: Blocks of the offer that this process lacked.
 
     Returns:
-        What changed, and whether all documents were whole.
+        The changes, and whether all documents could be assembled.
     """
     held = [*_list_blocks(state), *fetched.blocks]
     events: list[replica.Event] = []
-    is_whole = True
+    is_complete = True
     for manifest in offer.manifests:
         document = configuration.assemble_document(manifest, held)
         if document is None:
-            is_whole = False
+            is_complete = False
             continue
         events += replica.apply_document(state, manifest.head.kind, document)
     events += replica.detect_conflict(state, offer.heads)
-    return events, is_whole
+    return events, is_complete
--- a/sycamorefall/replication/peers.py
+++ b/sycamorefall/replication/peers.py
@@ -1,9 +1,9 @@
-"""Which peer is asked for newer documents, and when; no I/O."""
+"""Decides when to fetch newer documents, and from which peer; no I/O."""
 
 __all__ = [
     "add_replica_info",
+    "compute_fingerprint",
     "find_next_due",
-    "fingerprint",
     "record_envelope",
     "record_failure",
     "record_success",
@@ -19,25 +19,36 @@
 from sycamorefall.replication import replica
 
 FETCH_JITTER = 0.3
-"""Seconds over which peers that hear of a revision begin to fetch it."""
+"""Seconds over which the first fetches of a new revision are spread."""
 
 MAX_STARTUP_FETCHES = 3
-"""Peers that a starting process asks at a time."""
+"""Maximum number of concurrent fetches of a starting process."""
 
 CHOICE_INTERVAL = 0.25
-"""Seconds between two looks of a starting process at whom to ask."""
+"""Seconds between two attempts to choose peers to fetch from.
+
+Used by starting processes, and by settled ones while they back off from all
+peers that are ahead.
+"""
 
 INITIAL_BACKOFF = 1.0
-"""Seconds until a peer that failed is asked again, before jitter."""
+"""Seconds from a first failed fetch to the next from the same peer.
+
+Before jitter.
+"""
 
 MAX_BACKOFF = 30.0
-"""Seconds until a peer that failed often is asked again, before jitter."""
+"""Maximum seconds from a failed fetch to the next from the same peer.
 
+Before jitter.
+"""
 
-def fingerprint(state: replica.ReplicaState) -> int:
-    """Computes a number that differs where held documents differ.
 
-    Revisions alone don't tell of two texts under one revision.
+def compute_fingerprint(state: replica.ReplicaState) -> int:
+    """Computes a checksum of the heads of all documents held; 0 if unsettled.
+
+    Peers compare it with their own. Revisions alone wouldn't show that two
+    processes hold different texts with the same revision.
     """
     if not state.settled:
         return 0
@@ -48,25 +59,35 @@
 def add_replica_info(
     state: replica.ReplicaState, message: messages.Message
 ) -> messages.Message:
-    """Adds to a heartbeat what its sender holds."""
+    """Adds the VM list revision and the document fingerprint to a heartbeat.
+
+    Args:
+        state: The replica of the sender.
+        message: A control message about to be sent.
+
+    Returns:
+        The heartbeat with the two fields set; other messages unchanged.
+    """
     if not isinstance(message, messages.Heartbeat):
         return message
     return msgspec.structs.replace(
         message,
         vms_revision=state.directory.revision,
-        fingerprint=fingerprint(state),
+        fingerprint=compute_fingerprint(state),
     )
 
 
 def record_envelope(
     state: replica.ReplicaState, now: float, envelope: messages.Envelope
 ) -> None:
-    """Notes from a control message what its sender holds.
+    """Records which documents the sender of a control message holds.
+
+    Messages of VMs that aren't in the directory are ignored.
 
     Args:
         state: The replica; changed.
-        now: This process's time.
-        envelope: The message and its sender.
+        now: Current time, in seconds of this process's clock.
+        envelope: The received message with its sender.
     """
     sender, message = envelope.sender, envelope.message
     if sender == state.vm or sender not in state.directory.vms:
@@ -77,14 +98,16 @@
             envelope.revision, message.vms_revision, message.fingerprint
         )
     else:
-        view = dataclasses.replace(known, text=envelope.revision)
+        view = dataclasses.replace(known, text_revision=envelope.revision)
     if view == known:
         return
     state.peer_views[sender] = view
-    _judge_view(state, now, sender)
+    _update_peer_ahead(state, now, sender)
 
 
-def _judge_view(state: replica.ReplicaState, now: float, name: str) -> None:
+def _update_peer_ahead(
+    state: replica.ReplicaState, now: float, name: str
+) -> None:
     if not _may_be_ahead(state, name):
         state.peers_ahead.discard(name)
         return
@@ -99,14 +122,18 @@
     if not view.fingerprint or state.fetched_views.get(name) == view:
         return False
     text, vms = state.versions.in_force, state.directory.revision
-    if view.text > text or view.vms > vms:
+    if view.text_revision > text or view.vms_revision > vms:
         return True
-    same = (view.text, view.vms) == (text, vms)
-    return same and view.fingerprint != fingerprint(state)
+    same = (view.text_revision, view.vms_revision) == (text, vms)
+    return same and view.fingerprint != compute_fingerprint(state)
 
 
 def update_peers_ahead(state: replica.ReplicaState, now: float) -> None:
-    """Finds anew who may be ahead, after a document was taken."""
+    """Recomputes which peers may hold newer documents.
+
+    Has to be called after a document was applied. Views of VMs that are no
+    longer in the directory are dropped.
+    """
     state.peer_views = {
         name: view
         for name, view in state.peer_views.items()
@@ -114,35 +141,35 @@
     }
     state.peers_ahead &= state.peer_views.keys()
     for name in state.peer_views:
-        _judge_view(state, now, name)
+        _update_peer_ahead(state, now, name)
 
 
 def start_due_fetches(state: replica.ReplicaState, now: float) -> list[str]:
-    """Chooses the data addresses of peers to be asked now.
+    """Chooses the peers to fetch from now and marks the fetches as started.
 
-    A starting process asks several at a time; a settled one asks one of
-    those that may be ahead, chosen at random so that the load spreads over
-    all that have the newer document already.
+    A starting process fetches from several peers at a time. A settled one
+    fetches from one of the peers that may hold newer documents, chosen at
+    random to spread the load over all of them.
 
     Args:
-        state: The replica; the chosen are noted as being asked.
-        now: This process's time.
+        state: The replica; changed.
+        now: Current time, in seconds of this process's clock.
 
     Returns:
-        Addresses, `IP:port`.
+        Data addresses of the peers, `IP:port`.
     """
     if now < state.next_fetch_at:
         return []
     if state.settled:
-        chosen = _choose_ahead(state, now)
+        chosen = _choose_peer_ahead(state, now)
     else:
         state.next_fetch_at = now + CHOICE_INTERVAL
-        chosen = _choose_any(state, now)
+        chosen = _choose_startup_peers(state, now)
     state.fetching.update(chosen)
     return chosen
 
 
-def _choose_ahead(state: replica.ReplicaState, now: float) -> list[str]:
+def _choose_peer_ahead(state: replica.ReplicaState, now: float) -> list[str]:
     if state.fetching:
         return []
     free = [
@@ -160,7 +187,7 @@
 
 
 def list_peer_addresses(state: replica.ReplicaState) -> list[str]:
-    """Lists the data addresses of all other processes that are known."""
+    """Lists the data addresses of all other listed VMs and fixed peers."""
     own = state.directory.vms.get(state.vm)
     listed = [
         vm.data for name, vm in state.directory.vms.items() if name != state.vm
@@ -173,7 +200,7 @@
     return sorted({*listed, *fixed})
 
 
-def _choose_any(state: replica.ReplicaState, now: float) -> list[str]:
+def _choose_startup_peers(state: replica.ReplicaState, now: float) -> list[str]:
     free = [
         address
         for address in list_peer_addresses(state)
@@ -181,10 +208,10 @@
         and not state.settled_by_address.get(address)
         and state.blocked_until.get(address, 0.0) <= now
     ]
-    fresh = [
+    untried = [
         address for address in free if address not in state.tried_addresses
     ]
-    pool = fresh or free
+    pool = untried or free
     room = min(MAX_STARTUP_FETCHES - len(state.fetching), len(pool))
     chosen = state.jitter.sample(pool, max(0, room))
     state.tried_addresses.update(chosen)
@@ -192,7 +219,7 @@
 
 
 def find_next_due(state: replica.ReplicaState) -> float:
-    """Tells when `start_due_fetches` may choose someone next."""
+    """Returns the time at which `start_due_fetches` may next choose a peer."""
     waits = state.settled and (state.fetching or not state.peers_ahead)
     return float("inf") if waits else state.next_fetch_at
 
@@ -200,12 +227,12 @@
 def record_success(
     state: replica.ReplicaState, now: float, address: str, settled: bool
 ) -> None:
-    """Notes that a peer answered.
+    """Records that a fetch from a peer succeeded.
 
     Args:
         state: The replica; changed.
-        now: This process's time.
-        address: The peer's data address.
+        now: Current time, in seconds of this process's clock.
+        address: Data address of the peer.
         settled: Whether the peer was settled.
     """
     state.fetching.discard(address)
@@ -220,20 +247,21 @@
 def record_failure(
     state: replica.ReplicaState, now: float, address: str
 ) -> None:
-    """Notes that a peer gave no answer, or one of no use.
+    """Records that a fetch from a peer failed, and backs off from the peer.
 
-    Only this process's own link is judged: others may reach that peer.
+    The failure may be that of the link, so it has no effect on other
+    processes, which may still reach the peer.
 
     Args:
         state: The replica; changed.
-        now: This process's time.
-        address: The peer's data address.
+        now: Current time, in seconds of this process's clock.
+        address: Data address of the peer.
     """
     state.fetching.discard(address)
     failed = state.failures.get(address, 0)
     state.failures[address] = failed + 1
-    longest = MAX_BACKOFF if state.settled else 2 * INITIAL_BACKOFF
-    pause = min(longest, INITIAL_BACKOFF * 2.0 ** min(failed, 8))
+    max_pause = MAX_BACKOFF if state.settled else 2 * INITIAL_BACKOFF
+    pause = min(max_pause, INITIAL_BACKOFF * 2.0 ** min(failed, 8))
     state.blocked_until[address] = now + pause * state.jitter.uniform(0.5, 1.5)
     for name, vm in state.directory.vms.items():
         if vm.data == address:
@@ -242,7 +270,7 @@
 
 
 def is_listed_host(directory: membership.Directory, host: str) -> bool:
-    """Tells whether an IP number is one of the fleet's."""
+    """Returns whether an IP address is that of a listed VM."""
     return any(
         host in (vm.data.rpartition(":")[0], vm.control.rpartition(":")[0])
         for vm in directory.vms.values()
--- a/sycamorefall/replication/replica.py
+++ b/sycamorefall/replication/replica.py
@@ -1,4 +1,4 @@
-"""A process's replica of what the platform publishes; no I/O."""
+"""A process's replica of the documents that the platform publishes; no I/O."""
 
 __all__ = [
     "WARNINGS",
@@ -28,13 +28,14 @@
 
 
 class EventKind(enum.Enum):
-    """What a document changed at this process.
-
-    TEXT_ADOPTED: another configuration is in force.
-    TEXT_REFUSED: a text is not valid.
-    TEXT_CONFLICT: two texts came under one revision.
-    LIST_REPLACED: another list of VMs is in use.
-    PLATFORM_OLDER: the platform showed less than peers had at the start.
+    """Type of a change of the replica.
+
+    TEXT_ADOPTED: another configuration came into force.
+    TEXT_REFUSED: a configuration text failed validation.
+    TEXT_CONFLICT: two texts have the same revision.
+    LIST_REPLACED: another VM list came into use.
+    PLATFORM_OLDER: at the start, the platform published a lower revision than
+        peers held.
     """
 
     TEXT_ADOPTED = "configuration.adopted"
@@ -51,12 +52,17 @@
         EventKind.PLATFORM_OLDER,
     }
 )
-"""Events that operators should look at."""
+"""Kinds of events that are logged as warnings, for operators to look into."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Event:
-    """A change, for the log and for whoever acts on it."""
+    """A change of the replica, which the caller logs and acts on.
+
+    Attributes:
+        kind: Type of the change.
+        detail: Description of the change for the log.
+    """
 
     kind: EventKind
     detail: str
@@ -64,45 +70,56 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PeerView:
-    """What a peer last said about its documents.
+    """Documents that a peer holds, as its last control messages said.
 
     Attributes:
-        text: Revision of the text in force there.
-        vms: Revision of the VM list in use there.
-        fingerprint: Stands for all its documents; 0 if it is starting.
+        text_revision: Revision of the configuration text in force at the
+            peer.
+        vms_revision: Revision of the VM list in use at the peer.
+        fingerprint: Checksum of the heads of all the peer's documents; 0 if
+            the peer isn't settled.
     """
 
-    text: int = 0
-    vms: int = 0
+    text_revision: int = 0
+    vms_revision: int = 0
     fingerprint: int = 0
 
 
 @dataclasses.dataclass(slots=True)
 class ReplicaState:
-    """Documents of this process and what it knows of its peers'.
+    """Documents of this process, and what it knows about its peers' documents.
+
+    Addresses are data addresses, `IP:port`.
 
     Attributes:
-        vm: This VM's name.
-        versions: The configuration in force; empty until settled.
-        directory: The VMs of the fleet.
-        startup_versions: Texts read before the process is settled.
-        fixed_peers: Data addresses to ask before any list is known.
-        jitter: Source of jitter and choice.
-        settled: Whether peers and platform were asked since the start.
-        published_revisions: The platform's last answered revision by kind.
-        lagging_revisions: The platform's revision by kind, where it is lower
-            than ours.
-        peer_views: What peers said, by VM name.
-        fetched_views: What a peer had said when it was last asked, by VM name.
-        peers_ahead: Peers that may have something newer.
-        settled_by_address: Whether a peer was settled when it answered, by
+        vm: Name of this process's VM.
+        versions: Configuration texts of the process; empty until settled.
+        directory: VMs of the fleet.
+        startup_versions: Configuration texts received until the process is
+            settled.
+        fixed_peers: Addresses of peers to fetch from before a VM list is
+            known.
+        jitter: Random number generator of jitter and random choices.
+        settled: Whether enough peers and the platform have answered since the
+            start, so that the process may serve.
+        published_revisions: Revision in the platform's last response, by
+            kind.
+        lagging_revisions: The platform's revision, by kind, where it is lower
+            than the revision that this process knows.
+        peer_views: Last announced documents of the peers, by VM name.
+        fetched_views: View of a peer at the last fetch from it, by VM name.
+        peers_ahead: VM names of peers that may hold newer documents.
+        settled_by_address: Whether a peer was settled when it last answered,
+            by address.
+        failures: Consecutive failed fetches, by address.
+        blocked_until: Time before which nothing is fetched from a peer, by
             address.
-        failures: Failed fetches in a row, by address.
-        blocked_until: When an address may be asked again.
-        fetching: Addresses that are being asked.
-        next_fetch_at: When the next fetch is due.
-        tried_addresses: Addresses tried since the start, until settled.
-        grace_ends_at: When a starting fleet need not wait for more answers.
+        fetching: Addresses with a fetch in progress.
+        next_fetch_at: Time at which the next fetch is due.
+        tried_addresses: Addresses from which a fetch was tried until the
+            process was settled.
+        grace_ends_at: Time after which a process in a starting fleet settles
+            with fewer answers; 0 until a first peer has answered.
     """
 
     vm: str
@@ -135,7 +152,10 @@
 
     @property
     def current_versions(self) -> configuration.VersionState:
-        """Where texts are offered: the draft until settled."""
+        """The startup versions until settled, then the regular ones.
+
+        New configuration texts are submitted to these.
+        """
         return self.versions if self.settled else self.startup_versions
 
 
@@ -149,17 +169,19 @@
     """Creates the replica of a process that has just started.
 
     Args:
-        vm: This VM's name.
-        versions: The process's configuration, changed once it is settled.
-        directory: The process's VMs, changed with each newer list.
-        fixed_peers: Data addresses to ask before any list is known.
-        seed: Seed of jitter and choice.
+        vm: Name of this process's VM.
+        versions: The process's configuration texts; the replica changes them
+            once it is settled.
+        directory: VMs of the fleet; the replica applies newer VM lists to it.
+        fixed_peers: Data addresses of peers to fetch from before a VM list is
+            known.
+        seed: Seed of jitter and random choices.
 
     Returns:
         The state.
     """
-    source = random.Random(seed)
-    return ReplicaState(vm, versions, directory, fixed_peers, source)
+    generator = random.Random(seed)
+    return ReplicaState(vm, versions, directory, fixed_peers, generator)
 
 
 def list_documents(
@@ -177,15 +199,15 @@
 def apply_published_text(
     state: ReplicaState, revision: int, text: str
 ) -> list[Event]:
-    """Takes the operators' text as the platform published it.
+    """Applies a configuration text that the platform published.
 
     Args:
         state: The replica; changed.
-        revision: Its revision.
+        revision: Revision of the text.
         text: The text.
 
     Returns:
-        What changed.
+        The changes.
     """
     record_published_revision(state, Kind.TEXT, revision)
     if revision < 1:
@@ -197,33 +219,33 @@
 def apply_published_list(
     state: ReplicaState, vms: membership.VmList
 ) -> list[Event]:
-    """Takes the list of VMs as the platform published it.
+    """Applies a VM list that the platform published.
 
     Args:
         state: The replica; changed.
         vms: The list.
 
     Returns:
-        What changed.
+        The changes.
     """
     record_published_revision(state, Kind.VMS, vms.revision)
-    return _replace_list(state, vms) if vms.revision >= 1 else []
+    return _apply_vm_list(state, vms) if vms.revision >= 1 else []
 
 
 def record_published_revision(
     state: ReplicaState, kind: Kind, revision: int
 ) -> None:
-    """Notes the platform's revision of a value.
+    """Records the revision of a document that the platform publishes.
 
-    Guards against a platform that was rebuilt and counts from a low number:
-    nothing it publishes would ever be taken, and nobody would know why. Such
-    a platform is not followed, but shown in the status until it has caught
-    up.
+    A platform that was rebuilt counts revisions from a low number again.
+    Nothing that it publishes is adopted until its revisions have caught up.
+    The status shows this as an alarm, so that operators know why their
+    changes have no effect.
 
     Args:
         state: The replica; changed.
-        kind: Which value.
-        revision: The platform's revision of it.
+        kind: Kind of the document.
+        revision: Revision that the platform publishes.
     """
     state.published_revisions[kind] = revision
     if revision < get_known_revision(state, kind):
@@ -233,7 +255,11 @@
 
 
 def get_known_revision(state: ReplicaState, kind: Kind) -> int:
-    """Finds the newest revision of a kind that this process has judged."""
+    """Returns the highest known revision of a kind of document.
+
+    A configuration text counts as known once it was validated, also if it was
+    refused.
+    """
     if kind is Kind.TEXT:
         return state.current_versions.revision
     return state.directory.revision
@@ -242,33 +268,33 @@
 def apply_document(
     state: ReplicaState, kind: Kind, document: configuration.Document
 ) -> list[Event]:
-    """Takes a document if it is newer, whoever it comes from.
+    """Applies a document if it is newer, from the platform or from a peer.
 
     Args:
         state: The replica; changed.
-        kind: What the document is.
+        kind: Kind of the document.
         document: The document.
 
     Returns:
-        What changed.
+        The changes.
     """
     if kind is not Kind.VMS:
-        return _offer_text(state, document)
+        return _submit_text(state, document)
     vms = membership.parse_vm_list_document(document)
-    return [] if vms is None else _replace_list(state, vms)
+    return [] if vms is None else _apply_vm_list(state, vms)
 
 
 def detect_conflict(
     state: ReplicaState, heads: tuple[configuration.DocumentHead, ...]
 ) -> list[Event]:
-    """Notes that a peer holds another text under the revision in force.
+    """Detects that a peer holds another text with the revision in force.
 
     Args:
         state: The replica; changed.
-        heads: What the peer holds.
+        heads: Heads of the documents that the peer holds.
 
     Returns:
-        The conflict, if it is new.
+        An event that describes the conflict, if it is new.
     """
     versions = state.current_versions
     before = versions.conflict
@@ -281,7 +307,11 @@
 
 
 def list_heads(state: ReplicaState) -> tuple[configuration.DocumentHead, ...]:
-    """Lists the heads of all documents held, and that of a losing text."""
+    """Lists the heads of the documents that this process holds.
+
+    The head of a conflicting text that isn't in force (`Kind.RIVAL`) is
+    included, so that the peers learn of the conflict.
+    """
     heads = [
         configuration.DocumentHead(kind, document.revision, document.digest)
         for kind, document in list_documents(state).items()
@@ -296,20 +326,20 @@
     return tuple(heads)
 
 
-def _replace_list(state: ReplicaState, vms: membership.VmList) -> list[Event]:
+def _apply_vm_list(state: ReplicaState, vms: membership.VmList) -> list[Event]:
     if not membership.apply_vm_list(state.directory, vms):
         return []
     return [Event(EventKind.LIST_REPLACED, f"revision {vms.revision}")]
 
 
-def _offer_text(
+def _submit_text(
     state: ReplicaState, document: configuration.Document
 ) -> list[Event]:
     versions = state.current_versions
     conflict, refusal = versions.conflict, versions.refusal
-    adoption = configuration.submit_document(versions, document)
+    outcome = configuration.submit_document(versions, document)
     events: list[Event] = []
-    if adoption is configuration.SubmitOutcome.ADOPTED and state.settled:
+    if outcome is configuration.SubmitOutcome.ADOPTED and state.settled:
         detail = f"revision {document.revision}"
         events.append(Event(EventKind.TEXT_ADOPTED, detail))
     if versions.refusal and versions.refusal != refusal:
@@ -321,9 +351,9 @@
 
 
 def describe_alarms(state: ReplicaState) -> tuple[str, ...]:
-    """Describes what operators have to mend at the platform."""
+    """Describes problems of the platform that operators have to fix."""
     return tuple(
-        f"the platform shows {kind.value} revision {revision}, lower than the "
-        "one in use: it is ignored until it is higher"
+        f"the platform publishes {kind.value} revision {revision}, lower than "
+        "the one in use: it is ignored until it is higher"
         for kind, revision in state.lagging_revisions.items()
     )
--- a/sycamorefall/replication/settling.py
+++ b/sycamorefall/replication/settling.py
@@ -1,4 +1,9 @@
-"""When a process that started without memory may serve; no I/O."""
+"""Decides when a starting process has learned enough to serve; no I/O.
+
+A process stores nothing on disk. After its start it asks the platform and its
+peers for their documents. It is settled once enough of them have answered, and
+puts the newest valid configuration in force only then.
+"""
 
 __all__ = ["try_settle"]
 
@@ -7,38 +12,44 @@
 from sycamorefall.replication import peers, replica
 
 MIN_ANSWERS = 3
-"""Peers whose answer is waited for, if there are so many."""
+"""Number of peers, at least one of them settled, that have to answer.
+
+Fewer suffice if there are fewer peers or all of them have been tried.
+"""
 
 MIN_STARTING_PEERS = 5
-"""Starting peers that show that the whole fleet is starting."""
+"""Number of starting peers from which the whole fleet counts as starting."""
 
 PLATFORM_KINDS = (replica.Kind.TEXT, replica.Kind.VMS)
-"""What the platform publishes."""
+"""Kinds of the documents that the platform publishes."""
 
 STARTUP_GRACE = 5.0
-"""Seconds until fewer starting peers are enough."""
+"""Seconds after which fewer than `MIN_STARTING_PEERS` are enough."""
 
 
 def try_settle(state: replica.ReplicaState, now: float) -> list[replica.Event]:
-    """Takes the highest documents into force once enough were asked.
+    """Settles a starting process once enough peers have answered.
 
-    Guards against a restart while the platform is stale: the process has no
-    memory, so the platform's old text would look new to it and go back into
-    force. It therefore serves nothing until a settled peer has answered too,
-    or until nobody is found who is not starting as well.
+    The newest valid configuration text found since the start comes into
+    force.
 
-    Cut off from all peers it never settles, and never says ready. That is
-    right also while the platform answers: it may be stale, and a process
-    that reaches no other one has nobody to serve.
+    A process that restarts while the platform is stale stores nothing by
+    which it could tell that the platform's text is old. It therefore serves
+    only after a settled peer has answered as well, or after enough peers have
+    answered that they are starting too.
+
+    A process that reaches none of its peers never settles and never reports
+    ready, even if the platform answers: the platform may be stale, and a
+    process that reaches no other has nobody to serve.
 
     Args:
         state: The replica; changed.
-        now: This process's time.
+        now: Current time, in seconds of this process's clock.
 
     Returns:
-        What changed.
+        The changes; empty if the process doesn't settle now.
     """
-    if state.settled or not _has_asked_enough(state, now):
+    if state.settled or not _has_enough_answers(state, now):
         return []
     state.settled = True
     for field in dataclasses.fields(state.startup_versions):
@@ -50,48 +61,52 @@
     peers.update_peers_ahead(state, now)
     detail = f"revision {state.versions.in_force}"
     adopted = replica.Event(replica.EventKind.TEXT_ADOPTED, detail)
-    return [adopted, *_compare_platform(state)]
+    return [adopted, *_detect_older_platform(state)]
 
 
-def _compare_platform(state: replica.ReplicaState) -> list[replica.Event]:
+def _detect_older_platform(state: replica.ReplicaState) -> list[replica.Event]:
     events: list[replica.Event] = []
     for kind in PLATFORM_KINDS:
-        shown = state.published_revisions.get(kind)
+        published = state.published_revisions.get(kind)
         known = replica.get_known_revision(state, kind)
-        if shown is not None and shown < known:
-            detail = f"{kind.value} revision {shown}, peers had {known}"
+        if published is not None and published < known:
+            detail = f"{kind.value} revision {published}, peers had {known}"
             event = replica.EventKind.PLATFORM_OLDER
             events.append(replica.Event(event, detail))
     return events
 
 
-def _has_asked_enough(state: replica.ReplicaState, now: float) -> bool:
+def _has_enough_answers(state: replica.ReplicaState, now: float) -> bool:
     if (
         state.startup_versions.configuration is None
         or not state.directory.revision
     ):
         return False
-    others = peers.list_peer_addresses(state)
+    addresses = peers.list_peer_addresses(state)
     platform_read = len(state.published_revisions) == len(PLATFORM_KINDS)
-    if not others:
+    if not addresses:
         return platform_read
     if any(state.settled_by_address.values()):
         return len(state.settled_by_address) >= min(
-            MIN_ANSWERS, len(others)
-        ) or not _has_untried(state, others)
-    return platform_read and _is_fleet_starting(state, now, others)
+            MIN_ANSWERS, len(addresses)
+        ) or not _has_untried_peers(state, addresses)
+    return platform_read and _is_fleet_starting(state, now, addresses)
 
 
-def _has_untried(state: replica.ReplicaState, others: list[str]) -> bool:
-    return bool(state.fetching) or not state.tried_addresses.issuperset(others)
+def _has_untried_peers(
+    state: replica.ReplicaState, addresses: list[str]
+) -> bool:
+    return bool(state.fetching) or not state.tried_addresses.issuperset(
+        addresses
+    )
 
 
 def _is_fleet_starting(
-    state: replica.ReplicaState, now: float, others: list[str]
+    state: replica.ReplicaState, now: float, addresses: list[str]
 ) -> bool:
     if not state.settled_by_address:
         return False
-    if len(state.settled_by_address) >= min(MIN_STARTING_PEERS, len(others)):
+    if len(state.settled_by_address) >= min(MIN_STARTING_PEERS, len(addresses)):
         return True
     if not state.grace_ends_at:
         state.grace_ends_at = now + STARTUP_GRACE
--- a/sycamorefall/replication/tests/test_replica.py
+++ b/sycamorefall/replication/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""Two or three replicas whose messages a test carries by hand."""
+"""Replicas of two or three processes; the tests pass on their messages."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 NAMES = ("a", "b", "c")
 
 
-def make_list(revision, names=NAMES):
+def create_list(revision, names=NAMES):
     return membership.VmList(
         revision,
         tuple(
@@ -36,7 +36,7 @@
 
 
 def read_platform(state, revision=1, weight=1, vms_revision=1):
-    replica.apply_published_list(state, make_list(vms_revision))
+    replica.apply_published_list(state, create_list(vms_revision))
     return replica.apply_published_text(state, revision, write_text(weight))
 
 
@@ -52,27 +52,27 @@
 
 
 def fetch(state, now, source):
-    """Carries one whole fetch from a source, and returns what changed."""
+    """Performs a complete fetch from a source and returns the changes."""
     offer = offers.create_offer(source, offers.create_offer_request(state))
-    wanted = offers.create_block_request(state, offer)
-    blocks = offers.collect_blocks(source, wanted)
-    events, is_whole = offers.apply_offer(state, offer, blocks)
-    assert is_whole
+    request = offers.create_block_request(state, offer)
+    blocks = offers.collect_blocks(source, request)
+    events, is_complete = offers.apply_offer(state, offer, blocks)
+    assert is_complete
     address = state.directory.vms[source.vm].data if source.vm else ""
     peers.record_success(state, now, address, offer.settled)
     return events
 
 
-def hear(state, now, source):
-    beat = peers.add_replica_info(source, messages.Heartbeat())
+def receive_heartbeat(state, now, source):
+    heartbeat = peers.add_replica_info(source, messages.Heartbeat())
     revision = source.versions.in_force
-    envelope = messages.Envelope(source.vm, 1, revision, beat)
+    envelope = messages.Envelope(source.vm, 1, revision, heartbeat)
     peers.record_envelope(state, now, envelope)
 
 
-def test_higher_revision_is_fetched_from_the_peer_that_says_it():
+def test_higher_revision_is_fetched_from_the_peer_that_announces_it():
     old, new = create_settled("a"), create_settled("b", 2, weight=2)
-    hear(old, 1.0, new)
+    receive_heartbeat(old, 1.0, new)
     due = peers.find_next_due(old)
     assert due <= 1.0 + peers.FETCH_JITTER
     assert peers.start_due_fetches(old, due) == ["10.0.0.1:2"]
@@ -81,16 +81,16 @@
     assert peers.find_next_due(old) == float("inf")
 
 
-def test_lower_revision_is_not_asked_for():
+def test_lower_revision_is_not_fetched():
     old, new = create_settled("a"), create_settled("b", 2)
-    hear(new, 1.0, old)
+    receive_heartbeat(new, 1.0, old)
     assert peers.start_due_fetches(new, 9.0) == []
 
 
-def test_two_texts_under_one_revision_become_one_and_both_sides_show_it():
+def test_two_texts_with_one_revision_converge_and_show_a_conflict():
     one, two = create_settled("a", 2, weight=1), create_settled("b", 2, 2)
-    hear(one, 1.0, two)
-    hear(two, 1.0, one)
+    receive_heartbeat(one, 1.0, two)
+    receive_heartbeat(two, 1.0, one)
     assert peers.start_due_fetches(one, 9.0)
     assert peers.start_due_fetches(two, 9.0)
     fetch(one, 9.0, two)
@@ -102,9 +102,9 @@
     assert three.versions.conflict == one.versions.conflict
 
 
-def test_starting_process_takes_the_peers_text_over_a_stale_platforms():
-    # The platform shows an old text as the process starts. Only a peer knows
-    # better, so nothing is in force before a peer has answered.
+def test_starting_process_prefers_a_peers_text_to_a_stale_platforms():
+    # The platform publishes an old text while the process starts. Only a peer
+    # knows the newer text, so no text is in force until a peer has answered.
     state = start_replica("a")
     read_platform(state, revision=1, weight=1)
     settling.try_settle(state, 0.0)
@@ -119,7 +119,7 @@
 def test_starting_process_waits_for_several_peers_in_a_large_fleet():
     state = start_replica("a")
     names = [f"vm-{index}" for index in range(9)]
-    replica.apply_published_list(state, make_list(1, ["a", *names]))
+    replica.apply_published_list(state, create_list(1, ["a", *names]))
     replica.apply_published_text(state, 1, write_text(1))
     addresses = peers.start_due_fetches(state, 0.0)
     assert len(addresses) == peers.MAX_STARTUP_FETCHES
@@ -131,7 +131,7 @@
     assert state.settled
 
 
-def test_fleet_that_starts_as_a_whole_settles_on_the_platforms_text():
+def test_whole_fleet_that_starts_settles_on_the_platforms_text():
     state = start_replica("a")
     read_platform(state)
     for address in peers.list_peer_addresses(state):
@@ -153,7 +153,7 @@
     assert not state.settled
 
 
-def test_starting_process_offers_nothing_that_a_stale_platform_gave_it():
+def test_starting_process_offers_no_documents():
     state = start_replica("a")
     read_platform(state)
     assert offers.create_offer(state, offers.OfferRequest(())) == offers.Offer(
@@ -161,9 +161,9 @@
     )
 
 
-def test_platform_rebuilt_with_low_numbers_is_shown_and_not_followed():
-    # The platform was rebuilt and counts from 1 again, for ever. Operators
-    # edit, nothing changes, and nobody would know why.
+def test_rebuilt_platform_with_low_revisions_raises_an_alarm():
+    # The platform was rebuilt and counts revisions from 1 again. The operators'
+    # changes have no effect until it has caught up; the alarm shows why.
     state = create_settled("a", 7, weight=7, vms_revision=7)
     assert read_platform(state, 1, weight=1, vms_revision=1) == []
     assert state.versions.configuration.teams["a"].weight == 7
@@ -172,11 +172,11 @@
     assert replica.describe_alarms(state) == ()
 
 
-def test_failing_peer_is_backed_off_from_and_others_are_asked():
+def test_failing_peer_is_backed_off_from_and_another_is_chosen():
     state = create_settled("a")
     newer = create_settled("b", 2), create_settled("c", 2)
     for source in newer:
-        hear(state, 1.0, source)
+        receive_heartbeat(state, 1.0, source)
     first = peers.start_due_fetches(state, 9.0)
     peers.record_failure(state, 9.0, first[0])
     second = peers.start_due_fetches(state, 9.0)
@@ -185,6 +185,6 @@
 
 
 @pytest.mark.parametrize("kind", [offers.Offer, offers.Blocks])
-def test_garbage_from_a_peer_is_refused(kind):
+def test_malformed_message_from_a_peer_is_refused(kind):
     with pytest.raises(errors.MessageRefused):
         offers.decode(b"\xc1garbage", kind)
--- a/sycamorefall/replication/tests/test_replication_machine.py
+++ b/sycamorefall/replication/tests/test_replication_machine.py
@@ -1,4 +1,4 @@
-"""Two routers and three sidecars under every failure of links and platform."""
+"""Two routers and three sidecars with failing links, platform and processes."""
 
 import dataclasses
 
@@ -16,7 +16,7 @@
 ROUTERS = ("router-0", "router-1")
 SIDECARS = ("engine-0", "engine-1", "engine-2")
 NAMES = ROUTERS + SIDECARS
-BAD_TEXT = "[service ledger]\nkind = odd\n"
+INVALID_TEXT = "[service ledger]\nkind = odd\n"
 
 names = st.sampled_from(NAMES)
 
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass
 class Process:
-    """A process's decisions, and the keys it had in force last."""
+    """A process, and the sort keys of its documents at the last check."""
 
     core: object
     state: object
@@ -65,7 +65,10 @@
 
 
 class Fleet(stateful.RuleBasedStateMachine):
-    """Messages wait in `wire` until a rule delivers, repeats or drops them."""
+    """State machine that delivers, repeats and drops control messages.
+
+    Sent messages stay in `in_flight` until a rule handles them.
+    """
 
     def __init__(self):
         super().__init__()
@@ -74,8 +77,8 @@
         self.texts = [(1, write_text(1))]
         self.lists = [write_list(1, set())]
         self.leaving = set()
-        self.cuts = set()
-        self.wire = []
+        self.cut_links = set()
+        self.in_flight = []
         self.processes = {name: start_process(name, 1) for name in NAMES}
         self.settle_all()
 
@@ -90,10 +93,10 @@
         for name in NAMES:
             self.run_timers(name)
             self.fetch(name)
-        while self.wire:
-            self.hand_over(*self.wire.pop(0))
+        while self.in_flight:
+            self.receive(*self.in_flight.pop(0))
 
-    # What a process does.
+    # Actions of a process, called by the rules.
 
     def send(self, name, outcome):
         process = self.processes[name]
@@ -109,24 +112,26 @@
                 process.state.versions.in_force,
                 peers.add_replica_info(process.replica, effect.message),
             )
-            self.wire.append((name, effect.to, envelope))
+            self.in_flight.append((name, effect.to, envelope))
 
-    def hand_over(self, sender, to, envelope):
-        if (sender, to) in self.cuts:
+    def receive(self, sender, to, envelope):
+        if (sender, to) in self.cut_links:
             return
         process = self.processes[to]
         peers.record_envelope(process.replica, self.now, envelope)
-        news = process.core.receive_message(process.state, self.now, envelope)
-        self.send(to, news)
+        outcome = process.core.receive_message(
+            process.state, self.now, envelope
+        )
+        self.send(to, outcome)
 
-    def take(self, name, events):
+    def handle_events(self, name, events):
         process = self.processes[name]
         if events and process.replica.settled:
             process.core.apply_configuration(process.state)
 
     def settle(self, name):
         held = self.processes[name].replica
-        self.take(name, settling.try_settle(held, self.now))
+        self.handle_events(name, settling.try_settle(held, self.now))
 
     # Rules.
 
@@ -138,24 +143,26 @@
 
     @stateful.rule(name=names)
     def read_platform(self, name):
-        self.take_published(name, *self.texts[-1], self.lists[-1])
+        self.apply_published(name, *self.texts[-1], self.lists[-1])
 
     @stateful.rule(name=names, back=st.integers(1, 3))
     def read_stale_platform(self, name, back):
         revision, text = self.texts[max(0, len(self.texts) - 1 - back)]
         listed = self.lists[max(0, len(self.lists) - 1 - back)]
-        self.take_published(name, revision, text, listed)
+        self.apply_published(name, revision, text, listed)
 
     @stateful.rule(name=names)
-    def read_split_platform(self, name):
+    def read_partitioned_platform(self, name):
         revision, _ = self.texts[-1]
         listed = write_list(self.lists[-1].revision, {SIDECARS[1]})
-        self.take_published(name, revision, write_text(0.5), listed)
+        self.apply_published(name, revision, write_text(0.5), listed)
 
-    def take_published(self, name, revision, text, listed):
+    def apply_published(self, name, revision, text, listed):
         held = self.processes[name].replica
-        self.take(name, replica.apply_published_list(held, listed))
-        self.take(name, replica.apply_published_text(held, revision, text))
+        self.handle_events(name, replica.apply_published_list(held, listed))
+        self.handle_events(
+            name, replica.apply_published_text(held, revision, text)
+        )
         peers.update_peers_ahead(held, self.now)
         self.settle(name)
 
@@ -164,32 +171,34 @@
         held = self.processes[name].replica
         for address in peers.start_due_fetches(held, self.now):
             source = NAMES[int(address.split(".")[3].split(":")[0])]
-            if {(name, source), (source, name)} & self.cuts:
+            if {(name, source), (source, name)} & self.cut_links:
                 peers.record_failure(held, self.now, address)
                 continue
             other = self.processes[source].replica
             offer = offers.create_offer(
                 other, offers.create_offer_request(held)
             )
-            wanted = offers.create_block_request(held, offer)
-            blocks = offers.collect_blocks(other, wanted)
-            events, is_whole = offers.apply_offer(held, offer, blocks)
-            assert is_whole
-            self.take(name, events)
+            request = offers.create_block_request(held, offer)
+            blocks = offers.collect_blocks(other, request)
+            events, is_complete = offers.apply_offer(held, offer, blocks)
+            assert is_complete
+            self.handle_events(name, events)
             peers.record_success(held, self.now, address, offer.settled)
         self.settle(name)
 
     @stateful.rule(index=st.integers(0, 200), again=st.booleans())
     def deliver(self, index, again):
-        if self.wire:
-            index %= len(self.wire)
-            message = self.wire[index] if again else self.wire.pop(index)
-            self.hand_over(*message)
+        if self.in_flight:
+            index %= len(self.in_flight)
+            message = (
+                self.in_flight[index] if again else self.in_flight.pop(index)
+            )
+            self.receive(*message)
 
     @stateful.rule(index=st.integers(0, 200))
-    def lose(self, index):
-        if self.wire:
-            self.wire.pop(index % len(self.wire))
+    def drop(self, index):
+        if self.in_flight:
+            self.in_flight.pop(index % len(self.in_flight))
 
     @stateful.rule(seconds=st.sampled_from([0.1, 1.0, 5.0, 40.0]))
     def wait(self, seconds):
@@ -210,34 +219,34 @@
         self.processes[name] = start_process(name, self.incarnation)
 
     @stateful.rule(one=names, other=names)
-    def cut(self, one, other):
-        self.cuts.add((one, other))
+    def cut_link(self, one, other):
+        self.cut_links.add((one, other))
 
     @stateful.rule()
     def heal_links(self):
-        self.cuts.clear()
+        self.cut_links.clear()
 
-    @stateful.rule(name=names, bad=st.booleans())
-    def publish_text(self, name, bad):
+    @stateful.rule(name=names, invalid=st.booleans())
+    def publish_text(self, name, invalid):
         revision = self.texts[-1][0] + 1
-        text = BAD_TEXT if bad else write_text(revision)
+        text = INVALID_TEXT if invalid else write_text(revision)
         self.texts.append((revision, text))
         self.read_platform(name)
 
     @stateful.rule(name=st.sampled_from(SIDECARS))
-    def mark(self, name):
+    def toggle_leaving(self, name):
         self.leaving ^= {name}
         revision = self.lists[-1].revision + 1
         self.lists.append(write_list(revision, self.leaving))
         self.read_platform(name)
 
     @stateful.rule(rounds=st.integers(1, 4))
-    def flow(self, rounds):
+    def run_rounds(self, rounds):
         for _ in range(rounds):
             self.run_round(())
 
     @stateful.invariant()
-    def never_goes_back(self):
+    def documents_never_get_older(self):
         for process in self.processes.values():
             document = process.state.versions.document
             vms = process.state.directory.document
@@ -248,10 +257,13 @@
             process.text_key, process.vms_key = text_key, vms_key
 
     def teardown(self):
-        """After healing all agree, though one process alone watches."""
-        self.cuts.clear()
-        self.publish_text(ROUTERS[0], bad=False)
-        self.mark(SIDECARS[0])
+        """Once links work again, all processes agree, though only one reads.
+
+        Starting processes read the platform as well until they are settled.
+        """
+        self.cut_links.clear()
+        self.publish_text(ROUTERS[0], invalid=False)
+        self.toggle_leaving(SIDECARS[0])
         for _ in range(90):
             starting = [
                 name
@@ -259,7 +271,7 @@
                 if not self.processes[name].replica.settled
             ]
             self.run_round(sorted({*starting, ROUTERS[0]}))
-            self.never_goes_back()
+            self.documents_never_get_older()
         states = [process.state for process in self.processes.values()]
         assert len({state.versions.document.key for state in states}) == 1
         assert len({state.directory.document.key for state in states}) == 1
