--- a/sycamorefall/authentication.py
+++ b/sycamorefall/authentication.py
@@ -1,8 +1,9 @@
-"""Who may speak between the processes: a key that all of them share.
+"""Authentication between processes by a shared key.
 
-Control messages and hand-outs carry a keyed digest (HMAC-SHA256), so that
-nobody without the key can claim work, announce work or have a sidecar run
-anything. Nothing is encrypted: whoever reads the network reads requests.
+Control messages, attempt orders, and requests and responses between replicas
+carry a keyed digest (HMAC-SHA256). Without the key, nobody can claim work,
+announce work or have a sidecar run a request. Nothing is encrypted: whoever can
+read the network can read requests.
 """
 
 __all__ = ["Authenticator", "create_authenticator"]
@@ -13,78 +14,80 @@
 
 from sycamorefall import errors, messages, settings
 
-LEAST_KEY_LENGTH = 32
-"""Characters that a key must have."""
+MIN_KEY_LENGTH = 32
+"""Minimum length of a key, in characters."""
 
 DIGEST_SIZE = 16
-"""Bytes of a control message's digest, truncated as RFC 2104 allows."""
+"""Size of a control message's digest in bytes; truncated as RFC 2104 allows."""
 
-_COUNTER = struct.Struct(">Q")
-_HEAD_SIZE = DIGEST_SIZE + _COUNTER.size
+_UINT64 = struct.Struct(">Q")
+_HEADER_SIZE = DIGEST_SIZE + _UINT64.size
 
 
 class Authenticator:
-    """Signs what this process sends and checks what it receives.
+    """Signs the messages that this process sends and verifies received ones.
 
-    The first key signs; a digest by any of the keys is accepted, so that a
-    key can be replaced one process after another.
+    The first key signs, and a digest by any of the keys is accepted. Keys can
+    therefore be replaced one process after another.
 
     Attributes:
-        vm: This VM's name.
+        vm: Name of this VM.
     """
 
-    __slots__ = ("_counter", "_keys", "_seen", "vm")
+    __slots__ = ("_counter", "_keys", "_last_positions", "vm")
 
     def __init__(self, vm: str, keys: tuple[bytes, ...] = ()):
         self.vm = vm
         self._keys = keys
         self._counter = 0
-        self._seen: dict[str, tuple[int, int]] = {}
+        self._last_positions: dict[str, tuple[int, int]] = {}
 
     @property
     def enabled(self) -> bool:
-        """Whether there is a key; without one everybody is believed."""
+        """Whether there is a key. Without one, every message is accepted."""
         return bool(self._keys)
 
     def sign_message(self, to: str, data: bytes) -> bytes:
-        """Puts a counter and a digest before a control message.
+        """Prepends a digest and a counter to a control message.
 
         Args:
-            to: VM name of the receiver. It enters the digest, so a message
-                that was overheard can't be sent to another process.
+            to: VM name of the receiver. The digest covers it, so a captured
+                message can't be sent to another process.
             data: The encoded envelope.
 
         Returns:
-            What to send.
+            The bytes to send; `data` itself if there is no key.
         """
         if not self._keys:
             return data
         self._counter += 1
-        counter = _COUNTER.pack(self._counter)
+        counter = _UINT64.pack(self._counter)
         digest = _digest(self._keys[0], b"control", to, counter, data)
         return digest[:DIGEST_SIZE] + counter + data
 
     def verify_message(self, data: bytes) -> messages.Envelope:
-        """Checks and decodes a control message.
+        """Verifies and decodes a control message.
 
-        Guards against repetition by a third party: a counter that is not
-        higher than the last one of the same sender's process is refused, and
-        so is an earlier process of the sender. Messages of a link come in
-        order, and one that is refused counts as lost.
+        Replayed messages are refused: the counter has to be higher than in the
+        last message from the same process, and messages from an earlier process
+        of the sender are refused. The messages on a connection arrive in order,
+        and a refused message counts as lost.
 
         Args:
-            data: Bytes as received.
+            data: The bytes as received.
 
         Returns:
             The envelope.
 
         Raises:
-            errors.MessageRefused: Not signed, repeated or not an envelope.
+            errors.MessageRefused: The digest is wrong or missing, the message
+                was replayed or comes from an earlier process of the sender, or
+                the data is not an envelope.
         """
         if not self._keys:
             return messages.decode_envelope(data)
         digest, rest = data[:DIGEST_SIZE], data[DIGEST_SIZE:]
-        counter, encoded = rest[: _COUNTER.size], data[_HEAD_SIZE:]
+        counter, encoded = rest[: _UINT64.size], data[_HEADER_SIZE:]
         expected = (
             _digest(key, b"control", self.vm, counter, encoded)[:DIGEST_SIZE]
             for key in self._keys
@@ -92,37 +95,38 @@
         if not any(hmac.compare_digest(digest, one) for one in expected):
             raise errors.MessageRefused("wrong or missing digest")
         envelope = messages.decode_envelope(encoded)
-        self._check_fresh(envelope, _COUNTER.unpack(counter)[0])
+        self._check_replay(envelope, _UINT64.unpack(counter)[0])
         return envelope
 
-    def _check_fresh(self, envelope: messages.Envelope, counter: int) -> None:
+    def _check_replay(self, envelope: messages.Envelope, counter: int) -> None:
         position = (envelope.incarnation, counter)
-        if position <= self._seen.get(envelope.sender, (0, 0)):
+        if position <= self._last_positions.get(envelope.sender, (0, 0)):
             raise errors.MessageRefused(
                 f"repeated or old message of {envelope.sender}"
             )
-        self._seen[envelope.sender] = position
+        self._last_positions[envelope.sender] = position
 
     def sign_order(self, sidecar: str, order: str, body: bytes) -> str:
-        """Computes the digest of a hand-out.
+        """Computes the digest of an attempt order and its request body.
 
-        A repeated hand-out needs no counter: its claim is redeemed and its
-        attempt on record, so the sidecar refuses it.
+        The digest needs no counter against replays: the claim of a replayed
+        order is redeemed and its attempt is on record, so the sidecar refuses
+        it.
 
         Args:
             sidecar: VM name of the sidecar.
             order: The encoded `messages.AttemptOrder`.
-            body: The request's body.
+            body: Body of the request.
 
         Returns:
-            The digest in hex; empty without a key.
+            The digest in hexadecimal; empty if there is no key.
         """
         if not self._keys:
             return ""
         return _sign_order(self._keys[0], sidecar, order, body)
 
     def verify_order(self, order: str, body: bytes, digest: str) -> bool:
-        """Tells whether a hand-out to this sidecar is signed with a key."""
+        """Tells whether one of the keys signed an order to this sidecar."""
         if not self._keys:
             return True
         expected = [
@@ -132,21 +136,22 @@
         return any(hmac.compare_digest(given, one.encode()) for one in expected)
 
     def sign_body(self, path: str, body: bytes) -> str:
-        """Computes the digest of a request or answer between replicas.
+        """Computes the digest of a request or response between replicas.
 
-        A repeated one does no harm: what it offers is taken only if newer.
+        The digest needs no counter against replays: a replica applies a
+        received document only if it is newer than its own.
 
         Args:
             path: Path of the request.
-            body: Body of the request or of its answer.
+            body: Body of the request or of its response.
 
         Returns:
-            The digest in hex; empty without a key.
+            The digest in hexadecimal; empty if there is no key.
         """
         return _sign_body(self._keys[0], path, body) if self._keys else ""
 
     def verify_body(self, path: str, body: bytes, digest: str) -> bool:
-        """Tells whether a body between replicas is signed with a key."""
+        """Tells whether one of the keys signed a body between replicas."""
         if not self._keys:
             return True
         given = digest.encode("latin-1", "replace")
@@ -161,11 +166,14 @@
 
 
 def _digest(key: bytes, purpose: bytes, *parts: str | bytes) -> bytes:
-    """Computes a digest; each part's length keeps the parts apart."""
+    """Computes an HMAC of parts, each prefixed with its length.
+
+    The lengths keep different sequences of parts from having the same digest.
+    """
     encoded = (
         part.encode() if isinstance(part, str) else part for part in parts
     )
-    framed = (_COUNTER.pack(len(part)) + part for part in encoded)
+    framed = (_UINT64.pack(len(part)) + part for part in encoded)
     return hmac.digest(key, purpose + b"".join(framed), "sha256")
 
 
@@ -176,17 +184,18 @@
 def create_authenticator(
     vm: str, config: settings.SecuritySettings
 ) -> Authenticator:
-    """Creates a process's authenticator.
+    """Creates the authenticator of a process.
 
     Args:
-        vm: This VM's name.
-        config: Section `[security]` of its settings.
+        vm: Name of this VM.
+        config: Section `[security]` of the process's settings.
 
     Returns:
-        The authenticator; it believes everybody if no key file is set.
+        The authenticator. If no key file is set, it accepts every message.
 
     Raises:
-        errors.SettingsRefused: The key file can't be read or used.
+        errors.SettingsRefused: The key file can't be read, has no key, or has a
+            key that is too short.
     """
     path = config.shared_key_file
     if not path:
@@ -195,9 +204,9 @@
         lines = pathlib.Path(path).read_bytes().split()
     except OSError as fault:
         raise errors.SettingsRefused(f"shared_key_file: {fault}") from fault
-    if not lines or min(map(len, lines)) < LEAST_KEY_LENGTH:
+    if not lines or min(map(len, lines)) < MIN_KEY_LENGTH:
         raise errors.SettingsRefused(
             f"shared_key_file {path}: expected keys of at least "
-            f"{LEAST_KEY_LENGTH} characters, one a line"
+            f"{MIN_KEY_LENGTH} characters, one per line"
         )
     return Authenticator(vm, tuple(lines))
--- a/sycamorefall/effects.py
+++ b/sycamorefall/effects.py
@@ -1,4 +1,4 @@
-"""Effects shared by the decision cores: what a process should do next."""
+"""Effects that the decision logic of routers and of sidecars returns."""
 
 __all__ = [
     "SendMessage",
--- a/sycamorefall/names.py
+++ b/sycamorefall/names.py
@@ -1,11 +1,14 @@
-"""Names on the wire: as numbers, which both ends know or define once.
-
-A name is numbered by its sender, and the first message on a link that uses it
-defines the number. Where teams are too many for that, a team travels as a
-digest of its name instead: it stands in the operators' text that both ends
-hold, or else is numbered too. Messages may be lost and
-peers restart with no memory: a receiver that lacks a name says so, drops the
-message, and gets the name with the next message that uses it.
+"""Compact encoding of names in control messages.
+
+A sender numbers its names. The first message to a peer that uses a name also
+defines its index. If the configuration has many teams, the name of a team is
+sent as a digest instead, which both ends compute from their configuration.
+Names that are not in the configuration, and digests that the peer does not
+know, are numbered even then.
+
+Messages may be lost, and a peer that restarts has no memory. A receiver that
+lacks a name reports that and drops the message; the next message that uses the
+name defines it again.
 """
 
 __all__ = [
@@ -28,23 +31,24 @@
 
 from sycamorefall import messages
 
-Rename = Callable[[str | int], str | int]
+NameMapping = Callable[[str | int], str | int]
 
 
 DIGEST_FLAG = 1 << 31
-"""Numbers from here on are digests of teams in the operators' text."""
+"""Bit that is set in the digests of team names and in no index."""
 
 
 MAX_NUMBERED_TEAMS = 1000
-"""Teams of a text up to which each is numbered rather than digested."""
+"""Most teams in the configuration up to which all names are numbered; if there
+are more teams, their names are sent as digests."""
 
 
 @dataclasses.dataclass(slots=True)
 class PeerNames:
-    """Names that a peer's process defined.
+    """Names that a process of a peer has defined.
 
     Attributes:
-        incarnation: The peer's process.
+        incarnation: Number of the peer's process.
         names: Names by index.
     """
 
@@ -54,37 +58,41 @@
 
 @dataclasses.dataclass(slots=True)
 class NameTable:
-    """Names of one process and of its peers.
+    """Names that this process and its peers have defined.
 
     Attributes:
-        indexes: Indexes of own names.
-        told: Indexes that a peer was told, as bits of a number, by VM name.
-        peers: Names that peers defined, by VM name.
-        digests: Digests of the names in the text.
-        by_digest: The names by digest.
-        lacking: Digests that a peer could not read, by VM name.
+        indexes: Indexes of this process's names.
+        defined_bits: Indexes that were defined to a peer, as bits of a number,
+            by VM name.
+        peers: Names that peers have defined, by VM name.
+        digests: Digests of the teams in the configuration, by team name.
+        by_digest: Names of the teams in the configuration, by digest.
+        unknown_digests: Digests that a peer does not know, by VM name.
     """
 
     indexes: dict[str, int] = dataclasses.field(default_factory=dict)
-    told: dict[str, int] = dataclasses.field(default_factory=dict)
+    defined_bits: dict[str, int] = dataclasses.field(default_factory=dict)
     peers: dict[str, PeerNames] = dataclasses.field(default_factory=dict)
     digests: dict[str, int] = dataclasses.field(default_factory=dict)
     by_digest: dict[int, str] = dataclasses.field(default_factory=dict)
-    lacking: dict[str, set[int]] = dataclasses.field(default_factory=dict)
+    unknown_digests: dict[str, set[int]] = dataclasses.field(
+        default_factory=dict
+    )
 
 
 def update_digests(table: NameTable, names: Collection[str]) -> None:
-    """Learns the teams in the operators' text, in place of an older text's.
+    """Replaces the digests by those of the teams in a new configuration.
 
-    A few teams get no digests: a number is shorter and soon defined on every
-    link. Many would take longer to be defined than their sender lives.
+    Few teams get no digests: an index is shorter and is soon defined to every
+    peer. Defining the indexes of many teams would take longer than the sending
+    process lives.
 
-    Guards against two names with the same digest: one would be charged for
-    the other. Neither has a digest then, and both are defined on each link.
+    Two names with the same digest get none and are defined to each peer. With a
+    digest, one team would be charged for the other.
 
     Args:
-        table: This process's names; changed.
-        names: Teams of the text in force.
+        table: Names of this process; changed.
+        names: Teams of the configuration in force.
 
     Example:
         >>> table = NameTable()
@@ -96,20 +104,20 @@
     if len(names) <= MAX_NUMBERED_TEAMS:
         names = ()
     table.digests, table.by_digest = {}, {}
-    shared: set[int] = set()
+    duplicates: set[int] = set()
     for name in names:
         digest = before.get(name) or _digest(name)
         if digest in table.by_digest:
-            shared.add(digest)
+            duplicates.add(digest)
         table.by_digest[digest] = name
         table.digests[name] = digest
-    if shared:
+    if duplicates:
         table.digests = {
             name: digest
             for name, digest in table.digests.items()
-            if digest not in shared
+            if digest not in duplicates
         }
-        for digest in shared:
+        for digest in duplicates:
             del table.by_digest[digest]
 
 
@@ -121,10 +129,12 @@
 def compact_envelope(
     table: NameTable, to: str, envelope: messages.Envelope
 ) -> messages.Envelope:
-    """Replaces the names in an envelope by indexes, defining new ones.
+    """Replaces the names in an envelope and defines those that are new.
+
+    Names are replaced by indexes or digests.
 
     Args:
-        table: This process's names; changed.
+        table: Names of this process; changed.
         to: VM name of the receiver.
         envelope: The envelope with names.
 
@@ -141,22 +151,22 @@
         >>> compact_envelope(table, "router-0", sent).names
         ()
     """
-    lacking = table.lacking.get(to, ())
-    compact = _compact(table, envelope, lacking)
+    unknown_digests = table.unknown_digests.get(to, ())
+    compact = _compact(table, envelope, unknown_digests)
     return _define_names(table, to, compact)
 
 
 def compact_envelopes(
     table: NameTable, receivers: Iterable[str], envelope: messages.Envelope
 ) -> Iterator[tuple[str, messages.Envelope]]:
-    """Does the same for several receivers of one envelope.
+    """Compacts an envelope for several receivers.
 
-    Names are replaced once for all of them, so a message costs little more
-    for many receivers than for one. The envelope is the same object for all
-    who know its names.
+    Names are replaced once for all receivers, so a message to many receivers
+    costs little more than one to a single receiver. All receivers that need no
+    definitions get the same envelope object, so the caller can encode it once.
 
     Args:
-        table: This process's names; changed.
+        table: Names of this process; changed.
         receivers: VM names of the receivers.
         envelope: The envelope with names.
 
@@ -165,7 +175,7 @@
     """
     compact = _compact(table, envelope, ())
     for to in receivers:
-        if to in table.lacking:
+        if to in table.unknown_digests:
             yield to, compact_envelope(table, to, envelope)
         else:
             yield to, _define_names(table, to, compact)
@@ -173,12 +183,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _Compact:
-    """An envelope with indexes for names.
+    """An envelope whose names are replaced by indexes or digests.
 
     Attributes:
-        envelope: The envelope; it defines no names.
-        used: Indexes that it uses, as bits of a number.
-        names: The names that it uses, by index.
+        envelope: The envelope, without definitions of names.
+        used: Indexes in the envelope, as bits of a number.
+        names: Names of these indexes, by index.
     """
 
     envelope: messages.Envelope
@@ -187,19 +197,21 @@
 
 
 def _compact(
-    table: NameTable, envelope: messages.Envelope, lacking: Collection[int]
+    table: NameTable,
+    envelope: messages.Envelope,
+    unknown_digests: Collection[int],
 ) -> _Compact:
     used: dict[int, str] = {}
 
     def index_name(name: str) -> int:
         digest = table.digests.get(name)
-        if digest is not None and digest not in lacking:
+        if digest is not None and digest not in unknown_digests:
             return digest
         index = table.indexes.setdefault(name, len(table.indexes))
         used[index] = name
         return index
 
-    message = _rename(envelope.message, index_name)
+    message = _map_names(envelope.message, index_name)
     bits = 0
     for index in used:
         bits |= 1 << index
@@ -210,42 +222,42 @@
 def _define_names(
     table: NameTable, to: str, compact: _Compact
 ) -> messages.Envelope:
-    """Adds the names that a receiver wasn't told yet."""
-    told = table.told.get(to, 0)
-    if not compact.used & ~told:
+    """Adds the definitions of the names that a receiver lacks."""
+    defined_bits = table.defined_bits.get(to, 0)
+    if not compact.used & ~defined_bits:
         return compact.envelope
-    fresh = [
+    new_entries = [
         messages.NameEntry(index, name)
         for index, name in compact.names.items()
-        if not told >> index & 1
+        if not defined_bits >> index & 1
     ]
-    table.told[to] = told | compact.used
-    return msgspec.structs.replace(compact.envelope, names=tuple(fresh))
+    table.defined_bits[to] = defined_bits | compact.used
+    return msgspec.structs.replace(compact.envelope, names=tuple(new_entries))
 
 
 def expand_envelope(
     table: NameTable, envelope: messages.Envelope
 ) -> tuple[messages.Envelope | None, tuple[int, ...]]:
-    """Replaces the indexes in a received envelope by names.
+    """Replaces the indexes and digests in a received envelope by names.
 
     Args:
-        table: This process's names; changed.
+        table: Names of this process; changed.
         envelope: The envelope as decoded.
 
     Returns:
-        The envelope with names, or None if it is to be dropped; and the
-        indexes that the sender is to define again.
+        The envelope with names, or None if it has to be dropped; and the
+        indexes and digests that the sender has to define.
     """
     sender, incarnation = envelope.sender, envelope.incarnation
     peer = table.peers.get(sender)
     if peer is None or peer.incarnation < incarnation:
         peer = table.peers[sender] = PeerNames(incarnation)
-        # The peer's new process knows none of what its old one was told.
-        table.told.pop(sender, None)
-        table.lacking.pop(sender, None)
+        # The peer's new process lacks all names defined to the earlier one.
+        table.defined_bits.pop(sender, None)
+        table.unknown_digests.pop(sender, None)
     if peer.incarnation > incarnation:
-        # A late message of a process that is gone: by now its indexes mean
-        # other names, and there is nobody left to define them.
+        # A late message from a process that has ended. Its indexes may stand
+        # for other names now, and it can't be asked to define them again.
         return None, ()
     for entry in envelope.names:
         peer.names[entry.index] = sys.intern(entry.name)
@@ -253,7 +265,7 @@
 
     def find_name(index: str | int) -> str:
         if isinstance(index, str):
-            return index  # A sender may also write a name out.
+            return index  # A sender may also send the name itself.
         known = table.by_digest if index >= DIGEST_FLAG else peer.names
         name = known.get(index)
         if name is None:
@@ -261,7 +273,7 @@
             return ""
         return name
 
-    message = _rename(envelope.message, find_name)
+    message = _map_names(envelope.message, find_name)
     if unknown:
         return None, tuple(unknown)
     return msgspec.structs.replace(envelope, message=message, names=()), ()
@@ -270,41 +282,52 @@
 def mark_undefined(
     table: NameTable, peer: str, indexes: Collection[int]
 ) -> None:
-    """Notes that a peer lacks names, so that they are defined to it again."""
-    told = table.told.get(peer, 0)
+    """Marks names as unknown to a peer.
+
+    The next message to the peer that uses such a name defines its index. A name
+    whose digest the peer doesn't know is sent to it by index from then on.
+
+    Args:
+        table: Names of this process; changed.
+        peer: VM name of the peer.
+        indexes: Indexes and digests that the peer reported as unknown.
+    """
+    defined_bits = table.defined_bits.get(peer, 0)
     for index in indexes:
         if index in table.by_digest:
-            table.lacking.setdefault(peer, set()).add(index)
+            table.unknown_digests.setdefault(peer, set()).add(index)
         elif 0 <= index < len(table.indexes):
-            told &= ~(1 << index)
-    table.told[peer] = told
+            defined_bits &= ~(1 << index)
+    table.defined_bits[peer] = defined_bits
 
 
 def retain_peers(table: NameTable, names: Collection[str]) -> None:
-    """Forgets peers that are not among the named VMs."""
-    for part in (table.told, table.peers, table.lacking):
+    """Drops what is stored about peers that are not among the named VMs."""
+    for part in (table.defined_bits, table.peers, table.unknown_digests):
         for name in part.keys() - set(names):
             del part[name]
 
 
-def _rename(message: messages.Message, rename: Rename) -> messages.Message:
+def _map_names(
+    message: messages.Message, map_name: NameMapping
+) -> messages.Message:
     match message:
         case messages.Waiting():
             teams = tuple(
                 messages.TeamWaiting(
-                    rename(entry.team), entry.count, entry.oldest_ms
+                    map_name(entry.team), entry.count, entry.oldest_ms
                 )
                 for entry in message.teams
             )
-            service = rename(message.service)
+            service = map_name(message.service)
             return messages.Waiting(
                 service, message.sequence, teams, message.complete
             )
         case messages.AccountUpdate():
             entries = tuple(
                 messages.AccountEntry(
-                    rename(entry.team),
-                    rename(entry.owner),
+                    map_name(entry.team),
+                    map_name(entry.owner),
                     entry.sequence,
                     entry.served,
                     entry.reserved,
@@ -312,14 +335,14 @@
                 )
                 for entry in message.entries
             )
-            return messages.AccountUpdate(rename(message.service), entries)
+            return messages.AccountUpdate(map_name(message.service), entries)
         case messages.RouterLoad():
-            return _rename_load(message, rename)
+            return _map_load_names(message, map_name)
         case messages.CrashReports():
             return messages.CrashReports(
                 tuple(
                     msgspec.structs.replace(
-                        report, upstream=rename(report.upstream)
+                        report, upstream=map_name(report.upstream)
                     )
                     for report in message.reports
                 )
@@ -327,34 +350,34 @@
         case messages.Claim() | messages.NoWork():
             return msgspec.structs.replace(
                 message,
-                service=rename(message.service),
-                team=rename(message.team),
+                service=map_name(message.service),
+                team=map_name(message.team),
             )
     return message
 
 
-def _rename_load(
-    message: messages.RouterLoad, rename: Rename
+def _map_load_names(
+    message: messages.RouterLoad, map_name: NameMapping
 ) -> messages.RouterLoad:
     upstreams = tuple(
-        msgspec.structs.replace(load, upstream=rename(load.upstream))
+        msgspec.structs.replace(load, upstream=map_name(load.upstream))
         for load in message.upstreams
     )
     services = tuple(
         messages.ServiceDemand(
-            rename(demand.service),
+            map_name(demand.service),
             tuple(
-                messages.TeamService(rename(entry.team), entry.amount)
+                messages.TeamService(map_name(entry.team), entry.amount)
                 for entry in demand.teams
             ),
         )
         for demand in message.services
     )
     prompts = tuple(
-        msgspec.structs.replace(prompt, upstream=rename(prompt.upstream))
+        msgspec.structs.replace(prompt, upstream=map_name(prompt.upstream))
         for prompt in message.prompts
     )
-    domain = rename(message.failure_domain) if message.whole else ""
+    domain = map_name(message.failure_domain) if message.whole else ""
     return msgspec.structs.replace(
         message,
         upstreams=upstreams,
--- a/sycamorefall/node.py
+++ b/sycamorefall/node.py
@@ -1,4 +1,7 @@
-"""What the shells of routers and sidecars have in common."""
+"""Process shell shared by sidecars and by routers that use sidecars.
+
+The shell performs the I/O and runs the timers of a role's decision logic.
+"""
 
 __all__ = ["Node", "create_node", "run_node"]
 
@@ -22,29 +25,32 @@
 )
 from sycamorefall.configuration import polling
 
-STOP_CHECK = 0.05
-"""Seconds between two looks of a stopping process at whether it is idle."""
+STOP_CHECK_INTERVAL = 0.05
+"""Seconds between two checks whether a stopping process is idle."""
 
-STOP_LINGER = 0.3
-"""Seconds that a stopping process stays after all that it had to do."""
+QUIET_PERIOD = 0.3
+"""Seconds that a stopping process waits after its last response was sent; see
+`_check_stop`."""
 
 
 @dataclasses.dataclass(slots=True)
 class Core:
-    """The decisions that a node's shell drives.
+    """Decision logic of a process, as its shell calls it.
 
     Attributes:
-        vm: This VM's name.
-        incarnation: This process's number.
-        versions: The configuration in force.
-        directory: The VMs of the fleet.
-        receive: Handles a control message.
-        run_timers: Does what has come due.
-        find_next_due: Tells when something is due next.
-        apply_configuration: Called after a text or list came into force.
-        perform_effects: Carries out effects that are not messages.
-        is_idle: Whether nothing is in progress, so a stopping node may end.
-        begin_stop: Makes the decisions take nothing new.
+        vm: Name of this VM.
+        incarnation: Number of this process.
+        versions: Configuration in force.
+        directory: VMs of the fleet.
+        receive: Handles a control message and returns effects.
+        run_timers: Performs the actions that are due and returns effects.
+        find_next_due: Returns the time at which the next action is due.
+        apply_configuration: Called after a configuration or VM list has come
+            into force.
+        perform_effects: Called with each effect that is not a control message.
+        is_idle: Tells whether nothing is in progress, so that a stopping
+            process may exit.
+        begin_stop: Makes the decision logic accept no new work.
     """
 
     vm: str
@@ -62,25 +68,27 @@
 
 @dataclasses.dataclass(slots=True)
 class Node:
-    """A process of the system: its decisions and its I/O.
+    """A router or sidecar process: its decision logic and its I/O.
 
     Attributes:
-        core: The decisions.
-        loop: The root component.
-        control: Links for control messages.
-        client: Sends HTTP requests.
-        server: Takes HTTP requests.
-        reader: Reads the platform.
-        authenticator: Signs hand-outs and control messages.
-        log: Writes the log.
-        operators: Takes operators' requests, if at an address of its own.
-        replica: Documents of this process and its peers.
-        exchanger: Fetches documents from peers.
-        settings: The process's settings.
-        watch_turn: Epoch and list for which watchers were last chosen.
-        stopping: Whether the process is to end once it is idle.
-        stop_check: When to look next whether it is.
-        stop_at: When it ends, if nothing comes up until then.
+        core: Decision logic.
+        loop: Event loop and root component.
+        control: Connections for control messages.
+        client: HTTP client.
+        server: HTTP server at the data address.
+        reader: Reads the configuration and the VM list from the platform.
+        authenticator: Signs and verifies attempt orders and control messages.
+        log: Log writer.
+        operators: HTTP server at the operators' address, if there is one.
+        replica: Documents of this process and its view of its peers'.
+        exchanger: Exchanges documents with peers.
+        settings: Settings of the process.
+        watchers_chosen_for: Epoch and revision of the VM list for which
+            watchers were last chosen.
+        stopping: Whether the process exits as soon as it is idle.
+        next_stop_check_at: Time of the next check whether it is idle.
+        exit_at: Time at which it exits if it stays idle; None while it isn't
+            idle.
     """
 
     core: Core
@@ -95,14 +103,14 @@
     exchanger: replication.DocumentExchanger
     settings: settings.RouterSettings | settings.SidecarSettings
     operators: transport.HttpServer | None = None
-    watch_turn: tuple[int, int] = (0, 0)
+    watchers_chosen_for: tuple[int, int] = (0, 0)
     stopping: bool = False
-    stop_check: float = 0.0
-    stop_at: float | None = None
+    next_stop_check_at: float = 0.0
+    exit_at: float | None = None
 
 
 def choose_incarnation() -> int:
-    """Chooses the number of this process: later processes get higher ones."""
+    """Returns a number for this process, higher than those of earlier ones."""
     return time.time_ns() // 1000
 
 
@@ -112,13 +120,15 @@
     on_call: Callable[[transport.IncomingCall], None],
     on_operator_call: Callable[[transport.IncomingCall], None],
 ) -> Node:
-    """Opens a node's sockets and wires them to its decisions.
+    """Opens the sockets of a process and connects them to its decision logic.
 
     Args:
-        config: The process's settings.
-        core: The decisions.
-        on_call: Called with each HTTP request at the data address.
-        on_operator_call: Called with each one at the operators' address.
+        config: Settings of the process.
+        core: Decision logic.
+        on_call: Called with each HTTP request at the data address that is not
+            one between replicas.
+        on_operator_call: Called with each HTTP request at the operators'
+            address.
 
     Returns:
         The node, ready to run.
@@ -131,14 +141,14 @@
         core.vm, config.security
     )
     log = observation.open_log(config.log)
-    loop = transport.create_loop(lambda: begin_stop(node), _report_fault)
+    loop = transport.create_loop(lambda: begin_stop(node), _log_fault)
     poller = next(
         part for part in loop.components if isinstance(part, pollers.BasePoller)
     )
     control = transport.ControlLinks(
         str(config.listen.control),
-        lambda name: _find_control(core.directory, name),
-        lambda envelope: _receive(node, envelope),
+        lambda name: _get_control_address(core.directory, name),
+        lambda envelope: _handle_envelope(node, envelope),
         authenticator,
     ).register(loop)
     control.attach(poller)
@@ -158,7 +168,9 @@
     reader = platform_reader.PlatformReader(
         config.platform,
         client,
-        _make_takers(replica, lambda events: _handle_events(node, events)),
+        _create_read_callbacks(
+            replica, lambda events: _handle_events(node, events)
+        ),
         core.vm,
         seed=core.incarnation,
     )
@@ -189,19 +201,19 @@
             channel="operators",
         ).register(loop)
     transport.Ticker(
-        lambda: _find_next_due(node), lambda now: _run_timers(node, now)
+        lambda: _compute_next_due(node), lambda now: _run_timers(node, now)
     ).register(loop)
     return node
 
 
-def _report_fault(trace: str) -> None:
+def _log_fault(trace: str) -> None:
     observation.write_record(
         observation.Level.ERROR, "process.fault", traceback=trace
     )
 
 
 def run_node(node: Node) -> None:
-    """Runs a node until it is told to stop and has nothing in progress."""
+    """Runs a process until it is told to stop and nothing is in progress."""
     core = node.core
     observation.write_record(
         observation.Level.INFO,
@@ -213,8 +225,8 @@
         observation.write_record(
             observation.Level.WARNING,
             "security.no_shared_key",
-            meaning="every process that reaches this one is believed; "
-            "set [security] shared_key_file",
+            meaning="messages from every process that can reach this one are "
+            "accepted; set [security] shared_key_file",
         )
     node.loop.run()
     node.control.close()
@@ -224,7 +236,7 @@
 
 
 def begin_stop(node: Node) -> None:
-    """Begins a graceful stop: nothing new is taken, the rest is finished."""
+    """Begins a graceful stop: refuses new work, finishes work in progress."""
     if not node.stopping:
         observation.write_record(observation.Level.INFO, "process.stopping")
         node.stopping = True
@@ -234,11 +246,12 @@
 
 
 def _stop_servers(node: Node) -> None:
-    """Closes idle connections: a router's at once, a sidecar's at the end.
+    """Makes the servers close connections, idle ones at once.
 
-    A router may be about to send the request of an open claim on a kept
-    connection of a sidecar; closed under it, the request's outcome would be
-    in doubt.
+    A router does so when it begins to stop, a sidecar only when it is idle. A
+    router may be about to send the request of an open claim on an idle
+    connection to a sidecar. If the sidecar closed that connection, the outcome
+    of the request would be unknown.
     """
     for server in _list_servers(node):
         if not server.stopping:
@@ -246,7 +259,7 @@
 
 
 def perform_effects(node: Node, outcome: Iterable) -> None:
-    """Carries out effects: messages here, all others by the node's shell."""
+    """Sends control messages and passes other effects to the core."""
     for effect in outcome:
         if isinstance(effect, effects.SendMessage):
             envelope = messages.Envelope(
@@ -260,18 +273,20 @@
             node.core.perform_effects(effect)
 
 
-def _find_control(directory: membership.Directory, name: str) -> str | None:
+def _get_control_address(
+    directory: membership.Directory, name: str
+) -> str | None:
     vm = directory.vms.get(name)
     return vm.control if vm else None
 
 
-def _find_next_due(node: Node) -> float:
+def _compute_next_due(node: Node) -> float:
     if node.stopping:
-        return min(node.stop_check, _find_next_timer(node))
-    return _find_next_timer(node)
+        return min(node.next_stop_check_at, _compute_next_timer(node))
+    return _compute_next_timer(node)
 
 
-def _find_next_timer(node: Node) -> float:
+def _compute_next_timer(node: Node) -> float:
     return min(
         node.core.find_next_due(),
         node.client.find_next_due(),
@@ -293,19 +308,20 @@
     node.log.flush()
     perform_effects(node, node.core.run_timers(now))
     if node.stopping:
-        _continue_stop(node, now)
+        _check_stop(node, now)
 
 
-def _continue_stop(node: Node, now: float) -> None:
-    """Ends the process once nothing is in progress.
+def _check_stop(node: Node, now: float) -> None:
+    """Stops the event loop once nothing is in progress.
 
-    Guards against a stop that cuts off the end of an answer: the decisions
-    are done with a request before its last bytes have left. So the process
-    first takes no more connections and then waits until all is sent, a while
-    longer than that for the last control messages, which leave on threads of
-    the library; a sidecar's last accounts are among them.
+    The decision logic is done with a request before the last bytes of its
+    response are sent; exiting then would truncate the response. The process
+    therefore first stops listening and then waits until all responses are sent.
+    It waits another `QUIET_PERIOD` for the last control messages, which the
+    messaging library sends on threads of its own. A sidecar's last account
+    entries are among them.
     """
-    node.stop_check = now + STOP_CHECK
+    node.next_stop_check_at = now + STOP_CHECK_INTERVAL
     if not node.core.is_idle():
         return
     _stop_servers(node)
@@ -313,16 +329,16 @@
     for server in servers:
         server.end_listening()
     if not all(server.is_quiet() for server in servers):
-        node.stop_at = None
-    elif node.stop_at is None:
-        node.stop_at = now + STOP_LINGER
-    elif now >= node.stop_at:
+        node.exit_at = None
+    elif node.exit_at is None:
+        node.exit_at = now + QUIET_PERIOD
+    elif now >= node.exit_at:
         node.loop.stop()
 
 
 def _run_replica(node: Node, now: float) -> None:
     directory = node.core.directory
-    _take_watch_turn(node, now)
+    _update_watching(node, now)
     node.reader.run(now)
     node.exchanger.run(now)
     _handle_events(node, replication.try_settle(node.replica, now))
@@ -330,47 +346,49 @@
         node.control.keep_only(set(directory.vms))
 
 
-def _take_watch_turn(node: Node, now: float) -> None:
-    """Begins or ends watching the platform when others are chosen for it.
+def _update_watching(node: Node, now: float) -> None:
+    """Starts or stops watching the platform when watchers are chosen anew.
 
-    The epoch comes from the wall clock, which VMs share roughly; nothing but
-    the number of watchers depends on it.
+    The epoch comes from the wall clock, which is only roughly the same on all
+    VMs. A difference affects nothing but the number of watchers.
     """
     directory = node.core.directory
-    turn = (int(time.time() / polling.EPOCH_SECONDS), directory.revision)
-    if turn == node.watch_turn:
+    chosen_for = (int(time.time() / polling.EPOCH_SECONDS), directory.revision)
+    if chosen_for == node.watchers_chosen_for:
         return
-    node.watch_turn = turn
+    node.watchers_chosen_for = chosen_for
     live = [
         vm.name
         for vm in directory.vms.values()
         if vm.state is membership.VmState.LIVE
     ]
     watchers = configuration.choose_watchers(
-        live, turn[0], node.settings.platform.watchers
+        live, chosen_for[0], node.settings.platform.watchers
     )
     node.reader.set_watching(now, node.core.vm in watchers)
 
 
-def _receive(node: Node, envelope: messages.Envelope) -> None:
+def _handle_envelope(node: Node, envelope: messages.Envelope) -> None:
     now = transport.read_clock()
     replication.record_envelope(node.replica, now, envelope)
     perform_effects(node, node.core.receive(now, envelope))
 
 
-def _make_takers(
+def _create_read_callbacks(
     replica: replication.ReplicaState,
     handle: Callable[[list[replication.Event]], None],
-) -> platform_reader.Takers:
-    return platform_reader.Takers(
-        text=lambda published: handle(
+) -> platform_reader.ReadCallbacks:
+    return platform_reader.ReadCallbacks(
+        on_text=lambda published: handle(
             replication.apply_published_text(
                 replica, published.revision, published.text
             )
         ),
-        vms=lambda vms: handle(replication.apply_published_list(replica, vms)),
-        unchanged=lambda kind, revision: replication.record_published_revision(
-            replica, kind, revision
+        on_vms=lambda vms: handle(
+            replication.apply_published_list(replica, vms)
+        ),
+        on_unchanged=lambda kind, revision: (
+            replication.record_published_revision(replica, kind, revision)
         ),
         get_known_revision=lambda kind: replication.get_known_revision(
             replica, kind
@@ -401,8 +419,9 @@
     if listed:
         node.control.keep_only(set(node.core.directory.vms))
     if replication.EventKind.PLATFORM_OLDER in kinds:
-        # Either it is stale, which the status is to show, or it was changed
-        # between our read and the peers' answer: another read tells.
+        # Either the platform is stale, which the status has to show, or its
+        # value changed between this process's read and the peer's response.
+        # Another read shows which.
         node.reader.read_soon(transport.read_clock())
     for event in events:
         level = (
--- a/sycamorefall/platform_reader.py
+++ b/sycamorefall/platform_reader.py
@@ -1,6 +1,6 @@
-"""Reads the platform's configuration service: operators' text and VM list."""
+"""Reads the operators' configuration and the VM list from the platform."""
 
-__all__ = ["PlatformReader", "PublishedText", "Takers"]
+__all__ = ["PlatformReader", "PublishedText", "ReadCallbacks"]
 
 from collections.abc import Callable
 import dataclasses
@@ -13,54 +13,58 @@
 from sycamorefall.configuration import polling
 
 READ_TIMEOUT = 2.0
-"""Seconds, beyond its own wait, after which a read is given up."""
+"""Seconds until a read times out, in addition to the time for which the
+platform may hold it open to wait for a change."""
 
-LARGEST_VALUE = 1 << 23
-"""Bytes of an answer that are taken at most: a value in its JSON form."""
+MAX_VALUE_BYTES = 1 << 23
+"""Maximum size of a response, in bytes: a value in its JSON form."""
 
 REVISION_HEADER = "revision"
-"""Header of an answer without a value: the revision it has not passed."""
+"""Header of a response without a value: the platform's revision, which is not
+higher than the requested one."""
 
-WAITED = 0.5
-"""Part of a watch's wait after which an empty answer is a right one."""
+MIN_WAIT_SHARE = 0.5
+"""Share of the time that a watch may wait after which an empty response is
+valid; an earlier one counts as a failure."""
 
 Revision = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 
 
 class PublishedText(msgspec.Struct, frozen=True):
-    """The operators' text at a revision, as the platform publishes it."""
+    """A configuration text and its revision, as published by the platform."""
 
     revision: Revision
     text: str
 
 
 class _PublishedList(msgspec.Struct, frozen=True):
-    """The list of VMs at a revision, as the platform publishes it."""
+    """A VM list and its revision, as published by the platform."""
 
     revision: Revision
     vms: tuple[membership.VmEntry, ...]
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Takers:
-    """What is called with the platform's answers.
+class ReadCallbacks:
+    """Callbacks for the responses of the platform.
 
     Attributes:
-        text: With each text read.
-        vms: With each list read.
-        unchanged: With the kind and revision of a value that was not sent.
-        get_known_revision: Gives the revision in use of a kind.
+        on_text: Called with each configuration text that was read.
+        on_vms: Called with each VM list that was read.
+        on_unchanged: Called with the kind and the platform's revision of a
+            value that the platform did not send because it is not newer.
+        get_known_revision: Returns the latest known revision of a kind.
     """
 
-    text: Callable[[PublishedText], None]
-    vms: Callable[[membership.VmList], None]
-    unchanged: Callable[[configuration.DocumentKind, int], None]
+    on_text: Callable[[PublishedText], None]
+    on_vms: Callable[[membership.VmList], None]
+    on_unchanged: Callable[[configuration.DocumentKind, int], None]
     get_known_revision: Callable[[configuration.DocumentKind], int]
 
 
 @dataclasses.dataclass(slots=True)
-class _Feed:
-    """One value of the platform and the read of it that is in progress."""
+class _Resource:
+    """A value published by the platform, and the read of it in progress."""
 
     kind: configuration.DocumentKind
     path: str
@@ -74,25 +78,25 @@
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
 
     @property
-    def until(self) -> float:
-        """When the read in progress is given up."""
+    def expires_at(self) -> float:
+        """Time at which the read in progress times out."""
         return self.sent_at + self.read.wait + READ_TIMEOUT
 
 
 class PlatformReader:
-    """Reads the text and the list, each as its schedule says.
+    """Reads the configuration and the VM list, each on its own schedule.
 
     Attributes:
-        reads: Reads sent.
-        failures: Reads that gave nothing usable.
-        bytes_read: Size of the answers.
+        reads: Number of reads sent.
+        failures: Number of reads without a usable response.
+        bytes_read: Size of the responses, in bytes.
     """
 
     __slots__ = (
         "_client",
-        "_feeds",
+        "_resources",
         "_settings",
-        "_takers",
+        "_callbacks",
         "bytes_read",
         "failures",
         "reads",
@@ -102,22 +106,22 @@
         self,
         platform: settings.PlatformSettings,
         client: transport.HttpClient,
-        takers: Takers,
+        callbacks: ReadCallbacks,
         name: str,
         seed: int,
     ):
-        """Creates a reader; its first reads are due after a random pause.
+        """Creates a reader whose first reads are due after random delays.
 
         Args:
-            platform: Where to read and how often.
-            client: Sends the reads.
-            takers: What is called with the answers.
-            name: Name of this process's VM.
-            seed: Seed of the jitter.
+            platform: Address of the platform and intervals of the reads.
+            client: Client that sends the reads.
+            callbacks: Called with the responses.
+            name: Name of this VM.
+            seed: Seed of the jitter, together with `name`.
         """
         self._settings = platform
         self._client = client
-        self._takers = takers
+        self._callbacks = callbacks
         self.reads = 0
         self.failures = 0
         self.bytes_read = 0
@@ -126,15 +130,16 @@
             configuration.DocumentKind.TEXT: "/v1/config",
             configuration.DocumentKind.VMS: "/v1/vms",
         }
-        self._feeds = [
-            _Feed(
+        self._resources = [
+            _Resource(
                 kind,
                 path,
                 configuration.create_read_schedule(
                     platform.poll_interval,
                     platform.start_spread,
-                    # Processes of a restarted fleet may get the same number:
-                    # by it alone all of them would read at the same instants.
+                    # The processes of a restarted fleet may have the same
+                    # incarnation. Seeded by it alone, all of them would read
+                    # at the same times.
                     zlib.crc32(f"{name}/{seed}{path}".encode()),
                     now,
                 ),
@@ -144,125 +149,139 @@
 
     @property
     def is_watching(self) -> bool:
-        """Whether this process holds watches."""
-        return any(feed.schedule.watching for feed in self._feeds)
+        """Whether this process watches the platform rather than polling it."""
+        return any(resource.schedule.watching for resource in self._resources)
 
     def find_next_due(self) -> float:
-        """Tells when a read is due next, or to be given up."""
+        """Returns the time at which the next read is due or one times out."""
         return min(
-            feed.until if feed.exchange else feed.schedule.next_read_at
-            for feed in self._feeds
+            resource.expires_at
+            if resource.exchange
+            else resource.schedule.next_read_at
+            for resource in self._resources
         )
 
     def set_watching(self, now: float, watching: bool) -> None:
         """Makes this process watch the platform, or poll it slowly."""
-        for feed in self._feeds:
-            polling.set_watching(feed.schedule, now, watching)
+        for resource in self._resources:
+            polling.set_watching(resource.schedule, now, watching)
 
     def read_soon(self, now: float) -> None:
-        """Reads again within seconds, also in place of a waiting watch."""
-        for feed in self._feeds:
-            if feed.exchange and feed.read.wait:
-                self._client.abort(feed.exchange)
-                feed.exchange = None
-            polling.schedule_read_soon(feed.schedule, now)
+        """Schedules reads within seconds and aborts waiting watches."""
+        for resource in self._resources:
+            if resource.exchange and resource.read.wait:
+                self._client.abort(resource.exchange)
+                resource.exchange = None
+            polling.schedule_read_soon(resource.schedule, now)
 
     def run(self, now: float) -> None:
-        """Sends the reads that are due and gives up late ones."""
-        for feed in self._feeds:
-            if feed.exchange and now >= feed.until:
-                self._client.abort(feed.exchange)
-                self._fail(feed)
-            if not feed.exchange and now >= feed.schedule.next_read_at:
-                self._send(feed, now)
-
-    def _send(self, feed: _Feed, now: float) -> None:
-        known = self._takers.get_known_revision(feed.kind)
-        feed.read = polling.plan_read(feed.schedule, known)
-        feed.sent_at = now
-        feed.parts, feed.size, feed.status, feed.headers = [], 0, 0, {}
+        """Sends the reads that are due and aborts those that have timed out."""
+        for resource in self._resources:
+            if resource.exchange and now >= resource.expires_at:
+                self._client.abort(resource.exchange)
+                self._handle_failure(resource)
+            if not resource.exchange and now >= resource.schedule.next_read_at:
+                self._send(resource, now)
+
+    def _send(self, resource: _Resource, now: float) -> None:
+        known = self._callbacks.get_known_revision(resource.kind)
+        resource.read = polling.plan_read(resource.schedule, known)
+        resource.sent_at = now
+        resource.parts, resource.size, resource.status, resource.headers = (
+            [],
+            0,
+            0,
+            {},
+        )
         self.reads += 1
-        feed.exchange = self._client.send(
+        resource.exchange = self._client.send(
             transport.OutgoingRequest(
-                self._settings.address, "GET", _write_path(feed)
+                self._settings.address, "GET", _build_path(resource)
             ),
             transport.Listener(
-                on_head=lambda status, headers: _take_head(
-                    feed, status, headers
+                on_head=lambda status, headers: _handle_head(
+                    resource, status, headers
                 ),
-                on_data=lambda data: self._take_data(feed, data),
-                on_end=lambda: self._take_end(feed),
-                on_failure=lambda _: self._fail(feed),
+                on_data=lambda data: self._handle_data(resource, data),
+                on_end=lambda: self._handle_end(resource),
+                on_failure=lambda _: self._handle_failure(resource),
             ),
         )
 
-    def _take_data(self, feed: _Feed, data: bytes) -> None:
-        feed.parts.append(data)
-        feed.size += len(data)
-        if feed.size > LARGEST_VALUE:
-            self._client.abort(feed.exchange)
-            self._fail(feed)
+    def _handle_data(self, resource: _Resource, data: bytes) -> None:
+        resource.parts.append(data)
+        resource.size += len(data)
+        if resource.size > MAX_VALUE_BYTES:
+            self._client.abort(resource.exchange)
+            self._handle_failure(resource)
 
-    def _fail(self, feed: _Feed) -> None:
+    def _handle_failure(self, resource: _Resource) -> None:
         self.failures += 1
-        feed.exchange = None
-        advice = _read_seconds(feed.headers.get("retry-after", ""))
+        resource.exchange = None
+        retry_after = _parse_retry_after(
+            resource.headers.get("retry-after", "")
+        )
         now = transport.read_clock()
-        polling.record_failure(feed.schedule, now, advice)
-
-    def _take_end(self, feed: _Feed) -> None:
-        feed.exchange = None
-        self.bytes_read += feed.size
-        if feed.status == 204 and feed.read.after is not None:
-            self._take_unchanged(feed)
-        elif feed.status == 200:
-            self._take_value(feed)
+        polling.record_failure(resource.schedule, now, retry_after)
+
+    def _handle_end(self, resource: _Resource) -> None:
+        resource.exchange = None
+        self.bytes_read += resource.size
+        if resource.status == 204 and resource.read.after is not None:
+            self._handle_unchanged(resource)
+        elif resource.status == 200:
+            self._handle_value(resource)
         else:
-            self._fail(feed)
+            self._handle_failure(resource)
 
-    def _take_unchanged(self, feed: _Feed) -> None:
+    def _handle_unchanged(self, resource: _Resource) -> None:
         now = transport.read_clock()
-        waited = now - feed.sent_at >= WAITED * feed.read.wait
-        polling.record_response(feed.schedule, now, feed.read, waited)
-        revision = feed.headers.get(REVISION_HEADER, "")
-        shown = int(revision) if revision.isdecimal() else feed.read.after
-        self._takers.unchanged(feed.kind, shown)
-
-    def _take_value(self, feed: _Feed) -> None:
-        data = b"".join(feed.parts)
-        is_text = feed.kind is configuration.DocumentKind.TEXT
+        waited = now - resource.sent_at >= MIN_WAIT_SHARE * resource.read.wait
+        polling.record_response(resource.schedule, now, resource.read, waited)
+        revision = resource.headers.get(REVISION_HEADER, "")
+        published_revision = (
+            int(revision) if revision.isdecimal() else resource.read.after
+        )
+        self._callbacks.on_unchanged(resource.kind, published_revision)
+
+    def _handle_value(self, resource: _Resource) -> None:
+        data = b"".join(resource.parts)
+        is_text = resource.kind is configuration.DocumentKind.TEXT
         try:
             value = msgspec.json.decode(
                 data, type=PublishedText if is_text else _PublishedList
             )
         except (msgspec.DecodeError, UnicodeDecodeError):
-            self._fail(feed)
+            self._handle_failure(resource)
             return
         now = transport.read_clock()
-        after = feed.read.after
-        # Nothing published yet, or nothing new: to be asked for again, but
-        # not at once.
+        after = resource.read.after
+        # If nothing is published yet, or nothing newer, the next read is
+        # backed off.
         useful = value.revision > (after or 0)
-        polling.record_response(feed.schedule, now, feed.read, useful)
+        polling.record_response(resource.schedule, now, resource.read, useful)
         if is_text:
-            self._takers.text(value)
+            self._callbacks.on_text(value)
         else:
-            self._takers.vms(membership.VmList(value.revision, value.vms))
+            self._callbacks.on_vms(membership.VmList(value.revision, value.vms))
 
 
-def _write_path(feed: _Feed) -> str:
-    if feed.read.after is None:
-        return feed.path
-    return f"{feed.path}?after={feed.read.after}&wait={feed.read.wait:g}"
+def _build_path(resource: _Resource) -> str:
+    if resource.read.after is None:
+        return resource.path
+    return (
+        f"{resource.path}?after={resource.read.after}"
+        f"&wait={resource.read.wait:g}"
+    )
 
 
-def _take_head(
-    feed: _Feed, status: int, headers: list[tuple[str, str]]
+def _handle_head(
+    resource: _Resource, status: int, headers: list[tuple[str, str]]
 ) -> None:
-    feed.status = status
-    feed.headers = dict(headers)
+    resource.status = status
+    resource.headers = dict(headers)
 
 
-def _read_seconds(text: str) -> float:
-    """Reads a Retry-After; one that names a date counts as none."""
+def _parse_retry_after(text: str) -> float:
+    """Parses a Retry-After header as seconds; 0 if it is a date."""
     return float(text) if text.isdecimal() else 0.0
--- a/sycamorefall/sidecar/claim_backoff.py
+++ b/sycamorefall/sidecar/claim_backoff.py
@@ -1,6 +1,6 @@
-"""Routers that announce work and don't answer claims."""
+"""Backoff from routers that announce work and don't answer claims."""
 
-__all__ = ["limit_waiting", "note_answer", "note_expired"]
+__all__ = ["clear_backoff", "limit_waiting", "record_expired_claim"]
 
 import msgspec
 
@@ -8,43 +8,47 @@
 from sycamorefall.sharing import demand as demand_module
 from sycamorefall.sidecar import state as state_module
 
-LONGEST_PAUSE = 8.0
-"""Longest time for which a router's work is passed over, in seconds."""
+MAX_BACKOFF = 8.0
+"""Longest time for which a router's announcements are ignored, in seconds."""
 
 
-def note_expired(
+def record_expired_claim(
     state: state_module.SidecarState, now: float, claim: dispatch.OpenClaim
 ) -> None:
-    """Passes over a router's work for a while: claims there expired.
+    """Begins or extends the backoff from a router where a claim expired.
 
-    Guards against a link that is cut in one direction: the router's
-    announcements come, the claims don't reach it. Each would hold a slot for
-    its whole lease, again and again, and the upstream would serve next to
-    nobody while other routers' callers wait.
+    A link may fail in one direction: the router's announcements arrive, but
+    claims don't reach the router. Each claim would hold a slot for its whole
+    lease, again and again, and the upstream would serve almost nobody while
+    callers wait at other routers.
 
-    Only this link is judged; the router may serve others well.
+    The backoff applies to this link only; other sidecars may reach the router.
 
     Args:
         state: The sidecar; changed.
         now: This process's time.
-        claim: The claim.
+        claim: The expired claim.
     """
-    known = state.silences.get(claim.router)
+    known = state.claim_backoffs.get(claim.router)
     demand_module.drop_router(state.demand, claim.router)
     if known is None:
-        # One message may be lost: the next announcement is tried at once,
-        # with a single claim that tells whether more is.
-        state.silences[claim.router] = state_module.Silence(now, now, 0.0)
+        # A single message may have been lost. The next announcement gets one
+        # claim without a pause, which shows whether the router answers.
+        state.claim_backoffs[claim.router] = state_module.ClaimBackoff(
+            now, now, 0.0
+        )
         return
-    if claim.expires_at - dispatch.CLAIM_LEASE < known.since:
-        return  # Made before the router was in doubt: tells nothing more.
-    pause = min(LONGEST_PAUSE, max(dispatch.CLAIM_LEASE, 2 * known.pause))
-    state.silences[claim.router] = state_module.Silence(now, now + pause, pause)
+    if claim.expires_at - dispatch.CLAIM_LEASE < known.last_expiry_at:
+        return  # Made before the last expiry, so no further evidence.
+    duration = min(MAX_BACKOFF, max(dispatch.CLAIM_LEASE, 2 * known.duration))
+    state.claim_backoffs[claim.router] = state_module.ClaimBackoff(
+        now, now + duration, duration
+    )
 
 
-def note_answer(state: state_module.SidecarState, router: str) -> None:
-    """Notes that a router answered a claim or sent an attempt."""
-    state.silences.pop(router, None)
+def clear_backoff(state: state_module.SidecarState, router: str) -> None:
+    """Ends a router's backoff: it answered a claim or sent an attempt."""
+    state.claim_backoffs.pop(router, None)
 
 
 def limit_waiting(
@@ -53,22 +57,23 @@
     router: str,
     waiting: messages.Waiting,
 ) -> messages.Waiting | None:
-    """Cuts down the announcement of a router that let a claim expire.
+    """Reduces the announcement of a router that let a claim expire.
 
     Args:
         state: The sidecar.
         now: This process's time.
         router: VM name of the router.
-        waiting: Its announcement.
+        waiting: The router's announcement.
 
     Returns:
-        The announcement; None while the router is passed over, and after
-        that a single request, whose claim tries whether it answers again.
+        The announcement, unchanged if there is no backoff. None while the
+        router is ignored; after that, a single request, whose claim shows
+        whether the router answers again.
     """
-    known = state.silences.get(router)
+    known = state.claim_backoffs.get(router)
     if known is None:
         return waiting
-    if now < known.until:
+    if now < known.ignored_until:
         return None
     first = (
         msgspec.structs.replace(entry, count=1)
--- a/sycamorefall/sidecar/claiming.py
+++ b/sycamorefall/sidecar/claiming.py
@@ -1,12 +1,12 @@
-"""A sidecar's claims: which team's request it asks which router for."""
+"""Claims of a sidecar: which team's request it asks which router for."""
 
 __all__ = [
-    "count_free",
-    "find_weight",
+    "count_free_slots",
+    "get_team_weight",
     "make_claims",
     "may_claim",
-    "release_expired",
-    "release_no_work",
+    "release_expired_claims",
+    "handle_no_work",
 ]
 
 from sycamorefall import (
@@ -22,8 +22,8 @@
 from sycamorefall.sidecar import state as state_module
 
 
-def find_weight(state: state_module.SidecarState, team: str) -> float:
-    """Finds a team's weight; 1 for a team that the text doesn't list."""
+def get_team_weight(state: state_module.SidecarState, team: str) -> float:
+    """Returns a team's weight; 1 if the configuration doesn't list the team."""
     in_force = state.versions.configuration
     known = in_force.teams.get(team) if in_force else None
     return known.weight if known else 1.0
@@ -32,7 +32,7 @@
 def make_claims(
     state: state_module.SidecarState, now: float
 ) -> list[effects.SendMessage]:
-    """Claims requests while there is room and work.
+    """Claims requests while the concurrency limit allows it and work waits.
 
     Args:
         state: The sidecar; changed.
@@ -43,28 +43,28 @@
     """
     if not may_claim(state):
         return []
-    room = admission.count_claimable(
+    claimable = admission.count_claimable(
         state.limit, len(state.runs), len(state.claims.open)
     )
     claims: list[effects.SendMessage] = []
-    while len(claims) < room and _is_worth_claiming(state, now):
-        claim = _claim_one(state, now)
+    while len(claims) < claimable and _is_worth_claiming(state, now):
+        claim = _claim_request(state, now)
         if claim is None:
             break
         claims.append(claim)
-        state.hinted = 0
+        state.hinted_slots = 0
     return claims
 
 
 def _is_worth_claiming(state: state_module.SidecarState, now: float) -> bool:
-    """Tells whether a claim would get a request, and get it served soon.
+    """Tells whether a claim is likely to get a request that is served soon.
 
-    Guards against claims by everybody for the same few requests: with no
-    slot free, a claim ahead is for a backlog. For less than a request a
-    sidecar most of them come back empty, and the first one binds its request
-    to an upstream that is full, while another comes free sooner.
+    Without a free slot, a claim is made ahead and only for a backlog. If fewer
+    requests wait than there are sidecars, most of the sidecars' claims would
+    get none. The first claim would bind its request to a full upstream while
+    another upstream has a free slot sooner.
     """
-    if count_free(state) > 0:
+    if count_free_slots(state) > 0:
         return True
     siblings = membership.list_siblings(
         state.links, state.directory, now, state.vm
@@ -72,14 +72,18 @@
     return state.demand.total > len(siblings)
 
 
-def count_free(state: state_module.SidecarState) -> int:
-    """Counts slots that are neither in use nor claimed for."""
+def count_free_slots(state: state_module.SidecarState) -> int:
+    """Counts slots that neither a run nor an open claim takes."""
     taken = len(state.runs) + len(state.claims.open)
     return max(0, admission.compute_own_limit(state.limit) - taken)
 
 
 def may_claim(state: state_module.SidecarState) -> bool:
-    """Tells whether this sidecar may take new work at all."""
+    """Tells whether this sidecar may accept new work.
+
+    It may not while it is stopping, not listed as live, or without a
+    configuration that has its service.
+    """
     in_force = state.versions.configuration
     if state.stopping or in_force is None:
         return False
@@ -88,14 +92,14 @@
     return listed_live and state.service in in_force.services
 
 
-def _claim_one(
+def _claim_request(
     state: state_module.SidecarState, now: float
 ) -> effects.SendMessage | None:
     team = sharing.choose_team(
         state.fairness,
         state.accounts,
         state.demand.teams,
-        lambda name: find_weight(state, name),
+        lambda name: get_team_weight(state, name),
     )
     if team is None:
         return None
@@ -113,32 +117,34 @@
     return effects.SendMessage(router, message)
 
 
-def release_no_work(
+def handle_no_work(
     state: state_module.SidecarState,
     router: str,
     message: messages.NoWork,
 ) -> None:
-    """Ends a claim that a router has nothing for.
+    """Releases a claim for which a router has no request.
 
     Args:
         state: The sidecar; changed.
-        router: The router.
-        message: Its answer.
+        router: VM name of the router.
+        message: The router's response to the claim.
     """
-    claim_backoff.note_answer(state, router)
+    claim_backoff.clear_backoff(state, router)
     claim = dispatch.release_claim(state.claims, message.claim_id)
     if claim is not None:
         sharing.reserve_units(state.accounts, claim.team, -claim.reserved)
     demand_module.drop_router(state.demand, router, message.team)
 
 
-def release_expired(state: state_module.SidecarState, now: float) -> None:
-    """Ends claims whose lease is over.
+def release_expired_claims(
+    state: state_module.SidecarState, now: float
+) -> None:
+    """Releases the claims whose leases have expired.
 
     Args:
         state: The sidecar; changed.
         now: This process's time.
     """
     for claim in dispatch.expire_claims(state.claims, now):
-        claim_backoff.note_expired(state, now, claim)
+        claim_backoff.record_expired_claim(state, now, claim)
         sharing.reserve_units(state.accounts, claim.team, -claim.reserved)
--- a/sycamorefall/sidecar/core.py
+++ b/sycamorefall/sidecar/core.py
@@ -1,4 +1,7 @@
-"""A sidecar's decisions: messages and timers in, effects out; no I/O."""
+"""Decision logic of a sidecar; no I/O.
+
+It handles control messages and timers and returns effects.
+"""
 
 __all__ = [
     "apply_configuration",
@@ -22,19 +25,21 @@
 from sycamorefall.sidecar import state as state_module
 
 HEARTBEAT_INTERVAL = 1.0
-"""Seconds between heartbeats."""
+"""Seconds between heartbeats to linked routers."""
 
-SIBLING_INTERVAL = 5.0
-"""Seconds between heartbeats to siblings."""
+SIBLING_HEARTBEAT_INTERVAL = 5.0
+"""Seconds between heartbeats to siblings, the other sidecars of the service."""
 
-SIBLING_SILENCE = 12.0
-"""Seconds of silence after which a sibling is told everything again."""
+SIBLING_RESYNC_AFTER = 12.0
+"""Seconds without a message from a sibling after which it gets all account
+entries again."""
 
 
 def apply_configuration(state: state_module.SidecarState) -> None:
-    """Takes the upstream's limit from the configuration in force.
+    """Takes the upstream's cap from the configuration in force.
 
-    The peers are told at once that another one is in force.
+    The next heartbeats are due at once, so that the peers learn of the new
+    revision.
     """
     state.next_heartbeat = 0.0
     in_force = state.versions.configuration
@@ -44,16 +49,17 @@
 
 
 def begin_stop(state: state_module.SidecarState) -> None:
-    """Makes the sidecar claim nothing more and tell so."""
+    """Stops claiming and announces the stop in heartbeats, due at once."""
     state.stopping = True
     state.next_heartbeat = 0.0
 
 
 def is_idle(state: state_module.SidecarState) -> bool:
-    """Tells whether nothing is in progress and all accounts are handed over.
+    """Tells whether nothing is in progress and all account entries are sent.
 
-    What this process knows of the teams' service dies with it: unless the
-    other sidecars have it, teams would get that much service twice.
+    The service that this process has recorded for the teams is lost with it.
+    Unless the other sidecars know it, the teams would get that much service
+    twice.
     """
     busy = state.runs or state.claims.open or state.accounts.unsent
     return not busy
@@ -64,13 +70,15 @@
 ) -> list[effects.SendMessage]:
     """Handles a control message.
 
+    A message from an unlisted VM or an outdated process is ignored.
+
     Args:
         state: The sidecar; changed.
         now: This process's time.
         envelope: The message and its sender.
 
     Returns:
-        Messages to send, new claims among them.
+        Messages to send, including new claims.
     """
     sender = envelope.sender
     if sender not in state.directory.vms:
@@ -80,24 +88,24 @@
     ):
         return []
     message = envelope.message
-    is_beat = isinstance(message, messages.Heartbeat)
-    stopping = message.stopping if is_beat else None
+    is_heartbeat = isinstance(message, messages.Heartbeat)
+    stopping = message.stopping if is_heartbeat else None
     known = state.directory.peers.get(sender)
     membership.record_peer_message(
         state.directory, now, sender, envelope.incarnation, stopping
     )
-    replies = _greet(state, now, sender, known)
+    replies = _handle_reappearance(state, now, sender, known)
     match message:
         case messages.Waiting():
-            _take_waiting(state, now, envelope, message)
+            _handle_waiting(state, now, envelope, message)
         case messages.NoWork():
-            claiming.release_no_work(state, sender, message)
+            claiming.handle_no_work(state, sender, message)
         case messages.AccountUpdate():
             if message.service == state.service:
                 sharing.merge_entries(state.accounts, message.entries)
         case messages.UnknownNames():
             sharing.schedule_sibling_sync(
-                state.exchange,
+                state.account_exchange,
                 state.accounts,
                 sender,
                 include_other_owners=False,
@@ -108,7 +116,7 @@
     return replies + claiming.make_claims(state, now)
 
 
-def _take_waiting(
+def _handle_waiting(
     state: state_module.SidecarState,
     now: float,
     envelope: messages.Envelope,
@@ -119,41 +127,41 @@
     message = claim_backoff.limit_waiting(state, now, envelope.sender, message)
     if message is None:
         return
-    fresh = sharing.record_waiting(
+    newly_waiting = sharing.record_waiting(
         state.demand, now, envelope.sender, envelope.incarnation, message
     )
-    for team in fresh:
-        weight = claiming.find_weight(state, team)
+    for team in newly_waiting:
+        weight = claiming.get_team_weight(state, team)
         sharing.raise_to_floor(state.fairness, state.accounts, team, weight)
 
 
-def _greet(
+def _handle_reappearance(
     state: state_module.SidecarState,
     now: float,
     sender: str,
     known: membership.Peer | None,
 ) -> list[effects.SendMessage]:
-    """Tells a new router of this sidecar, a new sibling of the accounts.
+    """Sends a heartbeat or account entries to a peer that is new or back.
 
-    Guards against a sibling that restarted, or that a partition cut off for
-    longer than any repetition lasts: without the entries it missed it would
-    serve a team first that others know to be far ahead.
+    A router gets a heartbeat. A sibling that restarted, or was partitioned for
+    longer than entries are repeated, lacks account entries. Without them it
+    would serve a team first that the other sidecars know to be far ahead.
     """
     vm = state.directory.vms[sender]
     peer = state.directory.peers[sender]
     restarted = known is None or known.incarnation != peer.incarnation
-    silence = float("inf") if restarted else now - known.heard_at
+    silent_for = float("inf") if restarted else now - known.heard_at
     if vm.role is membership.VmRole.ROUTER:
-        met = silence > membership.SUSPECT_AFTER
-        beat = hinting.build_heartbeat(state, now)
-        return [effects.SendMessage(sender, beat)] if met else []
-    if vm.service == state.service and silence > SIBLING_SILENCE:
+        reappeared = silent_for > membership.SUSPECT_AFTER
+        heartbeat = hinting.build_heartbeat(state, now)
+        return [effects.SendMessage(sender, heartbeat)] if reappeared else []
+    if vm.service == state.service and silent_for > SIBLING_RESYNC_AFTER:
         siblings = _list_siblings(state, now)
         full_sync_senders = membership.choose_full_sync_senders(
             sender, [state.vm, *siblings]
         )
         sharing.schedule_sibling_sync(
-            state.exchange,
+            state.account_exchange,
             state.accounts,
             sender,
             state.vm in full_sync_senders,
@@ -164,7 +172,7 @@
 def run_timers(
     state: state_module.SidecarState, now: float
 ) -> list[effects.SendMessage | sidecar_effects.CancelRun]:
-    """Does what has come due.
+    """Performs the actions that are due.
 
     Args:
         state: The sidecar; changed.
@@ -173,36 +181,40 @@
     Returns:
         Messages to send and runs to cancel.
     """
-    claiming.release_expired(state, now)
-    due: list[effects.SendMessage | sidecar_effects.CancelRun] = []
-    due += running.cancel_overdue(state, now)
-    due += hinting.hint_room(state, now)
+    claiming.release_expired_claims(state, now)
+    due_effects: list[effects.SendMessage | sidecar_effects.CancelRun] = []
+    due_effects += running.cancel_overdue(state, now)
+    due_effects += hinting.send_due_hints(state, now)
     if now >= state.next_heartbeat:
         state.next_heartbeat = now + HEARTBEAT_INTERVAL
         outcomes.expire_records(state.outcomes, now)
         sweeping.sweep_accounts(state)
-        due += hinting.send_heartbeats(state, now)
-    if now >= state.next_sibling_beat:
-        state.next_sibling_beat = now + SIBLING_INTERVAL
-        beat = messages.Heartbeat(state.stopping)
-        due += [
-            effects.SendMessage(name, beat)
+        due_effects += hinting.send_heartbeats(state, now)
+    if now >= state.next_sibling_heartbeat:
+        state.next_sibling_heartbeat = now + SIBLING_HEARTBEAT_INTERVAL
+        heartbeat = messages.Heartbeat(state.stopping)
+        due_effects += [
+            effects.SendMessage(name, heartbeat)
             for name in _list_siblings(state, now)
         ]
-    if now >= sharing.compute_next_update_time(state.exchange, state.accounts):
-        due += _send_accounts(state, now)
-    return due + claiming.make_claims(state, now)
+    if now >= sharing.compute_next_update_time(
+        state.account_exchange, state.accounts
+    ):
+        due_effects += _send_accounts(state, now)
+    return due_effects + claiming.make_claims(state, now)
 
 
 def find_next_due(state: state_module.SidecarState) -> float:
-    """Tells when `run_timers` has something to do next."""
+    """Returns the time at which `run_timers` has something to do next."""
     leases = (claim.expires_at for claim in state.claims.open.values())
     return min(
         state.next_heartbeat,
-        state.next_sibling_beat,
+        state.next_sibling_heartbeat,
         hinting.find_next_hint(state),
         running.find_next_overdue(state),
-        sharing.compute_next_update_time(state.exchange, state.accounts),
+        sharing.compute_next_update_time(
+            state.account_exchange, state.accounts
+        ),
         *leases,
     )
 
@@ -211,17 +223,17 @@
     state: state_module.SidecarState, now: float
 ) -> list[effects.SendMessage]:
     siblings = _list_siblings(state, now)
-    news = sharing.build_due_updates(
-        state.exchange, state.accounts, now, siblings
+    updates = sharing.build_due_updates(
+        state.account_exchange, state.accounts, now, siblings
     )
-    if len(news) >= len(siblings):
-        # An update to all of them tells as well that this sidecar lives.
-        state.next_sibling_beat = now + SIBLING_INTERVAL
+    if len(updates) >= len(siblings):
+        # Account updates to all siblings take the place of heartbeats.
+        state.next_sibling_heartbeat = now + SIBLING_HEARTBEAT_INTERVAL
     return [
         effects.SendMessage(
             name, messages.AccountUpdate(state.service, tuple(entries))
         )
-        for name, entries in news
+        for name, entries in updates
     ]
 
 
--- a/sycamorefall/sidecar/daemon.py
+++ b/sycamorefall/sidecar/daemon.py
@@ -1,4 +1,4 @@
-"""The sidecar program: takes attempts over HTTP and runs them upstream."""
+"""Process of a sidecar: accepts attempts over HTTP and runs them upstream."""
 
 __all__ = ["run_sidecar"]
 
@@ -28,20 +28,20 @@
 from sycamorefall.sidecar import state as state_module
 
 REQUEST_ID_HEADER = "X-Request-Id"
-"""Header with the caller's own name for its request."""
+"""Header with the ID that the caller gave its request."""
 
-_PASSED_ON = frozenset({"content-type", "cache-control"})
-"""Headers of an upstream's answer that reach the caller."""
+_FORWARDED_HEADERS = frozenset({"content-type", "cache-control"})
+"""Headers of an upstream's response that are forwarded to the caller."""
 
-_DELIMITERS = frozenset({"content-length", "transfer-encoding"})
-"""Headers that tell where an answer ends."""
+_FRAMING_HEADERS = frozenset({"content-length", "transfer-encoding"})
+"""Headers that tell where a response ends."""
 
-_WITHOUT_BODY = frozenset({204, 304})
-"""Statuses of answers that have no body."""
+_BODILESS_STATUSES = frozenset({204, 304})
+"""Status codes of responses without a body."""
 
 
 class _Relay:
-    """A run in progress: the router's call and the upstream's answer."""
+    """A run in progress: the router's call and the upstream's response."""
 
     __slots__ = (
         "begun_at",
@@ -66,14 +66,14 @@
         self.call = call
         self.order = order
         self.meter = meter
-        self.begun_at = transport.read_clock()
+        self.started_at = transport.read_clock()
         self.end: Callable[[str], None] = lambda result: None
         self.exchange: transport.Exchange | None = None
 
 
 @dataclasses.dataclass(slots=True)
-class _Desk:
-    """The decisions, the records, and the runs in progress by attempt."""
+class _Proxy:
+    """State of the decision logic, the recorder, and runs by attempt."""
 
     state: state_module.SidecarState
     recorder: observation.Recorder
@@ -84,7 +84,7 @@
     """Runs a sidecar until it is told to stop.
 
     Args:
-        config: Its settings.
+        config: Settings of the process.
 
     Raises:
         errors.AddressInUse: A listening address can't be bound.
@@ -95,9 +95,9 @@
         config.upstream.service,
     )
     recorder = observation.Recorder()
-    desk = _Desk(state, recorder)
+    proxy = _Proxy(state, recorder)
     admission.start_at_minimum(state.limit)
-    decisions = node_module.Core(
+    node_core = node_module.Core(
         vm=state.vm,
         incarnation=state.incarnation,
         versions=state.versions,
@@ -108,61 +108,61 @@
         run_timers=lambda now: core.run_timers(state, now),
         find_next_due=lambda: core.find_next_due(state),
         apply_configuration=lambda: core.apply_configuration(state),
-        perform_effects=lambda effect: _perform_effect(node, desk, effect),
+        perform_effects=lambda effect: _perform_effect(node, proxy, effect),
         is_idle=lambda: core.is_idle(state),
         begin_stop=lambda: core.begin_stop(state),
     )
     node = node_module.create_node(
         config,
-        decisions,
-        lambda call: _take_call(node, config, desk, shown, call),
-        lambda call: _take_operator_call(shown, call),
+        node_core,
+        lambda call: _handle_call(node, config, proxy, operator_pages, call),
+        lambda call: _handle_operator_call(operator_pages, call),
     )
-    shown = status.create_pages(node, state, recorder, config.listen)
+    operator_pages = status.create_pages(node, state, recorder, config.listen)
     load.start_polling(node, state, config.upstream.address)
     node_module.run_node(node)
 
 
 def _perform_effect(
-    node: node_module.Node, desk: _Desk, effect: effects.CancelRun
+    node: node_module.Node, proxy: _Proxy, effect: effects.CancelRun
 ) -> None:
-    relay = desk.relays.get(effect.attempt_id)
+    relay = proxy.relays.get(effect.attempt_id)
     if relay is None:
         return
     stage = transport.Stage.NOT_SENT
     if relay.exchange is not None:
         node.client.abort(relay.exchange)
         stage = transport.Stage.SENT
-    _end_broken(relay, stage)
+    _end_failed(relay, stage)
 
 
-def _take_call(
+def _handle_call(
     node: node_module.Node,
     config: settings.SidecarSettings,
-    desk: _Desk,
-    shown: pages.Pages,
+    proxy: _Proxy,
+    operator_pages: pages.Pages,
     call: transport.IncomingCall,
 ) -> None:
     if call.path == messages.ATTEMPT_PATH:
-        _take_attempt(node, config, desk, call)
-    elif not pages.answer_page(shown, call, for_operators=False):
+        _handle_attempt(node, config, proxy, call)
+    elif not pages.answer_page(operator_pages, call, for_operators=False):
         call.fail(errors.ErrorKind.UNKNOWN_SERVICE)
 
 
-def _take_operator_call(
-    shown: pages.Pages, call: transport.IncomingCall
+def _handle_operator_call(
+    operator_pages: pages.Pages, call: transport.IncomingCall
 ) -> None:
-    if not pages.answer_page(shown, call, for_operators=True):
+    if not pages.answer_page(operator_pages, call, for_operators=True):
         call.fail(errors.ErrorKind.UNKNOWN_SERVICE)
 
 
-def _take_attempt(
+def _handle_attempt(
     node: node_module.Node,
     config: settings.SidecarSettings,
-    desk: _Desk,
+    proxy: _Proxy,
     call: transport.IncomingCall,
 ) -> None:
-    state, recorder = desk.state, desk.recorder
+    state, recorder = proxy.state, proxy.recorder
     order = _read_order(node, recorder, call)
     if order is None:
         observation.count_event(recorder, "attempt", "refused")
@@ -172,7 +172,9 @@
     accepted = running.accept_attempt(state, now, order)
     if accepted is not running.Acceptance.STARTED:
         observation.count_event(recorder, "attempt", accepted.value)
-        _answer_outcome(call, order.attempt_id, _OUTCOMES[accepted])
+        _answer_outcome(
+            call, order.attempt_id, _OUTCOME_BY_ACCEPTANCE[accepted]
+        )
         return
     track = observation.begin_request(
         recorder,
@@ -185,18 +187,18 @@
     meter = _choose_meter(state, len(call.body))
     relay = _Relay(call, order, meter, track)
     running.charge_run(state, order.attempt_id, relay.meter.begin())
-    relay.end = _make_ending(node, desk, relay)
-    desk.relays[order.attempt_id] = relay
+    relay.end = _create_end_callback(node, proxy, relay)
+    proxy.relays[order.attempt_id] = relay
     call.on_hangup = lambda: relay.end("cancelled")
     gate.submit_run(
         state.gate,
         now,
         order.attempt_id,
-        lambda: _send_upstream(node, config, desk, relay),
+        lambda: _send_upstream(node, config, proxy, relay),
     )
 
 
-_OUTCOMES = {
+_OUTCOME_BY_ACCEPTANCE = {
     running.Acceptance.REFUSED: messages.AttemptOutcome.REFUSED,
     running.Acceptance.REPEATED: messages.AttemptOutcome.REPEATED,
 }
@@ -207,7 +209,7 @@
     recorder: observation.Recorder,
     call: transport.IncomingCall,
 ) -> messages.AttemptOrder | None:
-    """Reads a hand-out's head, if it is one and a router signed it."""
+    """Decodes the order in a call; None if it is invalid or not signed."""
     text = call.headers.get(messages.ORDER_HEADER, "")
     signature = call.headers.get(messages.SIGNATURE_HEADER, "")
     if not node.authenticator.verify_order(text, call.body, signature):
@@ -239,24 +241,27 @@
 ) -> metering.Meter:
     service = state.versions.configuration.services[state.service]
     if running.serves_engine(state):
-        return metering.meter_engine(service, body_size)
-    return metering.meter_plain()
+        return metering.create_engine_meter(service, body_size)
+    return metering.create_plain_meter()
 
 
 def _send_upstream(
     node: node_module.Node,
     config: settings.SidecarSettings,
-    desk: _Desk,
+    proxy: _Proxy,
     relay: _Relay,
 ) -> None:
     order, call = relay.order, relay.call
-    held = transport.read_clock() - relay.begun_at
-    relay.begun_at += held
+    held_for = transport.read_clock() - relay.started_at
+    relay.started_at += held_for
     request = transport.OutgoingRequest(
         config.upstream.address,
         order.method,
         order.path,
-        (*order.headers, *running.list_parent_headers(desk.state, order, held)),
+        (
+            *order.headers,
+            *running.build_parent_headers(proxy.state, order, held_for),
+        ),
         call.body,
         fresh=not order.idempotent,
     )
@@ -266,46 +271,52 @@
             on_head=lambda status, headers: _relay_head(
                 node, relay, status, headers
             ),
-            on_data=lambda data: _relay_data(node, desk, relay, data),
-            on_end=lambda: _end_whole(relay),
-            on_failure=lambda stage: _end_broken(relay, stage),
+            on_data=lambda data: _relay_data(node, proxy, relay, data),
+            on_end=lambda: _end_complete(relay),
+            on_failure=lambda stage: _end_failed(relay, stage),
         ),
     )
     call.on_drained = lambda: node.client.pause(relay.exchange, False)
-    call.on_hangup = lambda: _end_unwanted(node, relay)
+    call.on_hangup = lambda: _end_abandoned(node, relay)
 
 
-def _make_ending(
-    node: node_module.Node, desk: _Desk, relay: _Relay
+def _create_end_callback(
+    node: node_module.Node, proxy: _Proxy, relay: _Relay
 ) -> Callable[[str], None]:
-    """Makes the function that closes a run's books, given its result."""
+    """Creates the function that ends a run, given the result.
+
+    It charges the rest of the cost, updates the state, and claims more work.
+    """
 
     def end(result: str) -> None:
         now = transport.read_clock()
         attempt_id = relay.order.attempt_id
-        if desk.relays.pop(attempt_id, None) is None:
+        if proxy.relays.pop(attempt_id, None) is None:
             return
         sent = relay.exchange is not None
         ran = sent and result != messages.AttemptOutcome.NOT_RUN.value
         if ran:
-            rest = relay.meter.finish(now - relay.begun_at)
-            running.charge_run(desk.state, attempt_id, rest)
-        running.finish_run(desk.state, now, attempt_id, ran)
+            rest = relay.meter.finish(now - relay.started_at)
+            running.charge_run(proxy.state, attempt_id, rest)
+        running.finish_run(proxy.state, now, attempt_id, ran)
         gate.release_run(
-            desk.state.gate,
+            proxy.state.gate,
             now,
             attempt_id,
-            whole=result == "answered",
-            is_engine=running.serves_engine(desk.state),
+            answered=result == "answered",
+            is_engine=running.serves_engine(proxy.state),
+        )
+        observation.end_request(proxy.recorder, relay.track, now, result)
+        node_module.perform_effects(
+            node, claiming.make_claims(proxy.state, now)
         )
-        observation.end_request(desk.recorder, relay.track, now, result)
-        node_module.perform_effects(node, claiming.make_claims(desk.state, now))
 
     return end
 
 
-MOST_UNSENT = 1 << 18
-"""Bytes that may wait for a slow taker before the upstream is paused."""
+MAX_UNSENT_BYTES = 1 << 18
+"""Bytes that may wait for a slow receiver before reading from the upstream is
+paused."""
 
 
 def _relay_head(
@@ -314,54 +325,54 @@
     status_code: int,
     headers: list[tuple[str, str]],
 ) -> None:
-    if not _shows_its_end(relay.order.method, status_code, headers):
+    if not _is_framed(relay.order.method, status_code, headers):
         node.client.abort(relay.exchange)
-        _end_broken(relay, transport.Stage.SENT)
+        _end_failed(relay, transport.Stage.SENT)
         return
-    passed_on = tuple(pair for pair in headers if pair[0] in _PASSED_ON)
-    content_type = dict(passed_on).get("content-type", "")
+    forwarded = tuple(pair for pair in headers if pair[0] in _FORWARDED_HEADERS)
+    content_type = dict(forwarded).get("content-type", "")
     relay.streamed = content_type.startswith(transport.EVENT_STREAM)
     named = (messages.ATTEMPT_HEADER, relay.order.attempt_id)
-    relay.call.begin(status_code, (named, *passed_on))
+    relay.call.begin(status_code, (named, *forwarded))
 
 
-def _shows_its_end(
+def _is_framed(
     method: str, status_code: int, headers: list[tuple[str, str]]
 ) -> bool:
-    """Tells whether an answer can be known to be whole.
+    """Tells whether the end of a response can be detected.
 
-    Guards against an upstream that dies in the middle of an answer which
-    ends only by closing the connection: the part would pass for the whole.
+    If the upstream died during a response that ends only by closing the
+    connection, the truncated response would pass for a complete one.
     """
     named = {name for name, _ in headers}
-    without_body = method == "HEAD" or status_code in _WITHOUT_BODY
-    return without_body or bool(named & _DELIMITERS)
+    bodiless = method == "HEAD" or status_code in _BODILESS_STATUSES
+    return bodiless or bool(named & _FRAMING_HEADERS)
 
 
 def _relay_data(
-    node: node_module.Node, desk: _Desk, relay: _Relay, data: bytes
+    node: node_module.Node, proxy: _Proxy, relay: _Relay, data: bytes
 ) -> None:
     attempt_id = relay.order.attempt_id
     if relay.streamed:
         now = transport.read_clock()
-        observation.note_piece(desk.recorder, relay.track, now)
-    running.charge_run(desk.state, attempt_id, relay.meter.feed(data))
-    running.note_sent(desk.state, attempt_id, len(data))
+        observation.note_piece(proxy.recorder, relay.track, now)
+    running.charge_run(proxy.state, attempt_id, relay.meter.feed(data))
+    running.record_sent(proxy.state, attempt_id, len(data))
     relay.call.write(data)
-    if relay.call.backlog > MOST_UNSENT:
+    if relay.call.backlog > MAX_UNSENT_BYTES:
         node.client.pause(relay.exchange, True)
 
 
-def _end_whole(relay: _Relay) -> None:
+def _end_complete(relay: _Relay) -> None:
     relay.call.end()
     relay.end("answered")
 
 
-def _end_broken(relay: _Relay, stage: transport.Stage) -> None:
-    """Ends a run whose upstream broke off.
+def _end_failed(relay: _Relay, stage: transport.Stage) -> None:
+    """Ends a run whose upstream failed.
 
-    An answer that has begun is broken off too: ended in the usual way it
-    would pass for a whole one.
+    A response that has begun is aborted: ended normally, it would pass for a
+    complete one.
     """
     outcome = messages.AttemptOutcome.FAILED
     if relay.call.begun:
@@ -374,12 +385,12 @@
     relay.end(outcome.value)
 
 
-def _end_unwanted(node: node_module.Node, relay: _Relay) -> None:
-    """Ends a run whose router went away or gave it up.
+def _end_abandoned(node: node_module.Node, relay: _Relay) -> None:
+    """Ends a run whose router disconnected or aborted it.
 
-    An idempotent run is cancelled, so that the slot serves someone else. Any
-    other goes on to its end: breaking it off could leave half an order
-    booked.
+    An idempotent run is cancelled to free its slot. Any other run continues to
+    its end, because aborting it could leave its work half done, such as an
+    order booked in part.
     """
     if relay.order.idempotent:
         node.client.abort(relay.exchange)
--- a/sycamorefall/sidecar/effects.py
+++ b/sycamorefall/sidecar/effects.py
@@ -1,4 +1,4 @@
-"""What a sidecar's decisions ask its shell to do, besides sending."""
+"""Effects of a sidecar's decision logic, besides control messages."""
 
 __all__ = ["CancelRun"]
 
@@ -7,6 +7,6 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class CancelRun:
-    """Cancel a run at the upstream; nobody waits for its answer any more."""
+    """Cancel a run at the upstream: nobody waits for its response any more."""
 
     attempt_id: str
--- a/sycamorefall/sidecar/gate.py
+++ b/sycamorefall/sidecar/gate.py
@@ -1,8 +1,9 @@
-"""The gate between a sidecar and its upstream: never more than the limit.
+"""Gate that enforces the concurrency limit of a sidecar's upstream.
 
-A sidecar claims slightly ahead of a slot that comes free. What arrives before
-the slot is free is held here, so that the upstream never has more in progress
-than the configured cap, and the slot is filled again without a message.
+A sidecar claims requests slightly before a slot becomes free. Runs that arrive
+before that are held at the gate. The upstream therefore never has more requests
+in progress than the configured cap, and a free slot is filled without waiting
+for a message.
 """
 
 __all__ = [
@@ -20,12 +21,14 @@
 
 @dataclasses.dataclass(slots=True)
 class ConcurrencyGate:
-    """Runs of one upstream, held or passed on.
+    """Runs of one upstream, held or started.
 
     Attributes:
-        limit: The upstream's concurrency limit.
-        held: What starts each held run, by attempt, in order of arrival.
-        started_at: When each run was passed to the upstream, by attempt.
+        limit: Concurrency limit of the upstream.
+        held: Callback that starts each held run, by attempt, in order of
+            arrival.
+        started_at: Time at which each run was started at the upstream, by
+            attempt.
     """
 
     limit: admission.ConcurrencyLimit
@@ -41,20 +44,20 @@
     attempt_id: str,
     start: Callable[[], None],
 ) -> None:
-    """Starts a run, now or as soon as the limit lets it.
+    """Starts a run now, or as soon as the limit allows it.
 
     Args:
         gate: The gate; changed.
         now: This process's time.
-        attempt_id: The run's attempt.
-        start: Sends its request to the upstream.
+        attempt_id: Attempt of the run.
+        start: Sends the request to the upstream.
     """
     gate.held[attempt_id] = start
     start_held_runs(gate, now)
 
 
 def start_held_runs(gate: ConcurrencyGate, now: float) -> None:
-    """Starts held runs while the limit lets them."""
+    """Starts held runs while the limit allows it."""
     while gate.held and admission.count_startable(gate.limit):
         attempt_id = next(iter(gate.held))
         start = gate.held.pop(attempt_id)
@@ -67,24 +70,26 @@
     gate: ConcurrencyGate,
     now: float,
     attempt_id: str,
-    whole: bool,
+    answered: bool,
     is_engine: bool,
 ) -> None:
-    """Ends a run, held or passed on, and starts the next.
+    """Removes a run that has ended, held or started, and starts held runs.
 
     Args:
         gate: The gate; changed.
         now: This process's time.
-        attempt_id: The run's attempt; one that already left changes nothing.
-        whole: Whether the upstream answered; a connection that fails at once
-            is no sign of a fast upstream.
+        attempt_id: Attempt of the run. If it was removed before, nothing
+            changes.
+        answered: Whether the upstream responded. Without a response the run's
+            duration is no latency: a connection that fails at once doesn't show
+            that the upstream is fast.
         is_engine: Whether the upstream is a model engine.
     """
     gate.held.pop(attempt_id, None)
-    since = gate.started_at.pop(attempt_id, None)
-    if since is None:
+    started = gate.started_at.pop(attempt_id, None)
+    if started is None:
         return
-    if whole:
-        admission.adjust_to_latency(gate.limit, now, now - since, is_engine)
+    if answered:
+        admission.adjust_to_latency(gate.limit, now, now - started, is_engine)
     admission.record_end(gate.limit, now)
     start_held_runs(gate, now)
--- a/sycamorefall/sidecar/hinting.py
+++ b/sycamorefall/sidecar/hinting.py
@@ -1,10 +1,14 @@
-"""Hints at free slots: to linked routers, and to further ones when idle."""
+"""Hints: heartbeats that announce a sidecar's free slots to routers.
+
+Linked routers get hints when slots become free; further routers get them while
+the sidecar is idle.
+"""
 
 __all__ = [
     "HEARTBEAT_BYTES",
     "build_heartbeat",
     "find_next_hint",
-    "hint_room",
+    "send_due_hints",
     "send_heartbeats",
 ]
 
@@ -15,26 +19,31 @@
 from sycamorefall.sidecar import state as state_module
 
 HEARTBEAT_BYTES = 50
-"""Size of a heartbeat, framing included."""
+"""Size of a heartbeat in bytes, including framing."""
 
-HINT_WIDTH = 4
-"""Linked routers that are told at once of room that came free."""
+HINT_RECEIVERS = 4
+"""Linked routers that get a hint when slots become free."""
 
-SEARCH_WIDTH = 2
-"""Further routers that an idle sidecar asks at once."""
+SEARCH_RECEIVERS = 2
+"""Unlinked routers that get a hint in one search for work."""
 
-FIRST_SEARCH = 0.1
-"""Seconds that a sidecar is idle before it asks further routers."""
+FIRST_SEARCH_DELAY = 0.1
+"""Seconds that a sidecar is idle before it first searches for work."""
 
-LONGEST_SEARCH = 8.0
-"""Longest pause between two searches, in seconds."""
+MAX_SEARCH_PAUSE = 8.0
+"""Longest pause between two searches in seconds, before jitter."""
 
 
 def build_heartbeat(
     state: state_module.SidecarState, now: float
 ) -> messages.Heartbeat:
-    """Builds a heartbeat with the slots that are free for offers."""
-    free_slots = claiming.count_free(state) if offers.is_idle(state) else 0
+    """Builds a heartbeat with the slots that are free for offers.
+
+    They are 0 while work is known to wait: the slots are for claims then.
+    """
+    free_slots = (
+        claiming.count_free_slots(state) if offers.has_idle_slots(state) else 0
+    )
     stopping = state.stopping or _is_leaving(state)
     return messages.Heartbeat(stopping, free_slots, clock_seconds=int(now))
 
@@ -42,7 +51,7 @@
 def _is_leaving(state: state_module.SidecarState) -> bool:
     """Tells whether operators marked this VM as leaving.
 
-    Said in heartbeats, it reaches routers whose own list is still stale.
+    Heartbeats carry the mark to routers whose VM list is still outdated.
     """
     own = state.directory.vms.get(state.vm)
     return own is not None and own.state is membership.VmState.LEAVING
@@ -51,26 +60,28 @@
 def send_heartbeats(
     state: state_module.SidecarState, now: float
 ) -> list[effects.SendMessage]:
-    """Sends a heartbeat to each linked router."""
+    """Creates a heartbeat for each linked router."""
     routers = membership.list_linked_routers(
         state.links, state.directory, now, state.vm
     )
-    state.hinted = build_heartbeat(state, now).free_slots
-    state.hinting.rate = _share_hints(state, len(routers))
-    return _send_to(state, now, routers)
+    state.hinted_slots = build_heartbeat(state, now).free_slots
+    state.hint_budget.rate = _compute_hint_rate(state, len(routers))
+    return _send_heartbeat(state, now, routers)
 
 
-def _share_hints(state: state_module.SidecarState, routers: int) -> float:
-    """Computes what this sidecar may send for hints, in bytes per second.
+def _compute_hint_rate(state: state_module.SidecarState, routers: int) -> float:
+    """Computes the byte rate of this sidecar's hints, in bytes per second.
 
-    Guards the routers too, which hear the hints of all their sidecars: many
-    sidecars before a few routers each hint the less.
+    The rate also protects the routers, each of which gets hints from many
+    sidecars: the more sidecars there are per router, the fewer hints each
+    sends.
     """
     own = sharing.compute_remaining_rate(
         state_module.HINT_RATE, state_module.HEARTBEAT_RATE, routers
     )
     sidecars = len(state.links.siblings) + 1
-    # A list without routers must not stop the budget for good.
+    # Without a router in the VM list, a rate of 0 would stop the budget for
+    # good.
     shared = state_module.ROUTER_HINT_RATE * max(1, routers) / sidecars
     return min(own, shared)
 
@@ -78,40 +89,41 @@
 def _send_hints(
     state: state_module.SidecarState, now: float
 ) -> list[effects.SendMessage]:
-    """Tells a few linked routers, drawn anew each time, of the room."""
+    """Creates hints for a few linked routers, chosen at random each time."""
     routers = membership.list_linked_routers(
         state.links, state.directory, now, state.vm
     )
-    state.hinted = build_heartbeat(state, now).free_slots
-    count = min(HINT_WIDTH, len(routers))
-    return _send_to(state, now, state.chance.sample(routers, count))
+    state.hinted_slots = build_heartbeat(state, now).free_slots
+    count = min(HINT_RECEIVERS, len(routers))
+    return _send_heartbeat(state, now, state.rng.sample(routers, count))
 
 
-def _has_news(state: state_module.SidecarState) -> bool:
-    """Tells whether there is room for the first time, or twice as much."""
-    return claiming.count_free(state) >= max(1, 2 * state.hinted)
+def _should_hint(state: state_module.SidecarState) -> bool:
+    """Tells whether a slot is free that no hint announced, or twice as many."""
+    return claiming.count_free_slots(state) >= max(1, 2 * state.hinted_slots)
 
 
-def _send_to(
+def _send_heartbeat(
     state: state_module.SidecarState, now: float, routers: Sequence[str]
 ) -> list[effects.SendMessage]:
-    beat = build_heartbeat(state, now)
-    return [effects.SendMessage(name, beat) for name in routers]
+    heartbeat = build_heartbeat(state, now)
+    return [effects.SendMessage(name, heartbeat) for name in routers]
 
 
-def hint_room(
+def send_due_hints(
     state: state_module.SidecarState, now: float
 ) -> list[effects.SendMessage]:
-    """Tells routers when room comes free and nothing is known to claim.
+    """Creates hints if slots became free and no work is known to wait.
 
-    Told are the first free slot and each doubling; routers count down by
-    themselves as they offer.
+    The first free slot and each doubling are announced. Routers count the slots
+    down themselves as they send offers.
 
-    Guards against an upstream that idles although work waits: at a linked
-    router whose announcement was lost or still waits for its budget, or at a
-    router that this sidecar has no link to. A router answers with what
-    waits, or keeps the hint for its next request. Only idle sidecars pay for
-    the search, less and less often, and all hints keep to a budget.
+    Without hints, an upstream could idle while work waits at a linked router
+    whose announcement was lost or is delayed by its byte budget, or at a router
+    without a link to this sidecar. A router responds to a hint by announcing
+    its waiting requests, or keeps the hint for its next request. Only idle
+    sidecars search for work at unlinked routers, less and less often, and all
+    hints keep to a byte budget.
 
     Args:
         state: The sidecar; changed.
@@ -120,42 +132,45 @@
     Returns:
         Heartbeats to send.
     """
-    if not offers.is_idle(state):
-        state.hinted = 0
+    if not offers.has_idle_slots(state):
+        state.hinted_slots = 0
         return []
     if now < find_next_hint(state):
         return []
-    if state.hinted == 0:
-        state.search_pause = FIRST_SEARCH
-        state.next_search = now + FIRST_SEARCH
-    tell = _send_hints if _has_news(state) else _search
+    if state.hinted_slots == 0:
+        state.search_pause = FIRST_SEARCH_DELAY
+        state.next_search_at = now + FIRST_SEARCH_DELAY
+    tell = _send_hints if _should_hint(state) else _search_work
     hints = tell(state, now)
     size = HEARTBEAT_BYTES * len(hints)
-    sharing.spend_bytes(state.hinting, now, size)
+    sharing.spend_bytes(state.hint_budget, now, size)
     return hints
 
 
-def _search(
+def _search_work(
     state: state_module.SidecarState, now: float
 ) -> list[effects.SendMessage]:
-    """Asks a few further routers; jitter keeps idle sidecars out of step."""
+    """Creates hints for a few unlinked routers.
+
+    Jitter keeps idle sidecars from searching at the same times.
+    """
     further = membership.list_unlinked_routers(
         state.links, state.directory, now, state.vm
     )
-    asked = state.chance.sample(further, min(SEARCH_WIDTH, len(further)))
-    state.search_pause = min(LONGEST_SEARCH, 2 * state.search_pause)
-    jitter = state.chance.uniform(0.75, 1.25)
-    state.next_search = now + state.search_pause * jitter
-    return _send_to(state, now, asked)
+    asked = state.rng.sample(further, min(SEARCH_RECEIVERS, len(further)))
+    state.search_pause = min(MAX_SEARCH_PAUSE, 2 * state.search_pause)
+    jitter = state.rng.uniform(0.75, 1.25)
+    state.next_search_at = now + state.search_pause * jitter
+    return _send_heartbeat(state, now, asked)
 
 
 def find_next_hint(state: state_module.SidecarState) -> float:
-    """Tells when `hint_room` has something to do next."""
-    if not offers.is_idle(state):
+    """Returns the time at which `send_due_hints` has something to do next."""
+    if not offers.has_idle_slots(state):
         return float("inf")
-    opening = sharing.compute_next_send_time(state.hinting)
-    if _has_news(state):
-        return opening
+    next_send_time = sharing.compute_next_send_time(state.hint_budget)
+    if _should_hint(state):
+        return next_send_time
     if not state.links.unlinked:
         return float("inf")
-    return max(opening, state.next_search)
+    return max(next_send_time, state.next_search_at)
--- a/sycamorefall/sidecar/load.py
+++ b/sycamorefall/sidecar/load.py
@@ -1,4 +1,4 @@
-"""Reads the upstream's load reports into its concurrency limit."""
+"""Polls an upstream's load reports and adjusts the concurrency limit."""
 
 __all__ = [
     "LoadPoller",
@@ -20,16 +20,16 @@
 from sycamorefall.sidecar import state as state_module
 
 LOAD_PATH = "/v1/load"
-"""Where upstreams publish their load."""
+"""Path at which upstreams publish their load."""
 
 POLL_INTERVAL = 0.5
-"""Seconds between two reads of the load report."""
+"""Seconds between two polls."""
 
 POLL_TIMEOUT = 2.0
-"""Seconds after which a report that doesn't come is given up."""
+"""Seconds after which a poll without a complete response is aborted."""
 
-LARGEST_REPORT = 1 << 14
-"""Bytes of a report that are read; more is not a load report."""
+MAX_REPORT_BYTES = 1 << 14
+"""Maximum size of a load report in bytes; a larger body is rejected."""
 
 _Count = Annotated[int, msgspec.Meta(ge=0, le=1 << 20)]
 
@@ -44,7 +44,7 @@
 
 
 class Client(Protocol):
-    """The part of `transport.HttpClient` that is used here."""
+    """The methods of `transport.HttpClient` that a poller uses."""
 
     def send(
         self, request: transport.OutgoingRequest, listener: transport.Listener
@@ -52,21 +52,21 @@
         """Sends a request."""
 
     def abort(self, exchange: transport.Exchange) -> None:
-        """Gives a request up."""
+        """Aborts a request."""
 
 
 @dataclasses.dataclass(slots=True)
 class LoadPoller:
-    """Reads of one upstream's load report.
+    """State of polling one upstream.
 
     Attributes:
-        client: Sends the reads.
-        address: The upstream.
-        on_report: Called with each sound report.
-        next_poll: When to read next.
-        exchange: The read in progress.
-        expires: When to give it up.
-        failed: Reads without a sound report so far.
+        client: Sends the polls.
+        address: Address of the upstream.
+        on_report: Called with each valid load report.
+        next_poll: Time at which the next poll is due.
+        exchange: The poll in progress, if any.
+        expires_at: Time at which the poll in progress times out.
+        failures: Number of polls without a valid report.
     """
 
     client: Client
@@ -74,21 +74,21 @@
     on_report: Callable[[admission.LoadReport], None]
     next_poll: float = 0.0
     exchange: transport.Exchange | None = None
-    expires: float = 0.0
-    failed: int = 0
+    expires_at: float = 0.0
+    failures: int = 0
 
 
 def decode_report(data: bytes) -> admission.LoadReport | None:
     """Decodes a load report.
 
-    Guards against an upstream that answers something else: a wrong type, a
-    negative or an absurd count would move the limit for no reason.
+    Any other response is rejected: a wrong type, a negative count or an
+    absurdly high one would change the concurrency limit without reason.
 
     Args:
         data: The body as received.
 
     Returns:
-        The report, or None if the body is not one.
+        The report, or None if the body is not a valid one.
 
     Example:
         >>> decode_report(b'{"running": 3, "queued": 1}')
@@ -103,52 +103,52 @@
 
 
 def find_next_poll(poller: LoadPoller) -> float:
-    """Tells when `poll_load` has something to do next."""
-    return poller.next_poll if poller.exchange is None else poller.expires
+    """Returns the time at which `poll_load` has something to do next."""
+    return poller.next_poll if poller.exchange is None else poller.expires_at
 
 
 def poll_load(poller: LoadPoller, now: float) -> None:
-    """Reads the load report if that is due, one read at a time.
+    """Sends a poll if one is due and none is in progress.
 
-    Guards against an upstream that takes the connection and never answers:
-    reads would pile up, or, waiting for the one, never be made again.
+    A poll times out: the upstream may accept the connection and never respond.
+    Without the timeout, polls would either pile up or cease for good.
 
     Args:
-        poller: The reads; changed.
+        poller: State of the polling; changed.
         now: This process's time.
     """
-    if poller.exchange is not None and now >= poller.expires:
+    if poller.exchange is not None and now >= poller.expires_at:
         poller.client.abort(poller.exchange)
-        _end_read(poller, b"")
+        _handle_read_end(poller, b"")
     if poller.exchange is not None or now < poller.next_poll:
         return
     poller.next_poll = now + POLL_INTERVAL
-    poller.expires = now + POLL_TIMEOUT
+    poller.expires_at = now + POLL_TIMEOUT
     body = bytearray()
     statuses: list[int] = []
     poller.exchange = poller.client.send(
         transport.OutgoingRequest(poller.address, "GET", LOAD_PATH),
         transport.Listener(
             on_head=lambda status, _: statuses.append(status),
-            on_data=lambda data: _take_part(body, data),
-            on_end=lambda: _end_read(
+            on_data=lambda data: _append_data(body, data),
+            on_end=lambda: _handle_read_end(
                 poller, bytes(body) if statuses == [200] else b""
             ),
-            on_failure=lambda _: _end_read(poller, b""),
+            on_failure=lambda _: _handle_read_end(poller, b""),
         ),
     )
 
 
-def _take_part(body: bytearray, data: bytes) -> None:
-    if len(body) <= LARGEST_REPORT:
+def _append_data(body: bytearray, data: bytes) -> None:
+    if len(body) <= MAX_REPORT_BYTES:
         body += data
 
 
-def _end_read(poller: LoadPoller, body: bytes) -> None:
+def _handle_read_end(poller: LoadPoller, body: bytes) -> None:
     poller.exchange = None
-    report = decode_report(body) if len(body) <= LARGEST_REPORT else None
+    report = decode_report(body) if len(body) <= MAX_REPORT_BYTES else None
     if report is None:
-        poller.failed += 1
+        poller.failures += 1
     else:
         poller.on_report(report)
 
@@ -158,22 +158,24 @@
     state: state_module.SidecarState,
     upstream: settings.Address,
 ) -> None:
-    """Reads an upstream's load for as long as the process runs.
+    """Polls an upstream's load for as long as the process runs.
 
     Args:
         node: The process.
-        state: The sidecar's decisions.
-        upstream: The upstream beside it.
+        state: State of the sidecar's decision logic.
+        upstream: Address of the upstream.
     """
     poller = LoadPoller(
-        node.client, upstream, lambda report: _take_report(node, state, report)
+        node.client,
+        upstream,
+        lambda report: _handle_report(node, state, report),
     )
     transport.Ticker(
         lambda: find_next_poll(poller), lambda now: poll_load(poller, now)
     ).register(node.loop)
 
 
-def _take_report(
+def _handle_report(
     node: node_module.Node,
     state: state_module.SidecarState,
     report: admission.LoadReport,
--- a/sycamorefall/sidecar/metering.py
+++ b/sycamorefall/sidecar/metering.py
@@ -1,6 +1,6 @@
-"""Measures what a run costs while its answer passes by."""
+"""Meters the cost of a run while its response is forwarded."""
 
-__all__ = ["Meter", "meter_engine", "meter_plain"]
+__all__ = ["Meter", "create_engine_meter", "create_plain_meter"]
 
 from collections.abc import Callable
 import dataclasses
@@ -11,13 +11,15 @@
 from sycamorefall import configuration
 
 BYTES_PER_TOKEN = 4
-"""Rough size of a prompt token, until the engine reports the true count."""
+"""Estimated size of a prompt token in bytes, for as long as the engine has not
+reported the number of tokens."""
 
-RECENT_BYTES = 4096
-"""How much of the answer's end is kept to find the usage record in it."""
+TAIL_BYTES = 4096
+"""Bytes at the end of the response that are kept to find the usage record
+in."""
 
-_EVENT = b"data:"
-_USAGE = re.compile(rb'"usage"\s*:\s*(\{[^{}]*\})')
+_EVENT_PREFIX = b"data:"
+_USAGE_PATTERN = re.compile(rb'"usage"\s*:\s*(\{[^{}]*\})')
 
 
 class _Usage(msgspec.Struct):
@@ -27,13 +29,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Meter:
-    """Functions that turn an answer into cost units.
+    """Functions that compute the cost units of a run.
 
     Attributes:
-        begin: Units known before the answer.
-        feed: Units of a further piece of the answer.
-        finish: Units still to be charged at the end, given the seconds the
-            run took; never below 0.
+        begin: Returns the units that are known before the response.
+        feed: Returns the units of a further part of the response.
+        finish: Returns the units that remain to be charged at the end, given
+            the duration of the run in seconds; never negative.
     """
 
     begin: Callable[[], float]
@@ -41,8 +43,8 @@
     finish: Callable[[float], float]
 
 
-def meter_plain() -> Meter:
-    """Creates a meter for plain services: upstream milliseconds."""
+def create_plain_meter() -> Meter:
+    """Creates a meter for plain services: one unit per upstream millisecond."""
     return Meter(
         begin=lambda: 0.0,
         feed=lambda _: 0.0,
@@ -50,38 +52,41 @@
     )
 
 
-def meter_engine(service: configuration.Service, body_size: int) -> Meter:
+def create_engine_meter(
+    service: configuration.Service, body_size: int
+) -> Meter:
     """Creates a meter for engines: weighted prompt and output tokens.
 
-    Each event of a streamed answer counts as one output token as it passes;
-    a usage record in the answer corrects the sum at the end.
+    Each event of a streamed response counts as one output token. At the end, a
+    usage record in the response raises the sum if it was too low.
 
     Args:
-        service: The service with its weights.
-        body_size: Size of the request body, for a guess at the prompt.
+        service: The service, with its weights.
+        body_size: Size of the request body in bytes, from which the prompt's
+            tokens are estimated.
 
     Returns:
         The meter.
 
     Example:
         >>> kind = configuration.ServiceKind.ENGINE
-        >>> meter = meter_engine(configuration.Service("m", kind), 40)
+        >>> meter = create_engine_meter(configuration.Service("m", kind), 40)
         >>> meter.begin(), meter.feed(b"data: {}")
         (10.0, 4.0)
     """
     charged = body_size / BYTES_PER_TOKEN * service.prompt_weight
-    recent = b""
+    tail = b""
 
     def feed(data: bytes) -> float:
-        nonlocal charged, recent
-        overlap = recent[1 - len(_EVENT) :]
-        units = (overlap + data).count(_EVENT) * service.output_weight
-        recent = (recent + data)[-RECENT_BYTES:]
+        nonlocal charged, tail
+        overlap = tail[1 - len(_EVENT_PREFIX) :]
+        units = (overlap + data).count(_EVENT_PREFIX) * service.output_weight
+        tail = (tail + data)[-TAIL_BYTES:]
         charged += units
         return units
 
     def finish(_: float) -> float:
-        usage = _find_usage(recent)
+        usage = _parse_usage(tail)
         if usage is None:
             return 0.0
         total = (
@@ -93,8 +98,8 @@
     return Meter(begin=lambda: charged, feed=feed, finish=finish)
 
 
-def _find_usage(data: bytes) -> _Usage | None:
-    records = _USAGE.findall(data)
+def _parse_usage(data: bytes) -> _Usage | None:
+    records = _USAGE_PATTERN.findall(data)
     if not records:
         return None
     try:
--- a/sycamorefall/sidecar/offers.py
+++ b/sycamorefall/sidecar/offers.py
@@ -1,30 +1,34 @@
-"""Offers at a sidecar: requests that a router sends without a claim."""
+"""Offers: requests that a router sends to a sidecar without a claim.
 
-__all__ = ["is_idle", "redeem_order"]
+A router sends an offer in response to a hint, a heartbeat that announces the
+sidecar's free slots.
+"""
+
+__all__ = ["has_idle_slots", "redeem_order"]
 
 from sycamorefall import dispatch, messages, sharing
 from sycamorefall.sidecar import claiming
 from sycamorefall.sidecar import state as state_module
 
 OFFER_LEASE = 15.0
-"""Seconds after a sidecar's hint at room in which offers on it may start."""
+"""Seconds after a sidecar's hint within which an offer on it may start."""
 
 
 def redeem_order(
     state: state_module.SidecarState, now: float, order: messages.AttemptOrder
 ) -> dispatch.OpenClaim | None:
-    """Finds the claim that a hand-out answers, or takes it as an offer.
+    """Redeems the claim that an order answers, or accepts an offer.
 
     Args:
         state: The sidecar; changed.
         now: This process's time.
-        order: Head of the attempt.
+        order: Order of the attempt.
 
     Returns:
-        The claim, with the units reserved for the request; None if the
-        attempt is to be refused.
+        The claim, with the cost units reserved for the request; None if the
+        attempt has to be refused.
     """
-    if claiming.count_free(state) <= 1:
+    if claiming.count_free_slots(state) <= 1:
         state.hinted = 0
     if order.claim_id != messages.UNCLAIMED:
         return dispatch.redeem_claim(
@@ -33,11 +37,11 @@
     if now - order.hinted > OFFER_LEASE or not _may_take_offer(
         state, order.team
     ):
-        # Guards against an offer that was held back, on a link or in a
-        # frozen process, until this sidecar no longer remembers that its
-        # router was told "never seen": its request would run after its
-        # caller was told "not run", or a second time. The hint's time is of
-        # this process's own clock, and only this process accepts the offer.
+        # An offer may be delayed, on a link or in a frozen process, until this
+        # sidecar has dropped the record that it told the router "never seen".
+        # Accepted then, its request would run after its caller was told "not
+        # run", or run twice. The time of the hint was read from this process's
+        # clock, and only this process accepts offers on the hint.
         return None
     reserved = sharing.estimate_cost(state.estimates, order.team)
     sharing.reserve_units(state.accounts, order.team, reserved)
@@ -49,26 +53,27 @@
 def _may_take_offer(state: state_module.SidecarState, team: str) -> bool:
     """Tells whether an offer may start now.
 
-    Guards against offers of several routers on the same hint, which would
-    fill the upstream beyond its limit, and against overtaking: a team that
-    waits elsewhere and received less goes first.
+    It may only if a slot is free, because several routers may send offers on
+    the same hint and would exceed the upstream's limit. It also may not
+    overtake a team that waits elsewhere and received less.
     """
-    if not claiming.may_claim(state) or claiming.count_free(state) <= 0:
+    if not claiming.may_claim(state) or claiming.count_free_slots(state) <= 0:
         return False
-    # A team that was idle has not saved up service: it counts as lifted.
-    key = max(_compute_key(state, team), state.fairness.floor)
+    # An idle team saves up no service: its key counts as raised to the floor.
+    key = max(_compute_order_key(state, team), state.fairness.floor)
     return all(
-        _compute_key(state, waiting) >= key for waiting in state.demand.teams
+        _compute_order_key(state, waiting) >= key
+        for waiting in state.demand.teams
     )
 
 
-def _compute_key(state: state_module.SidecarState, team: str) -> float:
-    weight = claiming.find_weight(state, team)
+def _compute_order_key(state: state_module.SidecarState, team: str) -> float:
+    weight = claiming.get_team_weight(state, team)
     return sharing.compute_order_key(state.accounts, team, weight)
 
 
-def is_idle(state: state_module.SidecarState) -> bool:
-    """Tells whether there is room and nothing known to claim."""
+def has_idle_slots(state: state_module.SidecarState) -> bool:
+    """Tells whether slots are free and no work is known to wait."""
     if state.demand.teams or not claiming.may_claim(state):
         return False
-    return claiming.count_free(state) > 0
+    return claiming.count_free_slots(state) > 0
--- a/sycamorefall/sidecar/running.py
+++ b/sycamorefall/sidecar/running.py
@@ -1,4 +1,4 @@
-"""Attempts at a sidecar: started at most once, charged as they run."""
+"""Attempts at a sidecar: started at most once, charged while they run."""
 
 __all__ = [
     "Acceptance",
@@ -7,8 +7,8 @@
     "charge_run",
     "find_next_overdue",
     "finish_run",
-    "list_parent_headers",
-    "note_sent",
+    "build_parent_headers",
+    "record_sent",
     "report_attempt",
     "serves_engine",
 ]
@@ -28,11 +28,11 @@
 
 
 class Acceptance(enum.Enum):
-    """What a sidecar does with a hand-out.
+    """What a sidecar does with an attempt order.
 
-    STARTED: it is now on record as started and is to be run.
-    REFUSED: it did not start here, and never will.
-    REPEATED: it started here before; this is a copy.
+    STARTED: the attempt is recorded as started and has to be run.
+    REFUSED: the attempt did not start here and never will.
+    REPEATED: the attempt started here before; the order is a copy.
     """
 
     STARTED = "started"
@@ -50,27 +50,29 @@
     Args:
         state: The sidecar; changed.
         now: This process's time.
-        order: Head of the attempt.
+        order: Order of the attempt.
 
     Returns:
-        Whether it starts. A refusal is on record, so that the attempt is
-        refused whenever it comes again.
+        Whether it starts. A refusal is recorded, so that the attempt is refused
+        whenever it arrives again.
     """
     known = outcomes.find_attempt_state(state.outcomes, order.attempt_id)
     if known in (
         messages.AttemptState.STARTED,
         messages.AttemptState.FINISHED,
     ):
-        # Guards against a copy of a hand-out: called refused, its request
-        # would be handed out again although it runs.
+        # If a copy of an order were reported as refused, the router would send
+        # the request again although it runs here.
         return Acceptance.REPEATED
     claim = None
-    if _is_meant_here(state, order) and not _is_outdated(state, order):
+    if _is_addressed_to_this_process(state, order) and not _is_outdated(
+        state, order
+    ):
         if order.claim_id != messages.UNCLAIMED:
-            claim_backoff.note_answer(state, order.router)
+            claim_backoff.clear_backoff(state, order.router)
         claim = offers.redeem_order(state, now, order)
     if claim is None:
-        _refuse(state, now, order.attempt_id)
+        _record_refusal(state, now, order.attempt_id)
         return Acceptance.REFUSED
     if not dispatch.try_start(state.outcomes, order.attempt_id):
         sharing.reserve_units(state.accounts, order.team, -claim.reserved)
@@ -85,34 +87,34 @@
     return Acceptance.STARTED
 
 
-def _is_meant_here(
+def _is_addressed_to_this_process(
     state: state_module.SidecarState, order: messages.AttemptOrder
 ) -> bool:
-    """Tells whether a hand-out is meant for this very process.
+    """Tells whether an order is addressed to this very process.
 
-    Guards against a claim redeemed for another request: claim numbers begin
-    anew in each process, so a hand-out for the process before this one, or
-    for the VM that had this address before, could match a claim of this one
-    by chance. Its router would hear of it under the wrong incarnation.
+    Claim numbers begin anew in each process. An order to an earlier process, or
+    to the VM that had this address before, could match a claim of this process
+    by chance. The claim would be redeemed for another request, and its router
+    would learn of the run under the wrong incarnation.
     """
-    meant = (order.sidecar, order.sidecar_incarnation, order.service)
-    return meant == (state.vm, state.incarnation, state.service)
+    addressee = (order.sidecar, order.sidecar_incarnation, order.service)
+    return addressee == (state.vm, state.incarnation, state.service)
 
 
 def _is_outdated(
     state: state_module.SidecarState, order: messages.AttemptOrder
 ) -> bool:
-    """Tells whether a hand-out comes from a router that has restarted since.
+    """Tells whether an order comes from a router that has restarted since.
 
-    Guards against a hand-out that was on its way as its router died: nobody
-    waits for its answer, its caller may already have come back with the same
-    order, and the claim it names belongs to the router's new process.
+    Such an order was in transit when its router died. Nobody waits for the
+    response, the caller may have sent the same request again, and the claim
+    that the order names belongs to the router's new process.
     """
     peer = state.directory.peers.get(order.router)
     return peer is not None and peer.incarnation > order.incarnation
 
 
-def _refuse(
+def _record_refusal(
     state: state_module.SidecarState, now: float, attempt_id: str
 ) -> None:
     outcomes.record_settled_state(
@@ -123,10 +125,10 @@
 def charge_run(
     state: state_module.SidecarState, attempt_id: str, units: float
 ) -> None:
-    """Charges a team for service as it is given.
+    """Charges a team for a part of a run.
 
-    The cost is known only at the end, so what is charged on the way takes
-    the place of what was reserved.
+    The total is known only at the end. Until then, charged units replace
+    reserved ones.
 
     Args:
         state: The sidecar; changed.
@@ -143,10 +145,10 @@
     sharing.reserve_units(state.accounts, run.team, -released)
 
 
-def note_sent(
+def record_sent(
     state: state_module.SidecarState, attempt_id: str, size: int
 ) -> None:
-    """Counts bytes of an answer that were passed on to the router."""
+    """Counts bytes of a response that were forwarded to the router."""
     run = state.runs.get(attempt_id)
     if run is not None:
         run.sent += size
@@ -158,15 +160,15 @@
     attempt_id: str,
     ran: bool = True,
 ) -> None:
-    """Ends a run and learns from its cost.
+    """Ends a run and updates the team's cost estimate.
 
     Args:
         state: The sidecar; changed.
         now: This process's time.
-        attempt_id: The attempt that ended, in whichever way.
-        ran: Whether the upstream may have seen it. If no byte reached the
-            upstream, the attempt goes on record as refused, so that a router
-            that didn't hear of it can still say "not run".
+        attempt_id: The attempt that has ended, for whatever reason.
+        ran: Whether the upstream may have received the request. If no byte
+            reached the upstream, the attempt is recorded as refused, so that a
+            router that did not hear of the end can still report "not run".
     """
     run = state.runs.pop(attempt_id, None)
     if run is None:
@@ -175,19 +177,20 @@
     if ran:
         sharing.record_cost(state.estimates, run.team, run.charged)
         state.fairness.max_lead = sharing.compute_max_lead(state.estimates)
-    settled = messages.AttemptState.FINISHED
+    final_state = messages.AttemptState.FINISHED
     if not ran:
-        settled = messages.AttemptState.REFUSED
-    outcomes.record_settled_state(state.outcomes, now, attempt_id, settled)
+        final_state = messages.AttemptState.REFUSED
+    outcomes.record_settled_state(state.outcomes, now, attempt_id, final_state)
 
 
 def report_attempt(
     state: state_module.SidecarState, now: float, attempt_id: str
 ) -> messages.AttemptReport:
-    """Tells a router what became of an attempt.
+    """Builds a report of an attempt's state for a router.
 
     Args:
-        state: The sidecar; an attempt never seen is refused from now on.
+        state: The sidecar. An attempt that was never seen is refused from now
+            on.
         now: This process's time.
         attempt_id: The attempt.
 
@@ -204,10 +207,10 @@
 ) -> list[effects.CancelRun]:
     """Cancels idempotent runs whose callers have stopped waiting.
 
-    Guards against a router that vanished without closing its connection, as
-    in a partition: its runs would hold their slots until the kernel gives
-    the connection up, after minutes. A run that is not idempotent goes on to
-    its end, since breaking it off could leave half an order booked.
+    A router may vanish without closing its connections, as in a partition. Its
+    runs would then hold their slots for minutes, until the kernel gives up the
+    connections. A run that is not idempotent continues to its end, because
+    aborting it could leave its work half done, such as an order booked in part.
 
     Args:
         state: The sidecar.
@@ -224,7 +227,7 @@
 
 
 def find_next_overdue(state: state_module.SidecarState) -> float:
-    """Tells when `cancel_overdue` has something to do next."""
+    """Returns the time at which `cancel_overdue` has something to do next."""
     return min(
         (run.deadline for run in state.runs.values() if run.idempotent),
         default=float("inf"),
@@ -238,17 +241,19 @@
     return service is not None and service.kind is engine
 
 
-def list_parent_headers(
+def build_parent_headers(
     state: state_module.SidecarState,
     order: messages.AttemptOrder,
-    held: float,
+    held_for: float,
 ) -> tuple[tuple[str, str], ...]:
-    """Lists what an upstream has to pass on with the calls that it makes.
+    """Builds the headers that an upstream passes on with calls it makes.
+
+    They attribute these calls to the attempt.
 
     Args:
         state: The sidecar.
-        order: Head of the attempt that is passed to the upstream.
-        held: Seconds for which this process held it.
+        order: Order of the attempt that is sent to the upstream.
+        held_for: Seconds for which this process held the attempt.
 
     Returns:
         Headers for the upstream; none if its service depends on no other.
@@ -257,7 +262,7 @@
     service = in_force.services.get(state.service)
     if service is None or not service.depends_on:
         return ()
-    remaining = max(0.0, order.remaining - held)
+    remaining = max(0.0, order.remaining - held_for)
     parent = admission.Parent(
         order.team, state.service, order.attempt_id, remaining
     )
--- a/sycamorefall/sidecar/state.py
+++ b/sycamorefall/sidecar/state.py
@@ -1,6 +1,6 @@
-"""State of a sidecar's decisions. All of it is lost with the process."""
+"""State of a sidecar's decision logic, which is lost with the process."""
 
-__all__ = ["Run", "SidecarState", "Silence", "create_state"]
+__all__ = ["ClaimBackoff", "Run", "SidecarState", "create_state"]
 
 import dataclasses
 import random
@@ -9,30 +9,33 @@
 from sycamorefall.sidecar import gate as gate_module
 
 HINT_RATE = 1500.0
-"""Bytes per second that a sidecar without links may send for hints."""
+"""Bytes per second that a sidecar without links may send for hints, the
+heartbeats that announce free slots."""
 
 ROUTER_HINT_RATE = 4000.0
-"""Bytes per second of hints that a router is to hear from a service."""
+"""Bytes per second of hints that a router may receive from the sidecars of a
+service."""
 
 HEARTBEAT_RATE = 50.0
-"""Bytes per second that the heartbeats of a link take, both ways."""
+"""Bytes per second that the heartbeats on a link take, in both directions."""
 
 HINT_BURST = 1000.0
-"""Bytes of hints that a sidecar may save up."""
+"""Bytes for hints that a sidecar may save up."""
 
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """A request in progress at the upstream.
+    """A request that this sidecar has accepted and that has not ended.
 
     Attributes:
-        attempt_id: The attempt.
-        team: Whose request it is.
-        reserved: Cost units still reserved for it.
+        attempt_id: ID of the attempt.
+        team: Team of the request.
+        reserved: Cost units that are still reserved for it.
         charged: Cost units charged so far.
-        idempotent: Whether it may be cancelled and run again.
-        deadline: When its caller stops waiting, by this process's clock.
-        sent: Bytes of the answer passed on to the router so far.
+        idempotent: Whether it may be cancelled and executed again.
+        deadline: Time at which its caller stops waiting, by this process's
+            clock.
+        sent: Bytes of the response that were forwarded to the router so far.
     """
 
     attempt_id: str
@@ -45,50 +48,55 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Silence:
-    """A router that let a claim expire.
+class ClaimBackoff:
+    """Backoff from a router that let a claim expire.
 
     Attributes:
-        since: When a claim there expired last.
-        until: Until when its work is passed over.
-        pause: For how long it was passed over last, in seconds.
+        last_expiry_at: Time at which a claim at the router last expired.
+        ignored_until: Time until which the router's announcements are ignored.
+        duration: Seconds for which they were last ignored.
     """
 
-    since: float
-    until: float
-    pause: float
+    last_expiry_at: float
+    ignored_until: float
+    duration: float
 
 
 @dataclasses.dataclass(slots=True)
 class SidecarState:
-    """Everything a sidecar decides from.
+    """State of a sidecar's decision logic.
 
     Attributes:
-        vm: This sidecar's VM name.
-        incarnation: This process's number.
-        service: The upstream's service.
-        accounts: What each team received from the service.
-        versions: The configuration in force.
-        directory: The VMs of the fleet.
-        links: The routers and sidecars that it is linked to.
-        fairness: State of the choice of the next team.
-        estimates: Costs of the teams' recent requests.
-        demand: Work waiting at the routers.
-        limit: The upstream's concurrency limit.
-        gate: Runs held until the limit lets them reach the upstream.
-        claims: Requests asked for that have not come yet.
-        runs: Requests in progress at the upstream, by attempt.
-        outcomes: What became of each attempt.
-        silences: Routers that let a claim expire, by VM name.
-        next_heartbeat: When the next heartbeat is due.
-        hinted: Free slots that routers were last told of; 0 since there was
-            none or work to claim.
-        next_sibling_beat: When the next heartbeat to siblings is due.
-        search_pause: Seconds until the search after that.
-        chance: Source of random choices.
-        hinting: What may be sent for hints outside of heartbeats.
-        exchange: What siblings were told of the accounts.
-        stopping: Whether no new work is taken.
+        vm: Name of this VM.
+        incarnation: Number of this process.
+        service: Service of the upstream.
+        accounts: What each team has received from the service.
+        versions: Configuration in force.
+        directory: VMs of the fleet.
+        links: Routers and sidecars that this sidecar is linked to.
+        fairness: State of the team selection.
+        estimates: Cost estimates from the teams' recent requests.
+        demand: Requests that wait at the routers.
+        limit: Concurrency limit of the upstream.
+        gate: Holds runs until the limit lets them start at the upstream.
+        claims: Claims whose requests have not arrived yet.
+        runs: Accepted requests that have not ended, by attempt.
+        outcomes: States of attempts.
+        claim_backoffs: Backoffs from routers that let a claim expire, by VM
+            name.
+        next_heartbeat: Time at which the next heartbeats to routers are due.
+        hinted_slots: Free slots in the last hint; 0 if since then there was no
+            free slot, or there was work to claim.
+        next_sibling_heartbeat: Time at which the next heartbeats to siblings
+            are due.
+        next_search_at: Time at which the next search for work at unlinked
+            routers is due.
+        search_pause: Seconds from that search to the one after it, before
+            jitter.
+        rng: Source of random choices.
+        hint_budget: Byte budget of the hints outside the regular heartbeats.
+        account_exchange: State of sending account entries to siblings.
+        stopping: Whether no new work is accepted.
     """
 
     vm: str
@@ -122,36 +130,38 @@
     outcomes: dispatch.OutcomeRecords = dataclasses.field(
         default_factory=dispatch.OutcomeRecords
     )
-    silences: dict[str, Silence] = dataclasses.field(default_factory=dict)
+    claim_backoffs: dict[str, ClaimBackoff] = dataclasses.field(
+        default_factory=dict
+    )
     next_heartbeat: float = 0.0
-    hinted: int = 0
-    next_sibling_beat: float = 0.0
-    next_search: float = 0.0
+    hinted_slots: int = 0
+    next_sibling_heartbeat: float = 0.0
+    next_search_at: float = 0.0
     search_pause: float = 0.0
-    chance: random.Random = dataclasses.field(default_factory=random.Random)
-    hinting: sharing.ByteBudget = dataclasses.field(
+    rng: random.Random = dataclasses.field(default_factory=random.Random)
+    hint_budget: sharing.ByteBudget = dataclasses.field(
         default_factory=lambda: sharing.ByteBudget(
             HINT_RATE, HINT_BURST, HINT_BURST
         )
     )
-    exchange: sharing.AccountExchange = dataclasses.field(
+    account_exchange: sharing.AccountExchange = dataclasses.field(
         default_factory=sharing.AccountExchange
     )
     stopping: bool = False
 
     def __post_init__(self):
         self.gate = gate_module.ConcurrencyGate(self.limit)
-        # Choices are alike in each run, and different at each sidecar.
-        self.chance.seed(f"{self.vm}/{self.incarnation}")
+        # Random choices are reproducible and differ between sidecars.
+        self.rng.seed(f"{self.vm}/{self.incarnation}")
 
 
 def create_state(vm: str, incarnation: int, service: str) -> SidecarState:
     """Creates the state of a sidecar that has just started.
 
     Args:
-        vm: This sidecar's VM name.
-        incarnation: This process's number.
-        service: The upstream's service.
+        vm: Name of this VM.
+        incarnation: Number of this process.
+        service: Service of the upstream.
 
     Returns:
         The state.
--- a/sycamorefall/sidecar/status.py
+++ b/sycamorefall/sidecar/status.py
@@ -1,4 +1,4 @@
-"""What a sidecar shows to its operators."""
+"""Status, readiness and metrics of a sidecar."""
 
 __all__ = ["create_pages"]
 
@@ -29,13 +29,13 @@
     recorder: observation.Recorder,
     listen: settings.ListenSettings,
 ) -> pages.Pages:
-    """Creates a sidecar's pages.
+    """Creates the operators' pages of a sidecar.
 
     Args:
         node: The process.
-        state: The sidecar's decisions.
-        recorder: Its records.
-        listen: Its addresses.
+        state: State of the sidecar's decision logic.
+        recorder: Recorder of events and times.
+        listen: Listening addresses of the process.
 
     Returns:
         The pages.
@@ -43,7 +43,9 @@
     return pages.Pages(
         listen=listen,
         find_unready=lambda: _find_unready(node, state),
-        describe=lambda whole: _describe(node, state, recorder, whole),
+        describe=lambda with_histograms: _build_status(
+            node, state, recorder, with_histograms
+        ),
         list_metrics=lambda: _list_metrics(node, state, recorder),
     )
 
@@ -66,24 +68,25 @@
     }
 
 
-def _describe(
+def _build_status(
     node: node_module.Node,
     state: state_module.SidecarState,
     recorder: observation.Recorder,
-    whole: bool,
+    with_histograms: bool,
 ) -> status_module.SidecarStatus:
     now = transport.read_clock()
     waiting = _count_waiting(state)
-    most = heapq.nlargest(
+    most_waiting = heapq.nlargest(
         status_module.MOST_TEAMS_SHOWN, waiting, key=waiting.get
     )
     return status_module.SidecarStatus(
         **pages.describe_process(
-            node, recorder, now, _list_linked(state, now), whole
+            node, recorder, now, _list_linked(state, now), with_histograms
         ),
         unready=_find_unready(node, state),
         teams=tuple(
-            _describe_team(state, team, waiting[team]) for team in most
+            _build_team_status(state, team, waiting[team])
+            for team in most_waiting
         ),
         teams_total=len(waiting),
         service=state.service,
@@ -94,7 +97,10 @@
 
 
 def _count_waiting(state: state_module.SidecarState) -> dict[str, int]:
-    """Counts what waits anywhere, by team; teams with an account too."""
+    """Counts the requests that wait at all routers, by team.
+
+    Teams that have an account are included even if none of their requests wait.
+    """
     counts = dict.fromkeys(state.accounts.teams, 0)
     for router in state.demand.routers.values():
         for team, entry in router.teams.items():
@@ -102,10 +108,10 @@
     return counts
 
 
-def _describe_team(
+def _build_team_status(
     state: state_module.SidecarState, team: str, waiting: int
 ) -> status_module.TeamStatus:
-    weight = claiming.find_weight(state, team)
+    weight = claiming.get_team_weight(state, team)
     account = state.accounts.teams.get(team)
     served = (
         sum(entry.served for entry in account.entries.values())
--- a/sycamorefall/sidecar/sweeping.py
+++ b/sycamorefall/sidecar/sweeping.py
@@ -1,4 +1,4 @@
-"""The sweep that keeps a sidecar's accounts to the teams that matter."""
+"""Periodic removal of accounts that the team selection doesn't need."""
 
 __all__ = ["sweep_accounts"]
 
@@ -8,7 +8,7 @@
 
 
 def sweep_accounts(state: state_module.SidecarState) -> None:
-    """Drops accounts that the choice of teams doesn't need.
+    """Drops part of the accounts that the team selection doesn't need.
 
     Args:
         state: The sidecar; changed.
@@ -17,6 +17,6 @@
         state.fairness,
         state.accounts,
         state.demand.teams,
-        lambda name: claiming.find_weight(state, name),
+        lambda name: claiming.get_team_weight(state, name),
         max_entries=2 * len(state.directory.vms),
     )
--- a/sycamorefall/sidecar/tests/test_claiming.py
+++ b/sycamorefall/sidecar/tests/test_claiming.py
@@ -31,10 +31,10 @@
     )
     waiting = messages.Waiting("assistant", sequence, entries, True)
     envelope = messages.Envelope(router, 1, 1, waiting)
-    return find_claims(core.receive_message(state, now, envelope))
+    return list_claims(core.receive_message(state, now, envelope))
 
 
-def find_claims(sends):
+def list_claims(sends):
     return [
         (send.to, send.message.team)
         for send in sends
@@ -65,7 +65,7 @@
     state = create_sidecar(sidecars=1, slots=2)
     announce(state, 0.0, "router-1", {"flood": 500})
     assert announce(state, 0.1, "router-0", {"mill-a": 5}) == []
-    claims = find_claims(core.run_timers(state, 1.05))
+    claims = list_claims(core.run_timers(state, 1.05))
     assert claims == [("router-0", "mill-a")] * 3
     assert announce(state, 1.2, "router-1", {"flood": 9}, sequence=2) == []
     assert state.demand.teams["flood"] == {"router-1"}
--- a/sycamorefall/sidecar/tests/test_hinting.py
+++ b/sycamorefall/sidecar/tests/test_hinting.py
@@ -34,7 +34,7 @@
     return sent
 
 
-def find_searches(state, sent):
+def list_search_times(state, sent):
     linked = set(
         membership.list_linked_routers(
             state.links, state.directory, 0.0, state.vm
@@ -59,11 +59,11 @@
 
 def test_search_backs_off_while_nothing_is_found():
     state = create_sidecar(routers=200)
-    searches = find_searches(state, run(state, 0.0, 60.0))
+    searches = list_search_times(state, run(state, 0.0, 60.0))
     early = [now for now in searches if now < 2.0]
     late = [now for now in searches if now >= 40.0]
     assert len(early) >= 6
-    assert len(late) <= 2 * hinting.SEARCH_WIDTH + 4
+    assert len(late) <= 2 * hinting.SEARCH_RECEIVERS + 4
 
 
 def test_busy_sidecar_does_not_search():
@@ -76,9 +76,9 @@
     )[0]
     envelope = messages.Envelope(router, 1, 1, waiting)
     core.receive_message(state, 1.0, envelope)
-    assert find_searches(state, run(state, 1.0, 0.9)) == []
+    assert list_search_times(state, run(state, 1.0, 0.9)) == []
 
 
 def test_all_with_all_leaves_nobody_to_search():
     state = create_sidecar(routers=4, sidecars=10)
-    assert find_searches(state, run(state, 0.0, 20.0)) == []
+    assert list_search_times(state, run(state, 0.0, 20.0)) == []
--- a/sycamorefall/sidecar/tests/test_load.py
+++ b/sycamorefall/sidecar/tests/test_load.py
@@ -55,7 +55,7 @@
     load.poll_load(poller, 3.0)
     answer(client.listeners[2], b'{"running": 8}', status=500)
     assert reports == []
-    assert poller.failed == 3
+    assert poller.failures == 3
     load.poll_load(poller, 4.0)
     answer(client.listeners[3], b'{"running": 8, "more": 1}')
     assert reports == [admission.LoadReport(8, 0, 0)]
@@ -83,10 +83,10 @@
             gate, 1.0, name, lambda name=name: started.append(name)
         )
     assert started == ["a", "b"]
-    gate_module.release_run(gate, 2.0, "c", whole=False, is_engine=True)
-    gate_module.release_run(gate, 2.0, "a", whole=True, is_engine=True)
+    gate_module.release_run(gate, 2.0, "c", answered=False, is_engine=True)
+    gate_module.release_run(gate, 2.0, "a", answered=True, is_engine=True)
     assert started == ["a", "b", "d"]
-    gate_module.release_run(gate, 2.0, "a", whole=True, is_engine=True)
+    gate_module.release_run(gate, 2.0, "a", answered=True, is_engine=True)
     assert limit.in_flight.current == 2
 
 
@@ -97,6 +97,6 @@
     for index in range(200):
         gate_module.submit_run(gate, 1.0, f"{index}", lambda: None)
         gate_module.release_run(
-            gate, 1.0, f"{index}", whole=False, is_engine=False
+            gate, 1.0, f"{index}", answered=False, is_engine=False
         )
     assert (limit.baseline, limit.capacity) == (0.0, 1.0)
--- a/sycamorefall/sidecar/tests/test_offers.py
+++ b/sycamorefall/sidecar/tests/test_offers.py
@@ -52,7 +52,7 @@
     return core.receive_message(state, now, envelope)
 
 
-def find_hints(sends):
+def list_hints(sends):
     return [
         (send.to, send.message.free_slots)
         for send in sends
@@ -94,17 +94,17 @@
 def test_hint_is_sent_when_the_last_slot_comes_free_again(sidecar):
     offer(sidecar, 1)
     offer(sidecar, 2)
-    assert find_hints(core.run_timers(sidecar, 0.2)) == []
+    assert list_hints(core.run_timers(sidecar, 0.2)) == []
     running.finish_run(sidecar, 0.3, "router-0/1/1/1")
     assert core.find_next_due(sidecar) <= 0.3
-    hints = find_hints(core.run_timers(sidecar, 0.3))
+    hints = list_hints(core.run_timers(sidecar, 0.3))
     assert sorted(hints) == [("router-0", 1), ("router-1", 1)]
-    assert find_hints(core.run_timers(sidecar, 0.31)) == []
+    assert list_hints(core.run_timers(sidecar, 0.31)) == []
 
 
 def test_no_room_is_hinted_while_work_is_known_to_wait(sidecar):
     announce(sidecar, 1, "mill-a", "mill-b", "large", "flood")
-    hints = find_hints(core.run_timers(sidecar, 1.05))
+    hints = list_hints(core.run_timers(sidecar, 1.05))
     assert hints == [("router-0", 0), ("router-1", 0)]
 
 
@@ -119,7 +119,7 @@
         offer(sidecar, step * 2 + 1, now=now)
         for run in list(sidecar.runs):
             running.finish_run(sidecar, now, run)
-        sent += len(find_hints(core.run_timers(sidecar, now)))
+        sent += len(list_hints(core.run_timers(sidecar, now)))
     beats = 2 * 20 / core.HEARTBEAT_INTERVAL + 2
     hints = state_module.HINT_BURST + 20 * state_module.HINT_RATE
     assert sent <= beats + hints / hinting.HEARTBEAT_BYTES + 2
--- a/sycamorefall/tests/test_authentication.py
+++ b/sycamorefall/tests/test_authentication.py
@@ -7,11 +7,11 @@
 KEY, OLD = b"k" * 32, b"o" * 32
 
 
-def make(vm, *keys):
+def build_authenticator(vm, *keys):
     return authentication.Authenticator(vm, keys or (KEY,))
 
 
-def encode(incarnation=1):
+def encode_heartbeat(incarnation=1):
     envelope = messages.Envelope(
         "router-1", incarnation, 1, messages.Heartbeat()
     )
@@ -19,12 +19,15 @@
 
 
 def test_signed_message_is_believed_once():
-    sender, receiver = make("router-1"), make("engine-1")
-    signed = sender.sign_message("engine-1", encode())
+    sender, receiver = (
+        build_authenticator("router-1"),
+        build_authenticator("engine-1"),
+    )
+    signed = sender.sign_message("engine-1", encode_heartbeat())
     assert receiver.verify_message(signed).sender == "router-1"
     with pytest.raises(errors.MessageRefused, match="repeated"):
         receiver.verify_message(signed)
-    again = sender.sign_message("engine-1", encode())
+    again = sender.sign_message("engine-1", encode_heartbeat())
     assert receiver.verify_message(again).sender == "router-1"
 
 
@@ -34,45 +37,62 @@
     A frozen process wakes up after its successor has started and goes on
     sending, or somebody repeats what it sent before.
     """
-    receiver = make("engine-1")
-    old, new = make("router-1"), make("router-1")
-    receiver.verify_message(new.sign_message("engine-1", encode(2)))
+    receiver = build_authenticator("engine-1")
+    old, new = build_authenticator("router-1"), build_authenticator("router-1")
+    receiver.verify_message(new.sign_message("engine-1", encode_heartbeat(2)))
     with pytest.raises(errors.MessageRefused, match="old"):
-        receiver.verify_message(old.sign_message("engine-1", encode(1)))
+        receiver.verify_message(
+            old.sign_message("engine-1", encode_heartbeat(1))
+        )
 
 
 @pytest.mark.parametrize(
     "spoil",
     [
-        lambda data: encode(),
+        lambda data: encode_heartbeat(),
         lambda data: b"",
         lambda data: data[:20],
         lambda data: data[:-1] + bytes([data[-1] ^ 1]),
         lambda data: data[:16] + bytes(7) + b"\x09" + data[24:],
-        lambda data: make("x", OLD).sign_message("engine-1", encode()),
-        lambda data: make("x").sign_message("engine-2", encode()),
+        lambda data: build_authenticator("x", OLD).sign_message(
+            "engine-1", encode_heartbeat()
+        ),
+        lambda data: build_authenticator("x").sign_message(
+            "engine-2", encode_heartbeat()
+        ),
     ],
 )
-def test_forged_messages_are_refused(spoil):
-    signed = make("router-1").sign_message("engine-1", encode())
+def test_forged_messages_are_refused(tamper):
+    signed = build_authenticator("router-1").sign_message(
+        "engine-1", encode_heartbeat()
+    )
     with pytest.raises(errors.MessageRefused):
-        make("engine-1").verify_message(spoil(signed))
+        build_authenticator("engine-1").verify_message(tamper(signed))
 
 
 def test_orders_are_bound_to_sidecar_and_body():
-    router, sidecar = make("router-1"), make("engine-1")
+    router, sidecar = (
+        build_authenticator("router-1"),
+        build_authenticator("engine-1"),
+    )
     digest = router.sign_order("engine-1", "order", b"body")
     assert sidecar.verify_order("order", b"body", digest)
     assert not sidecar.verify_order("order", b"other", digest)
     assert not sidecar.verify_order("other", b"body", digest)
     assert not sidecar.verify_order("order", b"body", "\u00fc")
-    assert not make("engine-2").verify_order("order", b"body", digest)
+    assert not build_authenticator("engine-2").verify_order(
+        "order", b"body", digest
+    )
 
 
 def test_key_is_replaced_one_process_after_another():
-    old, both, new = make("a", OLD), make("b", KEY, OLD), make("c", KEY)
-    assert both.verify_message(old.sign_message("b", encode()))
-    assert new.verify_message(both.sign_message("c", encode()))
+    old, both, new = (
+        build_authenticator("a", OLD),
+        build_authenticator("b", KEY, OLD),
+        build_authenticator("c", KEY),
+    )
+    assert both.verify_message(old.sign_message("b", encode_heartbeat()))
+    assert new.verify_message(both.sign_message("c", encode_heartbeat()))
 
 
 def test_key_file_is_checked(tmp_path):
--- a/sycamorefall/tests/test_names.py
+++ b/sycamorefall/tests/test_names.py
@@ -8,13 +8,13 @@
 TEAMS = [f"member-{index:05d}" for index in range(6)]
 
 
-def build(team, incarnation=1):
+def build_envelope(team, incarnation=1):
     entry = messages.AccountEntry(team, "engine-0/1", 1, 5, 0, 0)
     update = messages.AccountUpdate("assistant", (entry,))
     return messages.Envelope("engine-0", incarnation, 1, update)
 
 
-def pass_on(sender, receiver, envelope, lost=False):
+def transmit(sender, receiver, envelope, lost=False):
     """Sends over the wire; returns what the receiver makes of it."""
     compact = names.compact_envelope(sender, "engine-1", envelope)
     data = messages.encode_envelope(compact)
@@ -27,8 +27,8 @@
     sender, receiver = names.NameTable(), names.NameTable()
     sizes = []
     for _ in range(3):
-        envelope = build(TEAMS[0])
-        assert pass_on(sender, receiver, envelope) == (envelope, ())
+        envelope = build_envelope(TEAMS[0])
+        assert transmit(sender, receiver, envelope) == (envelope, ())
         compact = names.compact_envelope(sender, "engine-1", envelope)
         sizes.append(len(messages.encode_envelope(compact)))
     assert sizes[0] == sizes[1] < 50
@@ -47,46 +47,46 @@
     for team, lost, restarts in steps:
         if restarts:
             receiver = names.NameTable()
-        envelope = build(team)
-        taken, unknown = pass_on(sender, receiver, envelope, lost)
+        envelope = build_envelope(team)
+        taken, unknown = transmit(sender, receiver, envelope, lost)
         assert taken in (None, envelope)
         names.mark_undefined(sender, "engine-1", unknown)
         if unknown:
-            assert pass_on(sender, receiver, envelope) == (envelope, ())
+            assert transmit(sender, receiver, envelope) == (envelope, ())
 
 
 def test_restarted_sender_numbers_anew():
     sender, receiver = names.NameTable(), names.NameTable()
-    pass_on(sender, receiver, build(TEAMS[0]))
-    restarted = build(TEAMS[1], incarnation=2)
-    assert pass_on(names.NameTable(), receiver, restarted) == (restarted, ())
+    transmit(sender, receiver, build_envelope(TEAMS[0]))
+    restarted = build_envelope(TEAMS[1], incarnation=2)
+    assert transmit(names.NameTable(), receiver, restarted) == (restarted, ())
 
 
 def test_late_message_of_a_dead_process_is_dropped_without_a_question():
     # An old message overtakes nothing but comes after the new process's
     # first: read with the new names, it would name another team.
     old, new, receiver = (names.NameTable() for _ in range(3))
-    pass_on(old, receiver, build(TEAMS[0]))
-    pass_on(new, receiver, build(TEAMS[1], incarnation=2))
-    assert pass_on(old, receiver, build(TEAMS[0])) == (None, ())
-    later = build(TEAMS[1], incarnation=2)
-    assert pass_on(new, receiver, later) == (later, ())
+    transmit(old, receiver, build_envelope(TEAMS[0]))
+    transmit(new, receiver, build_envelope(TEAMS[1], incarnation=2))
+    assert transmit(old, receiver, build_envelope(TEAMS[0])) == (None, ())
+    later = build_envelope(TEAMS[1], incarnation=2)
+    assert transmit(new, receiver, later) == (later, ())
 
 
 def test_peer_that_restarted_is_told_all_names_again():
     own = names.NameTable()
-    names.compact_envelope(own, "engine-1", build(TEAMS[0]))
+    names.compact_envelope(own, "engine-1", build_envelope(TEAMS[0]))
     beat = messages.Envelope("engine-1", 4, 1, messages.Heartbeat())
     names.expand_envelope(own, beat)
-    again = names.compact_envelope(own, "engine-1", build(TEAMS[0]))
+    again = names.compact_envelope(own, "engine-1", build_envelope(TEAMS[0]))
     assert {entry.name for entry in again.names} >= {TEAMS[0]}
 
 
 def test_vms_that_are_gone_are_forgotten():
     own = names.NameTable()
-    names.compact_envelope(own, "engine-1", build(TEAMS[0]))
+    names.compact_envelope(own, "engine-1", build_envelope(TEAMS[0]))
     names.retain_peers(own, {"engine-2"})
-    assert own.told == {}
+    assert own.defined_bits == {}
 
 
 def test_names_of_a_large_text_are_never_defined(monkeypatch):
@@ -94,11 +94,11 @@
     sender, receiver = names.NameTable(), names.NameTable()
     for table in (sender, receiver):
         names.update_digests(table, ["assistant", *TEAMS])
-    pass_on(sender, receiver, build(TEAMS[0]))
+    transmit(sender, receiver, build_envelope(TEAMS[0]))
     for team in TEAMS:
-        envelope = build(team)
+        envelope = build_envelope(team)
         assert names.compact_envelope(sender, "engine-1", envelope).names == ()
-        assert pass_on(sender, receiver, envelope) == (envelope, ())
+        assert transmit(sender, receiver, envelope) == (envelope, ())
 
 
 def test_name_of_a_newer_text_is_defined_to_a_peer_that_lacks_it(monkeypatch):
@@ -107,11 +107,11 @@
     monkeypatch.setattr(names, "MAX_NUMBERED_TEAMS", 1)
     sender, receiver = names.NameTable(), names.NameTable()
     names.update_digests(sender, ["assistant", TEAMS[0]])
-    envelope = build(TEAMS[0])
-    taken, unknown = pass_on(sender, receiver, envelope)
+    envelope = build_envelope(TEAMS[0])
+    taken, unknown = transmit(sender, receiver, envelope)
     assert taken is None
     names.mark_undefined(sender, "engine-1", unknown)
-    assert pass_on(sender, receiver, envelope) == (envelope, ())
+    assert transmit(sender, receiver, envelope) == (envelope, ())
 
 
 def test_names_with_the_same_digest_are_defined(monkeypatch):
@@ -123,4 +123,7 @@
     for table in (sender, receiver):
         names.update_digests(table, TEAMS)
     for team in TEAMS:
-        assert pass_on(sender, receiver, build(team)) == (build(team), ())
+        assert transmit(sender, receiver, build_envelope(team)) == (
+            build_envelope(team),
+            (),
+        )
