--- a/sycamorefall/platform_reader.py
+++ b/sycamorefall/platform_reader.py
@@ -63,8 +63,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Resource:
-    """A value published by the platform, and the read of it in progress."""
+class _PolledDocument:
+    """A document of the platform, and the read of it in progress."""
 
     kind: configuration.DocumentKind
     path: str
@@ -93,10 +93,10 @@
     """
 
     __slots__ = (
+        "_callbacks",
         "_client",
-        "_resources",
+        "_documents",
         "_settings",
-        "_callbacks",
         "bytes_read",
         "failures",
         "reads",
@@ -130,8 +130,8 @@
             configuration.DocumentKind.TEXT: "/v1/config",
             configuration.DocumentKind.VMS: "/v1/vms",
         }
-        self._resources = [
-            _Resource(
+        self._documents = [
+            _PolledDocument(
                 kind,
                 path,
                 configuration.create_read_schedule(
@@ -150,136 +150,126 @@
     @property
     def is_watching(self) -> bool:
         """Whether this process watches the platform rather than polling it."""
-        return any(resource.schedule.watching for resource in self._resources)
+        return any(polled.schedule.watching for polled in self._documents)
 
     def find_next_due(self) -> float:
         """Returns the time at which the next read is due or one times out."""
         return min(
-            resource.expires_at
-            if resource.exchange
-            else resource.schedule.next_read_at
-            for resource in self._resources
+            polled.expires_at
+            if polled.exchange
+            else polled.schedule.next_read_at
+            for polled in self._documents
         )
 
     def set_watching(self, now: float, watching: bool) -> None:
         """Makes this process watch the platform, or poll it slowly."""
-        for resource in self._resources:
-            polling.set_watching(resource.schedule, now, watching)
+        for polled in self._documents:
+            polling.set_watching(polled.schedule, now, watching)
 
     def read_soon(self, now: float) -> None:
         """Schedules reads within seconds and aborts waiting watches."""
-        for resource in self._resources:
-            if resource.exchange and resource.read.wait:
-                self._client.abort(resource.exchange)
-                resource.exchange = None
-            polling.schedule_read_soon(resource.schedule, now)
+        for polled in self._documents:
+            if polled.exchange and polled.read.wait:
+                self._client.abort(polled.exchange)
+                polled.exchange = None
+            polling.schedule_read_soon(polled.schedule, now)
 
     def run(self, now: float) -> None:
         """Sends the reads that are due and aborts those that have timed out."""
-        for resource in self._resources:
-            if resource.exchange and now >= resource.expires_at:
-                self._client.abort(resource.exchange)
-                self._handle_failure(resource)
-            if not resource.exchange and now >= resource.schedule.next_read_at:
-                self._send(resource, now)
-
-    def _send(self, resource: _Resource, now: float) -> None:
-        known = self._callbacks.get_known_revision(resource.kind)
-        resource.read = polling.plan_read(resource.schedule, known)
-        resource.sent_at = now
-        resource.parts, resource.size, resource.status, resource.headers = (
-            [],
-            0,
-            0,
-            {},
-        )
+        for polled in self._documents:
+            if polled.exchange and now >= polled.expires_at:
+                self._client.abort(polled.exchange)
+                self._handle_failure(polled)
+            if not polled.exchange and now >= polled.schedule.next_read_at:
+                self._send(polled, now)
+
+    def _send(self, polled: _PolledDocument, now: float) -> None:
+        known = self._callbacks.get_known_revision(polled.kind)
+        polled.read = polling.plan_read(polled.schedule, known)
+        polled.sent_at = now
+        polled.parts, polled.size, polled.status, polled.headers = [], 0, 0, {}
         self.reads += 1
-        resource.exchange = self._client.send(
+        polled.exchange = self._client.send(
             transport.OutgoingRequest(
-                self._settings.address, "GET", _build_path(resource)
+                self._settings.address, "GET", _build_path(polled)
             ),
             transport.Listener(
                 on_head=lambda status, headers: _handle_head(
-                    resource, status, headers
+                    polled, status, headers
                 ),
-                on_data=lambda data: self._handle_data(resource, data),
-                on_end=lambda: self._handle_end(resource),
-                on_failure=lambda _: self._handle_failure(resource),
+                on_data=lambda data: self._handle_data(polled, data),
+                on_end=lambda: self._handle_end(polled),
+                on_failure=lambda _: self._handle_failure(polled),
             ),
         )
 
-    def _handle_data(self, resource: _Resource, data: bytes) -> None:
-        resource.parts.append(data)
-        resource.size += len(data)
-        if resource.size > MAX_VALUE_BYTES:
-            self._client.abort(resource.exchange)
-            self._handle_failure(resource)
+    def _handle_data(self, polled: _PolledDocument, data: bytes) -> None:
+        polled.parts.append(data)
+        polled.size += len(data)
+        if polled.size > MAX_VALUE_BYTES:
+            self._client.abort(polled.exchange)
+            self._handle_failure(polled)
 
-    def _handle_failure(self, resource: _Resource) -> None:
+    def _handle_failure(self, polled: _PolledDocument) -> None:
         self.failures += 1
-        resource.exchange = None
-        retry_after = _parse_retry_after(
-            resource.headers.get("retry-after", "")
-        )
+        polled.exchange = None
+        retry_after = _parse_retry_after(polled.headers.get("retry-after", ""))
         now = transport.read_clock()
-        polling.record_failure(resource.schedule, now, retry_after)
-
-    def _handle_end(self, resource: _Resource) -> None:
-        resource.exchange = None
-        self.bytes_read += resource.size
-        if resource.status == 204 and resource.read.after is not None:
-            self._handle_unchanged(resource)
-        elif resource.status == 200:
-            self._handle_value(resource)
+        polling.record_failure(polled.schedule, now, retry_after)
+
+    def _handle_end(self, polled: _PolledDocument) -> None:
+        polled.exchange = None
+        self.bytes_read += polled.size
+        if polled.status == 204 and polled.read.after is not None:
+            self._handle_unchanged(polled)
+        elif polled.status == 200:
+            self._handle_value(polled)
         else:
-            self._handle_failure(resource)
+            self._handle_failure(polled)
 
-    def _handle_unchanged(self, resource: _Resource) -> None:
+    def _handle_unchanged(self, polled: _PolledDocument) -> None:
         now = transport.read_clock()
-        waited = now - resource.sent_at >= MIN_WAIT_SHARE * resource.read.wait
-        polling.record_response(resource.schedule, now, resource.read, waited)
-        revision = resource.headers.get(REVISION_HEADER, "")
+        waited = now - polled.sent_at >= MIN_WAIT_SHARE * polled.read.wait
+        polling.record_response(polled.schedule, now, polled.read, waited)
+        revision = polled.headers.get(REVISION_HEADER, "")
         published_revision = (
-            int(revision) if revision.isdecimal() else resource.read.after
+            int(revision) if revision.isdecimal() else polled.read.after
         )
-        self._callbacks.on_unchanged(resource.kind, published_revision)
+        self._callbacks.on_unchanged(polled.kind, published_revision)
 
-    def _handle_value(self, resource: _Resource) -> None:
-        data = b"".join(resource.parts)
-        is_text = resource.kind is configuration.DocumentKind.TEXT
+    def _handle_value(self, polled: _PolledDocument) -> None:
+        data = b"".join(polled.parts)
+        is_text = polled.kind is configuration.DocumentKind.TEXT
         try:
             value = msgspec.json.decode(
                 data, type=PublishedText if is_text else _PublishedList
             )
         except (msgspec.DecodeError, UnicodeDecodeError):
-            self._handle_failure(resource)
+            self._handle_failure(polled)
             return
         now = transport.read_clock()
-        after = resource.read.after
+        after = polled.read.after
         # If nothing is published yet, or nothing newer, the next read is
         # backed off.
         useful = value.revision > (after or 0)
-        polling.record_response(resource.schedule, now, resource.read, useful)
+        polling.record_response(polled.schedule, now, polled.read, useful)
         if is_text:
             self._callbacks.on_text(value)
         else:
             self._callbacks.on_vms(membership.VmList(value.revision, value.vms))
 
 
-def _build_path(resource: _Resource) -> str:
-    if resource.read.after is None:
-        return resource.path
-    return (
-        f"{resource.path}?after={resource.read.after}"
-        f"&wait={resource.read.wait:g}"
-    )
+def _build_path(polled: _PolledDocument) -> str:
+    if polled.read.after is None:
+        return polled.path
+    return f"{polled.path}?after={polled.read.after}&wait={polled.read.wait:g}"
 
 
 def _handle_head(
-    resource: _Resource, status: int, headers: list[tuple[str, str]]
+    polled: _PolledDocument, status: int, headers: list[tuple[str, str]]
 ) -> None:
-    resource.status = status
-    resource.headers = dict(headers)
+    polled.status = status
+    polled.headers = dict(headers)
 
 
 def _parse_retry_after(text: str) -> float:
--- a/sycamorefall/sidecar/claim_backoff.py
+++ b/sycamorefall/sidecar/claim_backoff.py
@@ -39,7 +39,7 @@
         )
         return
     if claim.expires_at - dispatch.CLAIM_LEASE < known.last_expiry_at:
-        return  # Made before the last expiry, so no further evidence.
+        return  # Claimed before the last expiry: no new evidence.
     duration = min(MAX_BACKOFF, max(dispatch.CLAIM_LEASE, 2 * known.duration))
     state.claim_backoffs[claim.router] = state_module.ClaimBackoff(
         now, now + duration, duration
--- a/sycamorefall/sidecar/claiming.py
+++ b/sycamorefall/sidecar/claiming.py
@@ -3,10 +3,10 @@
 __all__ = [
     "count_free_slots",
     "get_team_weight",
+    "handle_no_work",
     "make_claims",
     "may_claim",
     "release_expired_claims",
-    "handle_no_work",
 ]
 
 from sycamorefall import (
--- a/sycamorefall/sidecar/daemon.py
+++ b/sycamorefall/sidecar/daemon.py
@@ -44,12 +44,12 @@
     """A run in progress: the router's call and the upstream's response."""
 
     __slots__ = (
-        "begun_at",
         "call",
         "end",
         "exchange",
         "meter",
         "order",
+        "started_at",
         "streamed",
         "track",
     )
@@ -229,11 +229,11 @@
     attempt_id: str,
     outcome: messages.AttemptOutcome,
 ) -> None:
-    named = (
+    headers = (
         (messages.ATTEMPT_HEADER, attempt_id),
         (messages.OUTCOME_HEADER, outcome.value),
     )
-    call.respond(502, b"", named)
+    call.respond(502, b"", headers)
 
 
 def _choose_meter(
@@ -332,8 +332,8 @@
     forwarded = tuple(pair for pair in headers if pair[0] in _FORWARDED_HEADERS)
     content_type = dict(forwarded).get("content-type", "")
     relay.streamed = content_type.startswith(transport.EVENT_STREAM)
-    named = (messages.ATTEMPT_HEADER, relay.order.attempt_id)
-    relay.call.begin(status_code, (named, *forwarded))
+    attempt_header = (messages.ATTEMPT_HEADER, relay.order.attempt_id)
+    relay.call.begin(status_code, (attempt_header, *forwarded))
 
 
 def _is_framed(
@@ -344,9 +344,9 @@
     If the upstream died during a response that ends only by closing the
     connection, the truncated response would pass for a complete one.
     """
-    named = {name for name, _ in headers}
+    header_names = {name for name, _ in headers}
     bodiless = method == "HEAD" or status_code in _BODILESS_STATUSES
-    return bodiless or bool(named & _FRAMING_HEADERS)
+    return bodiless or bool(header_names & _FRAMING_HEADERS)
 
 
 def _relay_data(
--- a/sycamorefall/sidecar/gate.py
+++ b/sycamorefall/sidecar/gate.py
@@ -80,9 +80,9 @@
         now: This process's time.
         attempt_id: Attempt of the run. If it was removed before, nothing
             changes.
-        answered: Whether the upstream responded. Without a response the run's
-            duration is no latency: a connection that fails at once doesn't show
-            that the upstream is fast.
+        answered: Whether the upstream responded. Without a response, the run's
+            duration isn't used as a latency: a connection that fails at once
+            doesn't show that the upstream is fast.
         is_engine: Whether the upstream is a model engine.
     """
     gate.held.pop(attempt_id, None)
--- a/sycamorefall/sidecar/hinting.py
+++ b/sycamorefall/sidecar/hinting.py
@@ -70,7 +70,7 @@
 
 
 def _compute_hint_rate(state: state_module.SidecarState, routers: int) -> float:
-    """Computes the byte rate of this sidecar's hints, in bytes per second.
+    """Computes the rate limit of this sidecar's hints, in bytes per second.
 
     The rate also protects the routers, each of which gets hints from many
     sidecars: the more sidecars there are per router, the fewer hints each
@@ -99,7 +99,7 @@
 
 
 def _should_hint(state: state_module.SidecarState) -> bool:
-    """Tells whether a slot is free that no hint announced, or twice as many."""
+    """Tells whether free slots doubled since the last hint, or are the first."""
     return claiming.count_free_slots(state) >= max(1, 2 * state.hinted_slots)
 
 
@@ -154,14 +154,16 @@
 
     Jitter keeps idle sidecars from searching at the same times.
     """
-    further = membership.list_unlinked_routers(
+    unlinked_routers = membership.list_unlinked_routers(
         state.links, state.directory, now, state.vm
     )
-    asked = state.rng.sample(further, min(SEARCH_RECEIVERS, len(further)))
+    receivers = state.rng.sample(
+        unlinked_routers, min(SEARCH_RECEIVERS, len(unlinked_routers))
+    )
     state.search_pause = min(MAX_SEARCH_PAUSE, 2 * state.search_pause)
     jitter = state.rng.uniform(0.75, 1.25)
     state.next_search_at = now + state.search_pause * jitter
-    return _send_heartbeat(state, now, asked)
+    return _send_heartbeat(state, now, receivers)
 
 
 def find_next_hint(state: state_module.SidecarState) -> float:
--- a/sycamorefall/sidecar/load.py
+++ b/sycamorefall/sidecar/load.py
@@ -119,7 +119,7 @@
     """
     if poller.exchange is not None and now >= poller.expires_at:
         poller.client.abort(poller.exchange)
-        _handle_read_end(poller, b"")
+        _handle_poll_end(poller, b"")
     if poller.exchange is not None or now < poller.next_poll:
         return
     poller.next_poll = now + POLL_INTERVAL
@@ -131,10 +131,10 @@
         transport.Listener(
             on_head=lambda status, _: statuses.append(status),
             on_data=lambda data: _append_data(body, data),
-            on_end=lambda: _handle_read_end(
+            on_end=lambda: _handle_poll_end(
                 poller, bytes(body) if statuses == [200] else b""
             ),
-            on_failure=lambda _: _handle_read_end(poller, b""),
+            on_failure=lambda _: _handle_poll_end(poller, b""),
         ),
     )
 
@@ -144,7 +144,7 @@
         body += data
 
 
-def _handle_read_end(poller: LoadPoller, body: bytes) -> None:
+def _handle_poll_end(poller: LoadPoller, body: bytes) -> None:
     poller.exchange = None
     report = decode_report(body) if len(body) <= MAX_REPORT_BYTES else None
     if report is None:
--- a/sycamorefall/sidecar/offers.py
+++ b/sycamorefall/sidecar/offers.py
@@ -29,7 +29,7 @@
         attempt has to be refused.
     """
     if claiming.count_free_slots(state) <= 1:
-        state.hinted = 0
+        state.hinted_slots = 0
     if order.claim_id != messages.UNCLAIMED:
         return dispatch.redeem_claim(
             state.claims, now, order.claim_id, order.router, order.team
--- a/sycamorefall/sidecar/running.py
+++ b/sycamorefall/sidecar/running.py
@@ -3,11 +3,11 @@
 __all__ = [
     "Acceptance",
     "accept_attempt",
+    "build_parent_headers",
     "cancel_overdue",
     "charge_run",
     "find_next_overdue",
     "finish_run",
-    "build_parent_headers",
     "record_sent",
     "report_attempt",
     "serves_engine",
--- a/sycamorefall/sidecar/state.py
+++ b/sycamorefall/sidecar/state.py
@@ -70,7 +70,7 @@
         vm: Name of this VM.
         incarnation: Number of this process.
         service: Service of the upstream.
-        accounts: What each team has received from the service.
+        accounts: Accounts of what each team received from the service.
         versions: Configuration in force.
         directory: VMs of the fleet.
         links: Routers and sidecars that this sidecar is linked to.
@@ -81,7 +81,7 @@
         gate: Holds runs until the limit lets them start at the upstream.
         claims: Claims whose requests have not arrived yet.
         runs: Accepted requests that have not ended, by attempt.
-        outcomes: States of attempts.
+        outcomes: Records of the states of attempts.
         claim_backoffs: Backoffs from routers that let a claim expire, by VM
             name.
         next_heartbeat: Time at which the next heartbeats to routers are due.
--- a/sycamorefall/sidecar/status.py
+++ b/sycamorefall/sidecar/status.py
@@ -138,10 +138,13 @@
     yield from pages.list_metrics(node, recorder, now, linked)
     values = {
         "running": (len(state.runs), "Requests in progress at the upstream."),
-        "claimed": (len(state.claims.open), "Claims not yet fulfilled."),
+        "claimed": (
+            len(state.claims.open),
+            "Claims whose request has not arrived yet.",
+        ),
         "limit": (
             admission.compute_own_limit(state.limit),
-            "Most requests in progress.",
+            "Concurrency limit for this sidecar's requests.",
         ),
         "foreign": (
             state.limit.foreign,
--- a/sycamorefall/sidecar/tests/test_claim_backoff.py
+++ b/sycamorefall/sidecar/tests/test_claim_backoff.py
@@ -1,4 +1,4 @@
-"""A router whose announcements come and which no claim reaches."""
+"""Backoff from a router that announces work but gets no claims."""
 
 import pytest
 
@@ -16,8 +16,8 @@
     upstream, router = membership.VmRole.UPSTREAM, membership.VmRole.ROUTER
     entries = [
         membership.VmEntry("ledger-1", upstream, "d", "", "", "ledger"),
-        membership.VmEntry("deaf", router, "d", "", ""),
-        membership.VmEntry("sound", router, "d", "", ""),
+        membership.VmEntry("unreachable", router, "d", "", ""),
+        membership.VmEntry("healthy", router, "d", "", ""),
     ]
     membership.apply_vm_list(
         state.directory, membership.VmList(1, tuple(entries))
@@ -45,22 +45,22 @@
     return len(list_claims(announce(state, now, router, sequence, count)))
 
 
-def test_router_that_hears_nothing_holds_no_slots_from_others(sidecar):
-    # A router is cut off in one direction: all sidecars hear what waits with
-    # it, and it hears no claim. Claims there held every slot for a second,
-    # again and again, and callers of other routers waited for minutes.
-    wasted, served = count_claims(sidecar, 0.0, "deaf", 1), 0
+def test_unreachable_router_does_not_take_slots_from_others(sidecar):
+    # The links to a router fail in one direction: sidecars get its
+    # announcements, but it gets no claims. Its claims held every slot for a
+    # second, again and again, and callers of other routers waited for minutes.
+    wasted, served = count_claims(sidecar, 0.0, "unreachable", 1), 0
     assert wasted > 1
     now = 0.0
     for sequence in range(2, 62):
         now += 0.5
         core.run_timers(sidecar, now)
-        wasted += count_claims(sidecar, now, "deaf", sequence)
-        claims = list_claims(announce(sidecar, now, "sound", sequence, 1))
+        wasted += count_claims(sidecar, now, "unreachable", sequence)
+        claims = list_claims(announce(sidecar, now, "healthy", sequence, 1))
         for router, claim in claims:
-            if router == "sound":
+            if router == "healthy":
                 answer = messages.NoWork(claim.claim_id, "ledger", "mill-a")
-                envelope = messages.Envelope("sound", 1, 1, answer)
+                envelope = messages.Envelope("healthy", 1, 1, answer)
                 core.receive_message(sidecar, now, envelope)
                 served += 1
     assert wasted < 20
@@ -68,14 +68,14 @@
 
 
 def test_router_that_answers_again_gets_all_its_work_claimed(sidecar):
-    count_claims(sidecar, 0.0, "deaf", 1)
+    count_claims(sidecar, 0.0, "unreachable", 1)
     core.run_timers(sidecar, 1.1)
-    assert count_claims(sidecar, 1.2, "deaf", 2) == 1
+    assert count_claims(sidecar, 1.2, "unreachable", 2) == 1
     core.run_timers(sidecar, 2.3)
-    assert count_claims(sidecar, 2.4, "deaf", 3) == 0
-    probe = list_claims(announce(sidecar, 3.5, "deaf", 4, 50))
+    assert count_claims(sidecar, 2.4, "unreachable", 3) == 0
+    probe = list_claims(announce(sidecar, 3.5, "unreachable", 4, 50))
     assert len(probe) == 1
     answer = messages.NoWork(probe[0][1].claim_id, "ledger", "mill-a")
-    envelope = messages.Envelope("deaf", 1, 1, answer)
+    envelope = messages.Envelope("unreachable", 1, 1, answer)
     core.receive_message(sidecar, 3.6, envelope)
-    assert count_claims(sidecar, 3.7, "deaf", 5) > 1
+    assert count_claims(sidecar, 3.7, "unreachable", 5) > 1
--- a/sycamorefall/sidecar/tests/test_claiming.py
+++ b/sycamorefall/sidecar/tests/test_claiming.py
@@ -1,4 +1,4 @@
-"""Claims: ahead only for a backlog, and none wasted on a silent router."""
+"""Claims ahead of a free slot, and claims at a router that has failed."""
 
 from sycamorefall import configuration, membership, messages
 from sycamorefall.sidecar import core
@@ -42,10 +42,10 @@
     ]
 
 
-def test_full_sidecar_leaves_a_few_requests_to_whoever_is_free_first():
-    # Just below capacity one request waits and all four upstreams are full.
-    # Claimed ahead it is bound to one of them, while another comes free
-    # sooner; and three claims come back empty.
+def test_full_sidecar_claims_nothing_ahead_for_a_few_requests():
+    # Just below capacity, one request waits and all four upstreams are full.
+    # If each sidecar claimed ahead, the request would be bound to one upstream
+    # while another has a free slot sooner, and three claims would get nothing.
     state = create_sidecar(sidecars=4, slots=2)
     announce(state, 0.0, "router-0", {"mill-a": 2})
     claims = announce(state, 0.1, "router-0", {"mill-b": 1}, sequence=2)
@@ -58,10 +58,10 @@
     assert len(claims) == 2 + state.limit.ahead
 
 
-def test_silent_router_costs_one_lease_not_one_for_each_request():
-    # A router fails with much work announced. Each claim for it holds a slot
-    # until its lease is over; claimed one after the other, its requests
-    # would keep the upstream idle for minutes beside another router's work.
+def test_failed_router_costs_one_lease_in_total_not_one_per_request():
+    # A router fails after it announced much work. Each claim there holds a
+    # slot until its lease expires. If all of the work were claimed bit by bit,
+    # the upstream would idle for minutes while work waits at another router.
     state = create_sidecar(sidecars=1, slots=2)
     announce(state, 0.0, "router-1", {"flood": 500})
     assert announce(state, 0.1, "router-0", {"mill-a": 5}) == []
--- a/sycamorefall/sidecar/tests/test_handover.py
+++ b/sycamorefall/sidecar/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""A stopping sidecar hands its accounts over before it ends."""
+"""A stopping sidecar sends its account entries before it exits."""
 
 from sycamorefall import membership, messages, sharing
 from sycamorefall.sidecar import core
@@ -6,9 +6,9 @@
 
 
 def test_sidecar_is_not_idle_until_its_last_accounts_are_sent():
-    # A sidecar ends with what it knows of the teams' service. Ended before
-    # it told the others, its last requests would count for nothing, and
-    # their teams would be served that much more than all others.
+    # If a sidecar exited before it sent its account entries to the others, its
+    # last requests would not be counted, and their teams would get that much
+    # more service than all others.
     state = state_module.create_state("ledger-0", 1, "ledger")
     entries = tuple(
         membership.VmEntry(
--- a/sycamorefall/sidecar/tests/test_hinting.py
+++ b/sycamorefall/sidecar/tests/test_hinting.py
@@ -1,4 +1,4 @@
-"""Search for work by idle sidecars beyond their links."""
+"""Search of idle sidecars for work at unlinked routers."""
 
 from sycamorefall import configuration, membership, messages
 from sycamorefall.sidecar import core, hinting
@@ -26,7 +26,7 @@
 
 
 def run(state, begin, seconds):
-    """Runs the timers as they come due; returns (time, sends) pairs."""
+    """Runs the timers as they become due; returns (time, effects) pairs."""
     sent, now = [], begin
     while (now := max(now, core.find_next_due(state))) < begin + seconds:
         sent.append((now, core.run_timers(state, now)))
@@ -49,8 +49,8 @@
 
 
 def test_idle_sidecar_finds_work_at_a_router_it_has_no_link_to():
-    # All of a large team's work is at one router, whose linked sidecars are
-    # busy. Without the search the others would idle beside it.
+    # All work of a large team waits at one router whose linked sidecars are
+    # busy. Without the search, the other sidecars would idle.
     state = create_sidecar(routers=200)
     sent = run(state, 0.0, 600.0)
     asked = {send.to for _, sends in sent for send in sends}
@@ -79,6 +79,6 @@
     assert list_search_times(state, run(state, 1.0, 0.9)) == []
 
 
-def test_all_with_all_leaves_nobody_to_search():
+def test_sidecar_linked_to_all_routers_does_not_search():
     state = create_sidecar(routers=4, sidecars=10)
     assert list_search_times(state, run(state, 0.0, 20.0)) == []
--- a/sycamorefall/sidecar/tests/test_load.py
+++ b/sycamorefall/sidecar/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Reads of the load report, and the gate between sidecar and upstream."""
+"""Polls of the load report, and the gate that enforces the limit."""
 
 import pytest
 
@@ -45,7 +45,7 @@
         b'{"running": 8}' + b" " * (1 << 15),
     ],
 )
-def test_garbage_leaves_the_limit_as_it_is(body):
+def test_invalid_load_report_is_not_passed_on(body):
     client, reports = FakeClient(), []
     poller = load.LoadPoller(client, ADDRESS, reports.append)
     load.poll_load(poller, 1.0)
@@ -61,10 +61,10 @@
     assert reports == [admission.LoadReport(8, 0, 0)]
 
 
-def test_upstream_that_never_answers_is_read_again():
-    """An upstream hangs: it takes the connection and says nothing.
+def test_upstream_that_never_responds_is_polled_again():
+    """An upstream accepts connections and never responds.
 
-    Reads must neither pile up behind it nor cease for good.
+    Polls must neither pile up nor cease for good.
     """
     client = FakeClient()
     poller = load.LoadPoller(client, ADDRESS, lambda report: None)
@@ -74,7 +74,7 @@
     assert len(client.listeners) == 10
 
 
-def test_gate_never_lets_more_through_than_the_cap():
+def test_gate_never_starts_more_runs_than_the_cap():
     limit = admission.ConcurrencyLimit(cap=2)
     gate = gate_module.ConcurrencyGate(limit)
     started = []
@@ -90,7 +90,7 @@
     assert limit.in_flight.current == 2
 
 
-def test_failing_fast_is_no_sign_of_a_fast_upstream():
+def test_fast_failures_are_not_taken_for_low_latency():
     limit = admission.ConcurrencyLimit(cap=8)
     admission.start_at_minimum(limit)
     gate = gate_module.ConcurrencyGate(limit)
--- a/sycamorefall/sidecar/tests/test_offers.py
+++ b/sycamorefall/sidecar/tests/test_offers.py
@@ -1,4 +1,4 @@
-"""Offers at a sidecar, and its hints at free slots."""
+"""Offers that a sidecar accepts, and the hints that it sends."""
 
 import pytest
 
@@ -60,13 +60,13 @@
     ]
 
 
-def test_offers_are_taken_up_to_the_limit_and_then_refused(sidecar):
+def test_offers_are_accepted_up_to_the_limit_and_then_refused(sidecar):
     assert [offer(sidecar, number) for number in range(3)] == [
         True,
         True,
         False,
     ]
-    # Refused is certainly not run: the same attempt is refused for ever.
+    # A refused attempt may be reported as not run, so it stays refused.
     running.finish_run(sidecar, 0.2, "router-0/1/0/1")
     assert not offer(sidecar, 2)
 
@@ -78,8 +78,9 @@
 
 
 def test_offer_does_not_overtake_a_waiting_team_that_received_less(sidecar):
-    # The flooding team's router offers on an old hint while a mill's request
-    # waits at another router and the claim for it is not yet sent.
+    # The router of a team with many requests sends an offer on an old hint
+    # while another team's request waits at another router and has not been
+    # claimed yet.
     sharing.charge_team(sidecar.accounts, "flood", 100.0)
     sidecar.demand.teams["mill-b"] = {"router-1"}
     assert not offer(sidecar, 1, team="flood")
@@ -91,7 +92,7 @@
     assert not offer(sidecar, 1)
 
 
-def test_hint_is_sent_when_the_last_slot_comes_free_again(sidecar):
+def test_hint_is_sent_when_a_full_sidecar_has_a_free_slot_again(sidecar):
     offer(sidecar, 1)
     offer(sidecar, 2)
     assert list_hints(core.run_timers(sidecar, 0.2)) == []
@@ -102,16 +103,15 @@
     assert list_hints(core.run_timers(sidecar, 0.31)) == []
 
 
-def test_no_room_is_hinted_while_work_is_known_to_wait(sidecar):
+def test_no_free_slots_are_hinted_while_work_is_known_to_wait(sidecar):
     announce(sidecar, 1, "mill-a", "mill-b", "large", "flood")
     hints = list_hints(core.run_timers(sidecar, 1.05))
     assert hints == [("router-0", 0), ("router-1", 0)]
 
 
 def test_hints_keep_to_their_budget(sidecar):
-    # One short request after the other empties and fills the upstream many
-    # times a second; a hint to every router each time would cost more than
-    # the requests.
+    # Short requests fill and empty the upstream many times a second. A hint to
+    # every router each time would cost more than the requests.
     sent = 0
     for step in range(2000):
         now = 1.0 + step * 0.01
--- a/sycamorefall/tests/test_authentication.py
+++ b/sycamorefall/tests/test_authentication.py
@@ -1,4 +1,4 @@
-"""Who is believed: only holders of the shared key, and only once."""
+"""Messages are accepted from holders of the shared key, and only once."""
 
 import pytest
 
@@ -18,7 +18,7 @@
     return messages.encode_envelope(envelope)
 
 
-def test_signed_message_is_believed_once():
+def test_signed_message_is_accepted_once():
     sender, receiver = (
         build_authenticator("router-1"),
         build_authenticator("engine-1"),
@@ -32,10 +32,10 @@
 
 
 def test_message_of_an_earlier_process_is_refused():
-    """A process that has been replaced is not heard any more.
+    """Messages of a process that has been replaced are refused.
 
-    A frozen process wakes up after its successor has started and goes on
-    sending, or somebody repeats what it sent before.
+    A frozen process resumes after its successor has started and continues to
+    send, or somebody replays its messages.
     """
     receiver = build_authenticator("engine-1")
     old, new = build_authenticator("router-1"), build_authenticator("router-1")
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "tamper",
     [
         lambda data: encode_heartbeat(),
         lambda data: b"",
--- a/sycamorefall/tests/test_names.py
+++ b/sycamorefall/tests/test_names.py
@@ -1,4 +1,4 @@
-"""Names on the wire: once per link, repaired after loss and restart."""
+"""Encoding of names: defined once per peer, and again after a loss."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -15,7 +15,7 @@
 
 
 def transmit(sender, receiver, envelope, lost=False):
-    """Sends over the wire; returns what the receiver makes of it."""
+    """Sends an envelope unless it is lost; returns what is received."""
     compact = names.compact_envelope(sender, "engine-1", envelope)
     data = messages.encode_envelope(compact)
     if lost:
@@ -23,7 +23,7 @@
     return names.expand_envelope(receiver, messages.decode_envelope(data))
 
 
-def test_name_travels_once():
+def test_name_is_defined_once():
     sender, receiver = names.NameTable(), names.NameTable()
     sizes = []
     for _ in range(3):
@@ -41,8 +41,8 @@
     )
 )
 def test_no_loss_or_restart_ever_gives_a_wrong_name(steps):
-    # A definition is lost, or the receiver restarts and has forgotten it. A
-    # guess in its place would charge one team for another's service.
+    # A definition is lost, or the receiver restarts without it. If the receiver
+    # resolved the index to another name, it would charge the wrong team.
     sender, receiver = names.NameTable(), names.NameTable()
     for team, lost, restarts in steps:
         if restarts:
@@ -55,16 +55,16 @@
             assert transmit(sender, receiver, envelope) == (envelope, ())
 
 
-def test_restarted_sender_numbers_anew():
+def test_restarted_sender_defines_its_indexes_anew():
     sender, receiver = names.NameTable(), names.NameTable()
     transmit(sender, receiver, build_envelope(TEAMS[0]))
     restarted = build_envelope(TEAMS[1], incarnation=2)
     assert transmit(names.NameTable(), receiver, restarted) == (restarted, ())
 
 
-def test_late_message_of_a_dead_process_is_dropped_without_a_question():
-    # An old message overtakes nothing but comes after the new process's
-    # first: read with the new names, it would name another team.
+def test_late_message_of_an_ended_process_is_dropped_without_a_query():
+    # A message of the old process arrives after the first one of the new
+    # process. Expanded with the new definitions, it would name another team.
     old, new, receiver = (names.NameTable() for _ in range(3))
     transmit(old, receiver, build_envelope(TEAMS[0]))
     transmit(new, receiver, build_envelope(TEAMS[1], incarnation=2))
@@ -73,7 +73,7 @@
     assert transmit(new, receiver, later) == (later, ())
 
 
-def test_peer_that_restarted_is_told_all_names_again():
+def test_names_are_defined_again_to_a_peer_that_restarted():
     own = names.NameTable()
     names.compact_envelope(own, "engine-1", build_envelope(TEAMS[0]))
     beat = messages.Envelope("engine-1", 4, 1, messages.Heartbeat())
@@ -82,14 +82,14 @@
     assert {entry.name for entry in again.names} >= {TEAMS[0]}
 
 
-def test_vms_that_are_gone_are_forgotten():
+def test_state_of_departed_vms_is_dropped():
     own = names.NameTable()
     names.compact_envelope(own, "engine-1", build_envelope(TEAMS[0]))
     names.retain_peers(own, {"engine-2"})
     assert own.defined_bits == {}
 
 
-def test_names_of_a_large_text_are_never_defined(monkeypatch):
+def test_teams_of_a_large_configuration_are_never_defined(monkeypatch):
     monkeypatch.setattr(names, "MAX_NUMBERED_TEAMS", 1)
     sender, receiver = names.NameTable(), names.NameTable()
     for table in (sender, receiver):
@@ -101,9 +101,11 @@
         assert transmit(sender, receiver, envelope) == (envelope, ())
 
 
-def test_name_of_a_newer_text_is_defined_to_a_peer_that_lacks_it(monkeypatch):
-    # Operators add a team; its requests reach a router with the new text,
-    # and a sidecar that doesn't have it yet must still serve them.
+def test_team_of_a_newer_configuration_is_defined_to_a_peer_that_lacks_it(
+    monkeypatch,
+):
+    # Operators add a team. Its requests reach a router that has the new
+    # configuration, and a sidecar that lacks it must still serve them.
     monkeypatch.setattr(names, "MAX_NUMBERED_TEAMS", 1)
     sender, receiver = names.NameTable(), names.NameTable()
     names.update_digests(sender, ["assistant", TEAMS[0]])
@@ -115,8 +117,8 @@
 
 
 def test_names_with_the_same_digest_are_defined(monkeypatch):
-    # Two of 31,000 teams may share a digest of 31 bits; taken for each other
-    # one would wait for what the other received.
+    # Two of 31,000 teams may have the same digest of 31 bits. If they were
+    # taken for each other, one would wait for what the other received.
     monkeypatch.setattr(names, "MAX_NUMBERED_TEAMS", 1)
     monkeypatch.setattr(names, "_digest", lambda name: names.DIGEST_FLAG | 5)
     sender, receiver = names.NameTable(), names.NameTable()
