--- a/sycamorefall/sidecar/hinting.py
+++ b/sycamorefall/sidecar/hinting.py
@@ -99,7 +99,7 @@
 
 
 def _should_hint(state: state_module.SidecarState) -> bool:
-    """Tells whether free slots doubled since the last hint, or are the first."""
+    """Tells whether free slots are new, or twice as many as hinted last."""
     return claiming.count_free_slots(state) >= max(1, 2 * state.hinted_slots)
 
 
@@ -140,8 +140,8 @@
     if state.hinted_slots == 0:
         state.search_pause = FIRST_SEARCH_DELAY
         state.next_search_at = now + FIRST_SEARCH_DELAY
-    tell = _send_hints if _should_hint(state) else _search_work
-    hints = tell(state, now)
+    create_hints = _send_hints if _should_hint(state) else _search_work
+    hints = create_hints(state, now)
     size = HEARTBEAT_BYTES * len(hints)
     sharing.spend_bytes(state.hint_budget, now, size)
     return hints
--- a/sycamorefall/sidecar/status.py
+++ b/sycamorefall/sidecar/status.py
@@ -42,7 +42,7 @@
     """
     return pages.Pages(
         listen=listen,
-        find_unready=lambda: _find_unready(node, state),
+        find_unready=lambda: _list_unready_reasons(node, state),
         describe=lambda with_histograms: _build_status(
             node, state, recorder, with_histograms
         ),
@@ -50,7 +50,7 @@
     )
 
 
-def _find_unready(
+def _list_unready_reasons(
     node: node_module.Node, state: state_module.SidecarState
 ) -> tuple[str, ...]:
     common = pages.find_common_unready(node)
@@ -83,7 +83,7 @@
         **pages.describe_process(
             node, recorder, now, _list_linked(state, now), with_histograms
         ),
-        unready=_find_unready(node, state),
+        unready=_list_unready_reasons(node, state),
         teams=tuple(
             _build_team_status(state, team, waiting[team])
             for team in most_waiting
--- a/sycamorefall/sidecar/tests/test_claim_backoff.py
+++ b/sycamorefall/sidecar/tests/test_claim_backoff.py
@@ -47,7 +47,7 @@
 
 def test_unreachable_router_does_not_take_slots_from_others(sidecar):
     # The links to a router fail in one direction: sidecars get its
-    # announcements, but it gets no claims. Its claims held every slot for a
+    # announcements, but it gets no claims. Claims there held every slot for a
     # second, again and again, and callers of other routers waited for minutes.
     wasted, served = count_claims(sidecar, 0.0, "unreachable", 1), 0
     assert wasted > 1
--- a/sycamorefall/tests/test_names.py
+++ b/sycamorefall/tests/test_names.py
@@ -48,8 +48,8 @@
         if restarts:
             receiver = names.NameTable()
         envelope = build_envelope(team)
-        taken, unknown = transmit(sender, receiver, envelope, lost)
-        assert taken in (None, envelope)
+        received, unknown = transmit(sender, receiver, envelope, lost)
+        assert received in (None, envelope)
         names.mark_undefined(sender, "engine-1", unknown)
         if unknown:
             assert transmit(sender, receiver, envelope) == (envelope, ())
@@ -110,8 +110,8 @@
     sender, receiver = names.NameTable(), names.NameTable()
     names.update_digests(sender, ["assistant", TEAMS[0]])
     envelope = build_envelope(TEAMS[0])
-    taken, unknown = transmit(sender, receiver, envelope)
-    assert taken is None
+    received, unknown = transmit(sender, receiver, envelope)
+    assert received is None
     names.mark_undefined(sender, "engine-1", unknown)
     assert transmit(sender, receiver, envelope) == (envelope, ())
 
