--- a/sycamorefall/router/announcement.py
+++ b/sycamorefall/router/announcement.py
@@ -1,13 +1,19 @@
-"""Announcements of waiting work from a router to the sidecars."""
+"""Announcements of waiting requests from a router to the sidecars.
+
+A router tells sidecars which teams have requests waiting (`messages.Waiting`);
+a sidecar then claims requests of one team. Changes are announced to a few
+sidecars as they happen; a full announcement to all linked sidecars, sent at
+intervals, repairs lost ones. All announcements share one byte budget.
+"""
 
 __all__ = [
-    "DIGEST_INTERVAL",
+    "FULL_ANNOUNCEMENT_INTERVAL",
     "announce_all",
     "announce_changes",
-    "announce_team",
-    "announce_to",
+    "announce_to_sidecar",
     "find_next_announcement",
-    "find_next_digest",
+    "find_next_full_announcement",
+    "record_queue_change",
 ]
 
 import itertools
@@ -17,51 +23,51 @@
 from sycamorefall.router import state as state_module
 from sycamorefall.sharing import queues
 
-DIGEST_INTERVAL = 1.0
-"""Least seconds between complete announcements, which repair lost ones."""
+FULL_ANNOUNCEMENT_INTERVAL = 1.0
+"""Minimum seconds between two full announcements, which repair lost ones."""
 
-DIGEST_SHARE = 0.25
-"""Most of the budget for announcements that complete ones may take."""
+FULL_ANNOUNCEMENT_SHARE = 0.25
+"""Maximum share of the announcement budget for full announcements."""
 
 URGENT_OVERDRAFT = 6000.0
-"""Bytes by which the first word on a team's work may overdraw the budget."""
+"""Bytes by which a team's first announcement may overdraw the budget."""
 
-TOLD_PER_REQUEST = 3
-"""Sidecars that are told of one waiting request."""
+SIDECARS_PER_REQUEST = 3
+"""Number of sidecars to which each waiting request is announced."""
 
-HEAD_BYTES = 40
-"""Size of an announcement without its teams, framing included."""
+HEADER_BYTES = 40
+"""Size of an announcement without its teams, framing included, in bytes."""
 
-TEAM_BYTES = 16
-"""Size of one team's entry."""
+TEAM_ENTRY_BYTES = 16
+"""Size of the entry of one team in an announcement, in bytes."""
 
 
-def announce_team(
+def record_queue_change(
     state: state_module.RouterState, now: float, service: str, team: str
 ) -> list[effects.SendMessage]:
-    """Notes that a team's waiting work changed.
+    """Records that the number of a team's waiting requests changed.
 
-    Nothing is sent yet: `announce_changes` does that, once what came in
-    together has been taken in and the budget allows.
+    Sends nothing: `announce_changes` announces the change once the budget
+    allows it, together with other changes that were received at the same time.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
-        service: The service.
-        team: The team.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
+        service: Name of the service.
+        team: Name of the team.
 
     Returns:
-        No messages.
+        An empty list.
     """
     key = service, team
     count = queues.count_waiting(state.waiting, service, team)
-    left = state.counted.get(key, 0) - count
-    if left > 0 and key in state.announced:
-        state.announced[key] = max(0, state.announced[key] - left)
-    _set_or_drop(state.counted, key, count)
-    state.changed.add(key)
+    left = state.last_counts.get(key, 0) - count
+    if left > 0 and key in state.announced_counts:
+        state.announced_counts[key] = max(0, state.announced_counts[key] - left)
+    _set_or_drop(state.last_counts, key, count)
+    state.changed_queues.add(key)
     if left < 0:
-        state.fresh.add(service)
+        state.services_with_new_requests.add(service)
     return []
 
 
@@ -73,166 +79,177 @@
 
 
 def find_next_announcement(state: state_module.RouterState) -> float:
-    """Tells when `announce_changes` may send something next."""
-    if any(_is_urgent(state, key) for key in state.changed):
+    """Returns the earliest time at which `announce_changes` may send."""
+    if any(_is_urgent(state, key) for key in state.changed_queues):
         return sharing.compute_next_send_time(
-            state.announcing, URGENT_OVERDRAFT
+            state.announcement_budget, URGENT_OVERDRAFT
         )
-    if state.changed:
-        return sharing.compute_next_send_time(state.announcing)
+    if state.changed_queues:
+        return sharing.compute_next_send_time(state.announcement_budget)
     return float("inf")
 
 
 def _is_urgent(state: state_module.RouterState, key: tuple[str, str]) -> bool:
-    """Tells whether work waits that no sidecar may know of any more.
+    """Tells whether a team has waiting requests that no sidecar may know of.
 
-    Guards a team that seldom has work against the announcements of others:
-    were it to wait until the budget has recovered from them, it would be
-    served late and the flooding teams in its place.
+    Such a team may overdraw the budget. Otherwise a team that seldom has
+    requests would wait until the budget recovers from the announcements of
+    flooding teams, which would be served before it.
     """
     waits = queues.count_waiting(state.waiting, *key) > 0
-    return waits and not state.announced.get(key)
+    return waits and not state.announced_counts.get(key)
 
 
 def announce_changes(
     state: state_module.RouterState, now: float
 ) -> list[effects.SendMessage]:
-    """Announces the teams whose waiting work changed enough to matter.
+    """Announces the teams whose number of waiting requests changed enough.
 
-    Told are the change between none and some, and each doubling; sidecars
-    count down by themselves as they claim. Over the budget, changes wait and
-    are told together; one that was undone meanwhile is not told at all.
+    A change is announced if the number becomes 0, rises from 0, or has at least
+    doubled; sidecars decrement the number themselves as they claim. While the
+    budget is exhausted, changes accumulate and are announced together; a change
+    that is undone in the meantime is not announced.
 
     Args:
-        state: The router; what was announced is noted.
-        now: This process's time.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
 
     Returns:
         Messages to send.
     """
-    telling = sorted(key for key in state.changed if _is_news(state, key))
-    state.changed.clear()
-    if telling and not state.told:
-        state.next_digest = max(state.next_digest, now + DIGEST_INTERVAL)
+    to_announce = sorted(
+        key for key in state.changed_queues if _needs_announcement(state, key)
+    )
+    state.changed_queues.clear()
+    if to_announce and not state.informed_sidecars:
+        state.next_full_announcement_at = max(
+            state.next_full_announcement_at, now + FULL_ANNOUNCEMENT_INTERVAL
+        )
     sends: list[effects.SendMessage] = []
-    for service, keys in itertools.groupby(telling, lambda key: key[0]):
+    for service, keys in itertools.groupby(to_announce, lambda key: key[0]):
         teams = [team for _, team in keys]
-        sends += _tell_teams(state, now, service, teams)
+        sends += _announce_teams(state, now, service, teams)
     return sends
 
 
-def _tell_teams(
+def _announce_teams(
     state: state_module.RouterState,
     now: float,
     service: str,
     teams: list[str],
 ) -> list[effects.SendMessage]:
-    """Tells of changes to as many sidecars as can do something about them.
-
-    Guards against claims by everybody for the same few requests, most of
-    which come back empty: for each waiting request a few sidecars are told,
-    those with free slots first, the others drawn anew each time; and of none
-    only those who were told of some. A sidecar that was not told and has
-    nothing to claim hints, and is told then.
+    """Announces changes of some teams to the sidecars that can act on them.
+
+    For each waiting request, only a few sidecars are chosen: first those with
+    free slots, then random ones, drawn anew each time. If every sidecar were
+    told, all would claim the same few requests and most claims would come back
+    empty. When a team's queue becomes empty, only the sidecars that were told
+    of its requests are informed. A sidecar that was not told and has nothing to claim
+    sends a hint and gets an announcement in response.
     """
     receivers = _list_receivers(state, now, service)
-    drawn = state.chance.sample(receivers, len(receivers))
-    parts: dict[str, list[messages.TeamWaiting]] = {}
+    shuffled = state.rng.sample(receivers, len(receivers))
+    entries_by_sidecar: dict[str, list[messages.TeamWaiting]] = {}
     for team in teams:
         key = service, team
-        entry = _describe_team(state, now, service, team)
-        before = state.told.get(key, set())
-        chosen = hints.take_slots(state, now, service, entry.count)
-        others = [name for name in drawn if name not in chosen]
-        wanted = TOLD_PER_REQUEST * entry.count - len(chosen)
-        chosen += others[: max(0, wanted)]
+        entry = _build_team_entry(state, now, service, team)
+        before = state.informed_sidecars.get(key, set())
+        chosen = hints.reserve_slots(state, now, service, entry.count)
+        others = [name for name in shuffled if name not in chosen]
+        missing = SIDECARS_PER_REQUEST * entry.count - len(chosen)
+        chosen += others[: max(0, missing)]
         if entry.count:
-            state.told[key] = before | set(chosen)
+            state.informed_sidecars[key] = before | set(chosen)
         else:
             chosen = sorted(before)
-            del state.told[key]
-        _set_or_drop(state.announced, key, entry.count)
+            del state.informed_sidecars[key]
+        _set_or_drop(state.announced_counts, key, entry.count)
         for name in chosen:
-            parts.setdefault(name, []).append(entry)
+            entries_by_sidecar.setdefault(name, []).append(entry)
     return [
         _send_waiting(state, now, name, service, entries, complete=False)
-        for name, entries in parts.items()
+        for name, entries in entries_by_sidecar.items()
     ]
 
 
-def _is_news(state: state_module.RouterState, key: tuple[str, str]) -> bool:
+def _needs_announcement(
+    state: state_module.RouterState, key: tuple[str, str]
+) -> bool:
     count = queues.count_waiting(state.waiting, *key)
     if count == 0:
-        return key in state.told
-    return count >= 2 * state.announced.get(key, 0)
+        return key in state.informed_sidecars
+    return count >= 2 * state.announced_counts.get(key, 0)
 
 
-def find_next_digest(state: state_module.RouterState) -> float:
-    """Tells when `announce_all` is due next; never while nothing waits."""
-    if not state.told and not state.waiting.queues:
+def find_next_full_announcement(state: state_module.RouterState) -> float:
+    """Returns when `announce_all` is due, or infinity if it is not needed."""
+    if not state.informed_sidecars and not state.waiting.queues:
         return float("inf")
     return max(
-        state.next_digest, sharing.compute_next_send_time(state.announcing)
+        state.next_full_announcement_at,
+        sharing.compute_next_send_time(state.announcement_budget),
     )
 
 
 def announce_all(
     state: state_module.RouterState, now: float
 ) -> list[effects.SendMessage]:
-    """Announces all waiting work, to repair what was lost on the way.
+    """Announces all waiting requests, which repairs lost announcements.
 
     Args:
-        state: The router; what was announced is noted.
-        now: This process's time.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
 
     Returns:
         Messages to send.
     """
-    services = {service for service, _ in state.told}
-    state.told.clear()
-    state.announced.clear()
+    services = {service for service, _ in state.informed_sidecars}
+    state.informed_sidecars.clear()
+    state.announced_counts.clear()
     sends: list[effects.SendMessage] = []
     for service in sorted(services | set(state.waiting.queues)):
-        sends += _tell_all(state, now, service)
-    cost = sum(_measure_size(send.message) for send in sends)
-    pause = cost / (state.announcing.rate * DIGEST_SHARE)
-    state.next_digest = now + max(DIGEST_INTERVAL, pause)
+        sends += _announce_service(state, now, service)
+    cost = sum(_estimate_size(send.message) for send in sends)
+    pause = cost / (state.announcement_budget.rate * FULL_ANNOUNCEMENT_SHARE)
+    state.next_full_announcement_at = now + max(
+        FULL_ANNOUNCEMENT_INTERVAL, pause
+    )
     return sends
 
 
-def announce_to(
+def announce_to_sidecar(
     state: state_module.RouterState, now: float, sidecar: str
 ) -> list[effects.SendMessage]:
-    """Announces all waiting work to one sidecar, if there is any for it.
+    """Announces all waiting requests of a sidecar's service to that sidecar.
 
     Args:
-        state: The router; what is spent is noted.
-        now: This process's time.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
         sidecar: VM name of a sidecar that is new or has nothing to claim.
 
     Returns:
-        Messages to send.
+        One message, or none if no request waits for the sidecar's service.
     """
     service = state.directory.vms[sidecar].service
     teams = state.waiting.queues.get(service)
     if not teams:
         return []
-    entries = [_describe_team(state, now, service, team) for team in teams]
+    entries = [_build_team_entry(state, now, service, team) for team in teams]
     for team in teams:
-        state.told.setdefault((service, team), set()).add(sidecar)
+        state.informed_sidecars.setdefault((service, team), set()).add(sidecar)
     return [_send_waiting(state, now, sidecar, service, entries, complete=True)]
 
 
-def _tell_all(
+def _announce_service(
     state: state_module.RouterState, now: float, service: str
 ) -> list[effects.SendMessage]:
     receivers = _list_receivers(state, now, service)
     teams = state.waiting.queues.get(service, {})
-    entries = [_describe_team(state, now, service, team) for team in teams]
+    entries = [_build_team_entry(state, now, service, team) for team in teams]
     for entry in entries:
         key = service, entry.team
-        state.told[key] = set(receivers)
-        state.announced[key] = entry.count
+        state.informed_sidecars[key] = set(receivers)
+        state.announced_counts[key] = entry.count
     return [
         _send_waiting(state, now, name, service, entries, complete=True)
         for name in receivers
@@ -247,11 +264,11 @@
     entries: list[messages.TeamWaiting],
     complete: bool,
 ) -> effects.SendMessage:
-    state.announcements += 1
+    state.last_announcement += 1
     message = messages.Waiting(
-        service, state.announcements, tuple(entries), complete
+        service, state.last_announcement, tuple(entries), complete
     )
-    sharing.spend_bytes(state.announcing, now, _measure_size(message))
+    sharing.spend_bytes(state.announcement_budget, now, _estimate_size(message))
     return effects.SendMessage(to, message)
 
 
@@ -268,7 +285,7 @@
     ]
 
 
-def _describe_team(
+def _build_team_entry(
     state: state_module.RouterState, now: float, service: str, team: str
 ) -> messages.TeamWaiting:
     oldest = queues.get_oldest_arrival(state.waiting, service, team)
@@ -279,5 +296,5 @@
     )
 
 
-def _measure_size(message: messages.Waiting) -> int:
-    return HEAD_BYTES + TEAM_BYTES * len(message.teams)
+def _estimate_size(message: messages.Waiting) -> int:
+    return HEADER_BYTES + TEAM_ENTRY_BYTES * len(message.teams)
--- a/sycamorefall/router/attempt_lifecycle.py
+++ b/sycamorefall/router/attempt_lifecycle.py
@@ -1,16 +1,21 @@
-"""Hand-out of requests to sidecars, and what becomes of the attempts."""
+"""Attempts: sending requests to sidecars, and handling how attempts end.
+
+A request is sent to a sidecar in response to a claim or as an offer. When the
+attempt ends, the request is answered, queued again, retried after a back-off,
+or failed. If the connection breaks, the sidecar is queried for the outcome.
+"""
 
 __all__ = [
     "AttemptEnd",
-    "answer_claim",
-    "ask_again",
+    "determine_ran",
     "end_attempt",
-    "give_up",
-    "judge_ran",
+    "fail_request",
+    "handle_claim",
+    "handle_report",
     "offer_request",
-    "retry_or_give_up",
-    "return_to_queue",
-    "take_report",
+    "query_outcome",
+    "requeue_request",
+    "retry_or_fail",
 ]
 
 import dataclasses
@@ -33,27 +38,27 @@
 from sycamorefall.router import effects as router_effects
 from sycamorefall.router import state as state_module
 
-ASK_INTERVAL = 0.25
-"""Seconds between two questions for the outcome of the same attempt."""
+QUERY_INTERVAL = 0.25
+"""Seconds between two queries for the outcome of the same attempt."""
 
-ASK_LIMIT = 2.0
-"""Seconds after which the outcome of an attempt is given up as unknown."""
+QUERY_TIMEOUT = 2.0
+"""Seconds of queries after which an attempt's outcome counts as unknown."""
 
-NOT_RUN_LIMIT = 8
-"""Attempts after which a request that no upstream takes is given up."""
+MAX_NOT_RUN_ATTEMPTS = 8
+"""Attempts after which a request that no upstream ran is failed."""
 
-TRUST_LIMIT = 0.8 * outcomes.RECORD_LIFETIME
-"""Age of an attempt, in seconds, up to which "never seen" is believed."""
+MAX_TRUSTED_AGE = 0.8 * outcomes.RECORD_LIFETIME
+"""Maximum age of an attempt, in seconds, at which "never seen" is trusted."""
 
 
 class AttemptEnd(enum.Enum):
-    """How an attempt ended, as the router saw it.
+    """How an attempt ended, as observed by the router.
 
-    COMPLETE: the whole answer came.
-    REFUSED: the sidecar did not start it.
+    COMPLETE: the whole answer was received.
+    REFUSED: the sidecar did not start the attempt.
     NOT_RUN: the sidecar could not reach its upstream.
-    FAILED: the upstream broke off after it had the request.
-    BROKEN: the link to the sidecar broke; the outcome is open.
+    FAILED: the upstream failed after it had received the request.
+    BROKEN: the connection to the sidecar broke; the outcome is unknown.
     """
 
     COMPLETE = "complete"
@@ -63,24 +68,24 @@
     BROKEN = "broken"
 
 
-def answer_claim(
+def handle_claim(
     state: state_module.RouterState,
     now: float,
     sidecar: str,
     incarnation: int,
     claim: messages.Claim,
 ) -> list[router_effects.Effect]:
-    """Hands out the team's request with the earliest deadline.
+    """Sends the claiming sidecar the team's request with the earliest deadline.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
         sidecar: VM name of the claiming sidecar.
-        incarnation: The sidecar's process.
+        incarnation: The sidecar's incarnation.
         claim: The claim.
 
     Returns:
-        A hand-out, or the message that there is no work; and announcements.
+        The effect that sends the request, or a message that no request waits.
     """
     service, team = claim.service, claim.team
     no_work = messages.NoWork(claim.claim_id, service, team)
@@ -88,27 +93,27 @@
         state.directory, now, sidecar, service
     ):
         return [effects.SendMessage(sidecar, no_work)]
-    oldest = sharing.get_oldest_arrival(state.waiting, service, team)
+    oldest_arrival = sharing.get_oldest_arrival(state.waiting, service, team)
     number = sharing.pop_earliest(state.waiting, service, team)
     if number is None:
         return [effects.SendMessage(sidecar, no_work)]
     request = state.requests[number]
-    _note_departure(state, now, request, oldest)
-    hand_out = _start_attempt(state, now, request, sidecar, incarnation, claim)
-    announced = announcement.announce_team(state, now, service, team)
-    return [hand_out, *announced]
+    _record_departure(state, now, request, oldest_arrival)
+    send = _start_attempt(state, now, request, sidecar, incarnation, claim)
+    sends = announcement.record_queue_change(state, now, service, team)
+    return [send, *sends]
 
 
-def _note_departure(
+def _record_departure(
     state: state_module.RouterState,
     now: float,
     request: state_module.Request,
-    oldest: float,
+    oldest_arrival: float,
 ) -> None:
     key = (request.new.service, request.new.team)
-    rate = state.rates.pop(key, None) or admission.DrainRate()
-    state.rates[key] = rate
-    admission.record_departure(rate, now, busy_since=oldest)
+    rate = state.drain_rates.pop(key, None) or admission.DrainRate()
+    state.drain_rates[key] = rate
+    admission.record_departure(rate, now, busy_since=oldest_arrival)
 
 
 def _start_attempt(
@@ -125,7 +130,7 @@
     )
     request.state = state_module.RequestState.HANDED_OUT
     request.attempt = state_module.Attempt(
-        attempt_id, sidecar, incarnation, started=now
+        attempt_id, sidecar, incarnation, started_at=now
     )
     state.request_by_attempt[attempt_id] = request.number
     stalls.watch_attempt(state, now, request.attempt)
@@ -156,25 +161,25 @@
     sidecar: str,
     hint: state_module.Hint,
 ) -> router_effects.SendRequest:
-    """Hands a request that left its queue to a sidecar that didn't claim it.
+    """Sends a request that left its queue to a sidecar that didn't claim it.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
         request: The request.
-        sidecar: VM name of a sidecar that hinted at free slots.
-        hint: Its hint.
+        sidecar: VM name of a sidecar that reported free slots.
+        hint: The sidecar's hint.
 
     Returns:
-        The hand-out; the sidecar may refuse it.
+        The effect that sends the request; the sidecar may refuse it.
     """
     new = request.new
     unclaimed = messages.Claim(messages.UNCLAIMED, new.service, new.team, 0)
-    hand_out = _start_attempt(
+    send = _start_attempt(
         state, now, request, sidecar, hint.incarnation, unclaimed
     )
-    order = msgspec.structs.replace(hand_out.order, hinted=hint.clock_seconds)
-    return dataclasses.replace(hand_out, order=order)
+    order = msgspec.structs.replace(send.order, hinted=hint.clock_seconds)
+    return dataclasses.replace(send, order=order)
 
 
 def end_attempt(
@@ -184,188 +189,193 @@
     end: AttemptEnd,
     answer_begun: bool,
 ) -> list[router_effects.Effect]:
-    """Decides what follows the end of an attempt.
+    """Handles the end of an attempt.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
-        attempt_id: The attempt.
-        end: How it ended.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
+        attempt_id: Identifier of the attempt.
+        end: How the attempt ended.
         answer_begun: Whether the caller already has part of the answer.
 
     Returns:
-        Effects: none, a failure for the caller, or messages.
+        Effects: none, an error for the caller, or messages.
     """
     request = state_module.find_request(state, attempt_id)
     if request is None:
         return []
-    hints.note_end(state, request, free=end is AttemptEnd.COMPLETE)
+    hints.record_attempt_end(state, request, free=end is AttemptEnd.COMPLETE)
     if end is AttemptEnd.COMPLETE:
         estimates.record_run_time(state, now, request)
-        intake.forget_request(state, request.number)
+        intake.discard_request(state, request.number)
         return []
     if end in (AttemptEnd.REFUSED, AttemptEnd.NOT_RUN):
-        return return_to_queue(state, now, request)
-    request.attempt.begun = request.attempt.begun or answer_begun
-    asks = end is AttemptEnd.BROKEN and not request.new.idempotent
-    if asks and not request.attempt.begun:
-        return _start_asking(state, now, request)
-    return retry_or_give_up(state, now, request)
+        return requeue_request(state, now, request)
+    request.attempt.forwarding_started = (
+        request.attempt.forwarding_started or answer_begun
+    )
+    query_needed = end is AttemptEnd.BROKEN and not request.new.idempotent
+    if query_needed and not request.attempt.forwarding_started:
+        return _start_outcome_query(state, now, request)
+    return retry_or_fail(state, now, request)
 
 
-def return_to_queue(
+def requeue_request(
     state: state_module.RouterState,
     now: float,
     request: state_module.Request,
     delay: float = 0.0,
 ) -> list[router_effects.Effect]:
-    """Makes a request wait again, after a delay if it failed.
+    """Queues a request again, after a delay if its attempt failed.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
-        request: A request whose attempt surely never ran, or may run again.
-        delay: Seconds until it waits again.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
+        request: A request whose attempt is known not to have run, or which may
+            run again.
+        delay: Seconds until the request is queued.
 
     Returns:
-        Announcements, or the final answer if it is too late to wait.
+        Messages, or the final error if the deadline is too near or too many
+        attempts were not run.
     """
     state.request_by_attempt.pop(request.attempt.attempt_id, None)
     state.awaiting_outcome.discard(request.number)
     request.attempt = None
     request.state = state_module.RequestState.WAITING
     if now + delay >= request.deadline:
-        return give_up(state, request, errors.ErrorKind.DEADLINE_EXCEEDED)
-    if request.attempts >= NOT_RUN_LIMIT and not request.failures:
-        return give_up(state, request, errors.ErrorKind.NO_UPSTREAM)
+        return fail_request(state, request, errors.ErrorKind.DEADLINE_EXCEEDED)
+    if request.attempts >= MAX_NOT_RUN_ATTEMPTS and not request.failures:
+        return fail_request(state, request, errors.ErrorKind.NO_UPSTREAM)
     if delay:
         heapq.heappush(state.backoffs, (now + delay, request.number))
         return []
     return intake.enqueue_request(state, now, request)
 
 
-def retry_or_give_up(
+def retry_or_fail(
     state: state_module.RouterState,
     now: float,
     request: state_module.Request,
 ) -> list[router_effects.Effect]:
-    """Decides about a request whose attempt may have run without an answer.
+    """Retries or fails a request whose attempt may have run but gave no answer.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
         request: The request.
 
     Returns:
-        Announcements if it waits again, or its final answer.
+        Messages if the request is queued again, or its final error.
     """
-    if request.attempt.begun:
-        return give_up(state, request, errors.ErrorKind.ANSWER_INCOMPLETE)
+    if request.attempt.forwarding_started:
+        return fail_request(state, request, errors.ErrorKind.ANSWER_INCOMPLETE)
     if not request.new.idempotent:
-        return give_up(state, request, errors.ErrorKind.OUTCOME_UNKNOWN)
+        return fail_request(state, request, errors.ErrorKind.OUTCOME_UNKNOWN)
     request.failures += 1
     retries = state.versions.configuration.limits.retries
     team, seed = request.new.team, request.attempt.attempt_id
     if request.failures > retries or not dispatch.withdraw_retry(
-        state.budgets, now, team
+        state.retry_budgets, now, team
     ):
-        return give_up(state, request, errors.ErrorKind.RETRIES_EXHAUSTED)
+        return fail_request(state, request, errors.ErrorKind.RETRIES_EXHAUSTED)
     delay = dispatch.compute_backoff(request.failures, seed)
-    return return_to_queue(state, now, request, delay)
+    return requeue_request(state, now, request, delay)
 
 
-def judge_ran(request: state_module.Request) -> errors.Ran:
-    """Tells what is known of whether a request ran.
+def determine_ran(request: state_module.Request) -> errors.Ran:
+    """Determines what is known of whether a request ran.
 
-    "Not run" is said only if each of its attempts is known to have been
-    refused: an attempt that is still open, or that failed on the way, may
-    have run or may yet.
+    The result is `Ran.NO` only if every attempt is known to have been refused:
+    an attempt that is still open, or that failed on the way, may have run or
+    may still run.
     """
-    if request.attempt is not None and request.attempt.begun:
+    if request.attempt is not None and request.attempt.forwarding_started:
         return errors.Ran.YES
     if request.attempt is not None or request.failures:
         return errors.Ran.UNKNOWN
     return errors.Ran.NO
 
 
-def give_up(
+def fail_request(
     state: state_module.RouterState,
     request: state_module.Request,
     kind: errors.ErrorKind,
 ) -> list[router_effects.Effect]:
-    """Ends a request with a failure as its final answer.
+    """Discards a request and answers it with an error.
 
     Args:
-        state: The router; changed.
+        state: The router's state; modified.
         request: The request.
-        kind: The kind of failure.
+        kind: The kind of error.
 
     Returns:
         The answer.
     """
-    ran = judge_ran(request)
-    intake.forget_request(state, request.number)
+    ran = determine_ran(request)
+    intake.discard_request(state, request.number)
     retry_after = 1 if errors.ANSWERS[kind].retry else None
     return [router_effects.AnswerError(request.number, kind, ran, retry_after)]
 
 
-def _start_asking(
+def _start_outcome_query(
     state: state_module.RouterState,
     now: float,
     request: state_module.Request,
 ) -> list[router_effects.Effect]:
     request.state = state_module.RequestState.ASKING
     state.awaiting_outcome.add(request.number)
-    request.attempt.ask_until = min(now + ASK_LIMIT, request.deadline)
-    return ask_again(state, now, request)
+    request.attempt.query_until = min(now + QUERY_TIMEOUT, request.deadline)
+    return query_outcome(state, now, request)
 
 
-def ask_again(
+def query_outcome(
     state: state_module.RouterState,
     now: float,
     request: state_module.Request,
 ) -> list[router_effects.Effect]:
-    """Asks a sidecar what became of an attempt, or gives up.
+    """Queries a sidecar for the outcome of an attempt, or fails the request.
 
-    Only the incarnation that got the hand-out can tell: a new process at the
-    same VM knows nothing of what the old one started.
+    Only the incarnation that received the attempt can tell: a new process on
+    the same VM knows nothing of what the old one started.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
-        request: A request whose attempt's outcome is open.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
+        request: A request whose attempt has an unknown outcome.
 
     Returns:
-        A question, or the final answer "outcome unknown".
+        A query, or the final error "outcome unknown".
     """
     attempt = request.attempt
     peer = state.directory.peers.get(attempt.sidecar)
     replaced = peer is not None and peer.incarnation != attempt.incarnation
-    if replaced or now >= attempt.ask_until:
-        return give_up(state, request, errors.ErrorKind.OUTCOME_UNKNOWN)
-    attempt.ask_next = now + ASK_INTERVAL
+    if replaced or now >= attempt.query_until:
+        return fail_request(state, request, errors.ErrorKind.OUTCOME_UNKNOWN)
+    attempt.next_query_at = now + QUERY_INTERVAL
     query = messages.AttemptQuery(attempt.attempt_id)
     return [effects.SendMessage(attempt.sidecar, query)]
 
 
-def take_report(
+def handle_report(
     state: state_module.RouterState,
     now: float,
     sidecar: str,
     incarnation: int,
     report: messages.AttemptReport,
 ) -> list[router_effects.Effect]:
-    """Decides by a sidecar's word on an attempt.
+    """Handles a sidecar's report on an attempt.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
         sidecar: VM name of the reporting sidecar.
-        incarnation: Its process.
-        report: What it knows.
+        incarnation: The sidecar's incarnation.
+        report: The state of the attempt at the sidecar.
 
     Returns:
-        Effects: the request waits again, or its caller gets a failure.
+        Effects that abort the attempt, and queue its request again or fail it;
+        none if the report changes nothing.
     """
     request = state_module.find_request(state, report.attempt_id)
     if request is None:
@@ -375,11 +385,11 @@
         return []
     abort = [router_effects.AbortAttempt(attempt.attempt_id)]
     if _proves_not_run(now, attempt, report):
-        return abort + return_to_queue(state, now, request)
+        return abort + requeue_request(state, now, request)
     if request.state is state_module.RequestState.ASKING:
-        return retry_or_give_up(state, now, request)
-    if stalls.judge_report(state, now, request, report):
-        return abort + retry_or_give_up(state, now, request)
+        return retry_or_fail(state, now, request)
+    if stalls.detect_stall(state, now, request, report):
+        return abort + retry_or_fail(state, now, request)
     return []
 
 
@@ -388,15 +398,16 @@
     attempt: state_module.Attempt,
     report: messages.AttemptReport,
 ) -> bool:
-    """Tells whether a report proves that the attempt never ran.
+    """Tells whether a report proves that an attempt never ran.
 
-    Guards against a router that was frozen for longer than the sidecar keeps
-    its records: to it, "never seen" of an old attempt may mean "forgotten",
-    and a request that ran would be handed out again. An attempt's record is
-    settled after its hand-out, so it outlives the limit on the age here.
+    A sidecar drops its records after a while. To a router that was suspended
+    for longer, "never seen" about an old attempt may mean "forgotten", and a
+    request that ran would be sent again. Therefore the report is trusted only
+    for young attempts. An attempt's record is settled after the attempt was
+    sent, so the record outlives the age limit.
     """
     never_ran = report.state in (
         messages.AttemptState.NEVER_SEEN,
         messages.AttemptState.REFUSED,
     )
-    return never_ran and now - attempt.started < TRUST_LIMIT
+    return never_ran and now - attempt.started_at < MAX_TRUSTED_AGE
--- a/sycamorefall/router/core.py
+++ b/sycamorefall/router/core.py
@@ -1,4 +1,4 @@
-"""A router's decisions: messages and timers in, effects out; no I/O."""
+"""A router's decisions, without I/O: messages and timers in, effects out."""
 
 __all__ = [
     "apply_configuration",
@@ -25,18 +25,18 @@
 from sycamorefall.router import state as state_module
 
 HEARTBEAT_INTERVAL = 2.0
-"""Seconds between heartbeats; sidecars need them only to greet a router."""
+"""Seconds between heartbeats; sidecars need them only to detect new routers."""
 
 
 def apply_configuration(state: state_module.RouterState) -> None:
-    """Tells the peers at once that another configuration is in force."""
-    state.next_heartbeat = 0.0
+    """Schedules heartbeats at once, to tell peers of the new configuration."""
+    state.next_heartbeat_at = 0.0
 
 
 def begin_stop(state: state_module.RouterState) -> None:
-    """Makes the router take no new request; what it holds is still served."""
+    """Makes the router refuse new requests; admitted ones are still served."""
     state.stopping = True
-    state.next_heartbeat = 0.0
+    state.next_heartbeat_at = 0.0
 
 
 def receive_message(
@@ -45,12 +45,12 @@
     """Handles a control message.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
         envelope: The message and its sender.
 
     Returns:
-        What is to be done.
+        Effects to perform.
     """
     sender, incarnation = envelope.sender, envelope.incarnation
     if sender not in state.directory.vms:
@@ -58,88 +58,88 @@
     if membership.is_outdated(state.directory, now, sender, incarnation):
         return []
     message = envelope.message
-    is_beat = isinstance(message, messages.Heartbeat)
-    stopping = message.stopping if is_beat else None
+    is_heartbeat = isinstance(message, messages.Heartbeat)
+    stopping = message.stopping if is_heartbeat else None
     is_new = membership.record_peer_message(
         state.directory, now, sender, incarnation, stopping
     )
-    news = _greet(state, now, sender) if is_new else []
+    responses = _answer_new_peer(state, now, sender) if is_new else []
     match message:
         case messages.Heartbeat():
-            news += _take_hint(state, now, envelope, message)
+            responses += _handle_hint(state, now, envelope, message)
         case messages.UnknownNames():
-            news += announcement.announce_to(state, now, sender)
+            responses += announcement.announce_to_sidecar(state, now, sender)
         case messages.Claim():
-            news += attempt_lifecycle.answer_claim(
+            responses += attempt_lifecycle.handle_claim(
                 state, now, sender, incarnation, message
             )
         case messages.AttemptReport():
-            news += attempt_lifecycle.take_report(
+            responses += attempt_lifecycle.handle_report(
                 state, now, sender, incarnation, message
             )
-    return news
+    return responses
 
 
-def _greet(
+def _answer_new_peer(
     state: state_module.RouterState, now: float, sidecar: str
 ) -> list[router_effects.Effect]:
-    """Answers a process that is new, so that both know of each other."""
-    beat = messages.Heartbeat(state.stopping)
-    news = announcement.announce_to(state, now, sidecar)
-    return [effects.SendMessage(sidecar, beat), *news]
+    """Answers a new process with a heartbeat and what waits for its service."""
+    heartbeat = messages.Heartbeat(state.stopping)
+    responses = announcement.announce_to_sidecar(state, now, sidecar)
+    return [effects.SendMessage(sidecar, heartbeat), *responses]
 
 
-def _take_hint(
+def _handle_hint(
     state: state_module.RouterState,
     now: float,
     envelope: messages.Envelope,
-    beat: messages.Heartbeat,
+    heartbeat: messages.Heartbeat,
 ) -> list[router_effects.Effect]:
-    """Takes over a sidecar's hint; one that has room learns what waits."""
+    """Records a sidecar's hint and sends offers or an announcement to it."""
     sidecar = envelope.sender
     service = state.directory.vms[sidecar].service
-    free_slots = 0 if beat.stopping else beat.free_slots
-    hints.note_hint(
+    free_slots = 0 if heartbeat.stopping else heartbeat.free_slots
+    hints.record_hint(
         state,
         service,
         sidecar,
         envelope.incarnation,
         free_slots,
-        beat.clock_seconds,
+        heartbeat.clock_seconds,
     )
     if not free_slots:
         return []
-    offers = offering.offer_to_room(state, now, service, sidecar)
-    return offers or announcement.announce_to(state, now, sidecar)
+    offers = offering.offer_waiting_requests(state, now, service, sidecar)
+    return offers or announcement.announce_to_sidecar(state, now, sidecar)
 
 
 def run_timers(
     state: state_module.RouterState, now: float
 ) -> list[router_effects.Effect]:
-    """Does what has come due.
+    """Performs the actions that are due.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
 
     Returns:
-        What is to be done.
+        Effects to perform.
     """
     due = _expire_requests(state, now)
-    due += sweep.end_backoffs(state, now)
+    due += sweep.requeue_after_backoff(state, now)
     due += sweep.sweep_waiting(state, now)
-    for request in _list_asking(state):
-        if request.attempt.ask_next <= now:
-            due += attempt_lifecycle.ask_again(state, now, request)
-    for request in stalls.pop_silent(state, now):
+    for request in _list_awaiting_outcome(state):
+        if request.attempt.next_query_at <= now:
+            due += attempt_lifecycle.query_outcome(state, now, request)
+    for request in stalls.pop_due_checks(state, now):
         due += _check_attempt(state, now, request)
-    if now >= state.next_heartbeat:
-        state.next_heartbeat = now + HEARTBEAT_INTERVAL
+    if now >= state.next_heartbeat_at:
+        state.next_heartbeat_at = now + HEARTBEAT_INTERVAL
         due += _send_heartbeats(state, now)
-    due += offering.offer_fresh(state, now)
+    due += offering.offer_new_requests(state, now)
     if now >= announcement.find_next_announcement(state):
         due += announcement.announce_changes(state, now)
-    if now >= announcement.find_next_digest(state):
+    if now >= announcement.find_next_full_announcement(state):
         due += announcement.announce_all(state, now)
     return due
 
@@ -149,34 +149,35 @@
     now: float,
     request: state_module.Request,
 ) -> list[router_effects.Effect]:
-    if not stalls.is_abandoned(state, now, request):
-        return [stalls.ask_sidecar(state, now, request)]
-    hints.note_end(state, request, free=False)
+    if not stalls.should_abandon(state, now, request):
+        return [stalls.query_sidecar(state, now, request)]
+    hints.record_attempt_end(state, request, free=False)
     abort = router_effects.AbortAttempt(request.attempt.attempt_id)
-    return [abort, *attempt_lifecycle.retry_or_give_up(state, now, request)]
+    return [abort, *attempt_lifecycle.retry_or_fail(state, now, request)]
 
 
 def find_next_due(state: state_module.RouterState) -> float:
-    """Tells when `run_timers` has something to do next."""
-    awaiting_outcome = (
-        request.attempt.ask_next for request in _list_asking(state)
+    """Returns the time at which `run_timers` is to be called next."""
+    outcome_queries = (
+        request.attempt.next_query_at
+        for request in _list_awaiting_outcome(state)
     )
     deadlines = (entry[0] for entry in state.deadlines[:1])
-    silent = (entry[0] for entry in state.checks[:1])
-    offers = [0.0] if state.fresh else []
+    stall_checks = (entry[0] for entry in state.checks[:1])
+    offers = [0.0] if state.services_with_new_requests else []
     return min(
-        state.next_heartbeat,
+        state.next_heartbeat_at,
         announcement.find_next_announcement(state),
-        announcement.find_next_digest(state),
+        announcement.find_next_full_announcement(state),
         sweep.find_next_due(state),
-        *awaiting_outcome,
+        *outcome_queries,
         *deadlines,
-        *silent,
+        *stall_checks,
         *offers,
     )
 
 
-def _list_asking(
+def _list_awaiting_outcome(
     state: state_module.RouterState,
 ) -> list[state_module.Request]:
     return [state.requests[number] for number in state.awaiting_outcome]
@@ -185,7 +186,7 @@
 def _send_heartbeats(
     state: state_module.RouterState, now: float
 ) -> list[router_effects.Effect]:
-    beat = messages.Heartbeat(state.stopping)
+    heartbeat = messages.Heartbeat(state.stopping)
     services = {vm.service for vm in state.directory.vms.values()}
     linked = [
         name
@@ -194,10 +195,10 @@
             state.links, state.directory, now, state.vm, service
         )
     ]
-    state.announcing.rate = sharing.compute_remaining_rate(
+    state.announcement_budget.rate = sharing.compute_remaining_rate(
         state_module.ANNOUNCE_RATE, state_module.HEARTBEAT_RATE, len(linked)
     )
-    return [effects.SendMessage(name, beat) for name in linked]
+    return [effects.SendMessage(name, heartbeat) for name in linked]
 
 
 def _expire_requests(
@@ -219,8 +220,10 @@
 ) -> list[router_effects.Effect]:
     new = request.new
     outcome = intake.cancel_request(state, now, request.number)
-    ran = attempt_lifecycle.judge_ran(request)
-    retry_after = estimates.suggest_return(state, now, new.service, new.team)
+    ran = attempt_lifecycle.determine_ran(request)
+    retry_after = estimates.compute_retry_after(
+        state, now, new.service, new.team
+    )
     answer = router_effects.AnswerError(
         request.number, errors.ErrorKind.DEADLINE_EXCEEDED, ran, retry_after
     )
--- a/sycamorefall/router/daemon.py
+++ b/sycamorefall/router/daemon.py
@@ -1,4 +1,4 @@
-"""The router program: takes callers' requests and hands them to sidecars."""
+"""The router process: accepts callers' requests and sends them to sidecars."""
 
 __all__ = ["run_router"]
 
@@ -27,7 +27,7 @@
     """Runs a router until it is told to stop.
 
     Args:
-        config: Its settings.
+        config: The router's settings.
 
     Raises:
         errors.AddressInUse: A listening address can't be bound.
@@ -35,7 +35,7 @@
     state = state_module.RouterState(
         config.vm.name, node_module.choose_incarnation()
     )
-    desk = relay.Desk(state)
+    proxy = relay.Proxy(state)
     decisions = node_module.Core(
         vm=state.vm,
         incarnation=state.incarnation,
@@ -47,86 +47,90 @@
         run_timers=lambda now: core.run_timers(state, now),
         find_next_due=lambda: core.find_next_due(state),
         apply_configuration=lambda: core.apply_configuration(state),
-        perform_effects=lambda effect: relay.perform_effect(node, desk, effect),
-        is_idle=lambda: not state.requests and not desk.calls,
+        perform_effects=lambda effect: relay.perform_effect(
+            node, proxy, effect
+        ),
+        is_idle=lambda: not state.requests and not proxy.calls,
         begin_stop=lambda: core.begin_stop(state),
     )
     node = node_module.create_node(
         config,
         decisions,
-        lambda call: _take_call(node, config, desk, shown, call),
-        lambda call: _take_operator_call(shown, call),
+        lambda call: _handle_call(node, config, proxy, status_pages, call),
+        lambda call: _handle_operator_call(status_pages, call),
+    )
+    status_pages = status.create_pages(
+        node, state, proxy.recorder, config.listen
     )
-    shown = status.create_pages(node, state, desk.recorder, config.listen)
     node_module.run_node(node)
 
 
-def _take_call(
+def _handle_call(
     node: node_module.Node,
     config: settings.RouterSettings,
-    desk: relay.Desk,
-    shown: pages.Pages,
+    proxy: relay.Proxy,
+    status_pages: pages.Pages,
     call: transport.IncomingCall,
 ) -> None:
-    if not pages.answer_page(shown, call, for_operators=False):
-        _take_request(node, config, desk, call)
+    if not pages.answer_page(status_pages, call, for_operators=False):
+        _handle_request(node, config, proxy, call)
 
 
-def _take_operator_call(
-    shown: pages.Pages, call: transport.IncomingCall
+def _handle_operator_call(
+    status_pages: pages.Pages, call: transport.IncomingCall
 ) -> None:
-    if not pages.answer_page(shown, call, for_operators=True):
+    if not pages.answer_page(status_pages, call, for_operators=True):
         call.fail(errors.ErrorKind.UNKNOWN_SERVICE)
 
 
-def _take_request(
+def _handle_request(
     node: node_module.Node,
     config: settings.RouterSettings,
-    desk: relay.Desk,
+    proxy: relay.Proxy,
     call: transport.IncomingCall,
 ) -> None:
-    state = desk.state
+    state = proxy.state
     if state.versions.configuration is None:
-        _refuse(desk, call, errors.ErrorKind.NOT_READY, retry_after=1)
+        _refuse(proxy, call, errors.ErrorKind.NOT_READY, retry_after=1)
         return
     token = call.headers.get(admission.PARENT_HEADER)
     caller = dependencies.identify_caller(state, _read_key(call), token)
     if caller is None:
-        _refuse(desk, call, errors.ErrorKind.UNKNOWN_TEAM)
+        _refuse(proxy, call, errors.ErrorKind.UNKNOWN_TEAM)
         return
     request = request_parsing.read_request(
         call, caller.team, state.versions.configuration, config.limits
     )
     match request:
         case result.Failure(refusal):
-            _refuse(desk, call, refusal.kind, refusal.message)
+            _refuse(proxy, call, refusal.kind, refusal.message)
         case result.Success(new):
-            _take_bound(node, desk, call, new, caller)
+            _bind_and_admit(node, proxy, call, new, caller)
 
 
-def _take_bound(
+def _bind_and_admit(
     node: node_module.Node,
-    desk: relay.Desk,
+    proxy: relay.Proxy,
     call: transport.IncomingCall,
     new: state_module.NewRequest,
     caller: dependencies.Caller,
 ) -> None:
-    match dependencies.bind_request(desk.state, new, caller):
+    match dependencies.bind_request(proxy.state, new, caller):
         case result.Failure(kind):
-            _refuse(desk, call, kind)
+            _refuse(proxy, call, kind)
         case result.Success(bound):
-            relay.take_request(node, desk, call, bound)
+            relay.handle_request(node, proxy, call, bound)
 
 
 def _refuse(
-    desk: relay.Desk,
+    proxy: relay.Proxy,
     call: transport.IncomingCall,
     kind: errors.ErrorKind,
     message: str = "",
     retry_after: int | None = None,
 ) -> None:
-    """Answers a call that becomes no request."""
-    observation.count_event(desk.recorder, "call_refused", kind.value)
+    """Answers a call with an error before it becomes a request; counts it."""
+    observation.count_event(proxy.recorder, "call_refused", kind.value)
     call.fail(kind, message, retry_after=retry_after)
 
 
--- a/sycamorefall/router/dependencies.py
+++ b/sycamorefall/router/dependencies.py
@@ -1,4 +1,4 @@
-"""Calls that upstreams make on behalf of a request, as a router takes them."""
+"""Calls that upstreams make to other services on behalf of a request."""
 
 __all__ = ["Caller", "bind_request", "identify_caller"]
 
@@ -13,11 +13,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Caller:
-    """Who makes a call.
+    """Identity of whoever makes a call.
 
     Attributes:
         team: The team that the call is accounted to.
-        parent: The request on whose behalf an upstream makes it, if so.
+        parent: The request on whose behalf an upstream makes the call, if any.
     """
 
     team: str
@@ -27,17 +27,17 @@
 def identify_caller(
     state: state_module.RouterState, key: str, token: str | None
 ) -> Caller | None:
-    """Finds who makes a call, by a parent's token or else by a bearer key.
+    """Identifies the caller by a parent token, or else by a bearer key.
 
     Args:
-        state: The router, with a configuration in force.
-        key: The bearer key, empty if there is none.
-        token: The value of `admission.PARENT_HEADER`, if there is one.
+        state: The router's state, with a configuration in force.
+        key: The bearer key; empty if there is none.
+        token: The value of `admission.PARENT_HEADER`, if present.
 
     Returns:
-        The caller, or None if neither is valid. A token that is not valid is
-        not made up for by a key: the call would be accounted to another
-        team, and outlive its parent.
+        The caller, or None if the credentials are invalid. With an invalid
+        token, the key is not tried: the call would be accounted to another team
+        and could outlive its parent.
     """
     if token is not None:
         parent = admission.verify_token(state.versions.configuration, token)
@@ -51,26 +51,27 @@
     new: state_module.NewRequest,
     caller: Caller,
 ) -> result.Result[state_module.NewRequest, errors.ErrorKind]:
-    """Binds a request to the one on whose behalf it is made, if any.
-
-    Guards against a deadlock, which shows as services that all wait for each
-    other with their slots full until deadlines free them. A request holds a
-    slot of its own service while it waits for its children, and children are
-    let in only at services that its service depends on. Dependencies have no
-    cycle, so at the end of each chain stand requests that wait for nobody;
-    they end, their slots serve the others of their service, and so on up the
-    chain. At a router a parent that was handed out holds no place in the
-    queues, so it can't keep its child out of them; a child that finds them
-    full is answered at once, which ends its parent's wait too.
+    """Limits a request to the services and the time that its parent allows.
+
+    The check prevents a deadlock in which services wait for each other with all
+    their slots in use until deadlines free them. A request occupies a slot of
+    its service while it waits for its children, and children are admitted only
+    at services on which the parent's service depends. Dependencies are acyclic,
+    so every chain ends in requests that wait for no other. When these end,
+    their slots serve the other requests of their service, and so on up the
+    chain. A parent that was sent to a sidecar occupies no place in the router's
+    queues and so can't keep its child out of them. A child that finds the
+    queues full is answered at once, which also ends its parent's wait.
 
     Args:
-        state: The router, with a configuration in force.
-        new: The request as read.
-        caller: Who makes it.
+        state: The router's state, with a configuration in force.
+        new: The request as parsed.
+        caller: The caller's identity.
 
     Returns:
-        `Success` with the request, its time cut to what its parent had left,
-        or `Failure` if the parent's service doesn't depend on this one.
+        `Success` with the request, its timeout limited to its parent's
+        remaining time, or `Failure` if the parent's service doesn't depend on
+        the request's service.
     """
     parent = caller.parent
     if parent is None:
--- a/sycamorefall/router/effects.py
+++ b/sycamorefall/router/effects.py
@@ -1,4 +1,4 @@
-"""What a router's decisions ask its shell to do."""
+"""Effects that a router's decisions return for the I/O layer to perform."""
 
 __all__ = [
     "AbortAttempt",
@@ -19,7 +19,7 @@
     Attributes:
         request: Number of the request.
         sidecar: VM name of the sidecar.
-        order: Head of the attempt.
+        order: Metadata of the attempt, sent in a header.
     """
 
     request: int
@@ -29,13 +29,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class AnswerError:
-    """Give a caller its final answer: a failure.
+    """Answer a caller with an error, which is the final answer.
 
     Attributes:
         request: Number of the request.
-        kind: The kind of failure.
-        ran: Whether the request was run.
-        retry_after: Seconds after which to come back, if that helps.
+        kind: The kind of error.
+        ran: Whether the request ran at an upstream.
+        retry_after: Seconds after which the caller may retry; None if a retry
+            doesn't help.
     """
 
     request: int
@@ -46,7 +47,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class AbortAttempt:
-    """Give up the connection of an attempt; its answer is not wanted."""
+    """Close the connection of an attempt whose answer is no longer wanted."""
 
     attempt_id: str
 
--- a/sycamorefall/router/estimates.py
+++ b/sycamorefall/router/estimates.py
@@ -1,12 +1,12 @@
-"""Estimates of waits at a router: who may wait, and when to come back."""
+"""Estimates of how long requests wait, for admission and Retry-After."""
 
 __all__ = [
     "check_wait",
     "compute_departure_interval",
-    "find_run_time",
-    "keep_for_run",
+    "compute_retry_after",
+    "compute_run_reserve",
+    "estimate_run_time",
     "record_run_time",
-    "suggest_return",
 ]
 
 from sycamorefall import admission, errors, sharing
@@ -19,28 +19,29 @@
     now: float,
     new: state_module.NewRequest,
 ) -> errors.ErrorKind | None:
-    """Tells why a request can't wait, if so.
+    """Checks whether a new request may wait.
 
     Args:
-        state: The router.
-        now: This process's time.
+        state: The router's state.
+        now: Current time of this process's clock, in seconds.
         new: The request.
 
     Returns:
-        The kind of failure, or None if it may wait.
+        None if the request may wait. Otherwise the kind of error: the team's
+        queue is full, or the estimated wait exceeds the request's deadline.
     """
     limits = state.versions.configuration.limits
     service, team = new.service, new.team
     waiting = queues.count_waiting(state.waiting, service, team)
     if waiting >= limits.waiting_per_team:
         return errors.ErrorKind.TOO_MANY_WAITING
-    rate = state.rates.get((service, team))
+    rate = state.drain_rates.get((service, team))
     if rate is None or not waiting:
         return None
-    # Only those with an earlier deadline are handed out before it.
+    # Only requests with an earlier deadline are sent before this one.
     deadline = now + new.timeout
-    run_time = find_run_time(state, now, service)
-    left = new.timeout - keep_for_run(run_time, new.timeout)
+    run_time = estimate_run_time(state, now, service)
+    left = new.timeout - compute_run_reserve(run_time, new.timeout)
     ahead = queues.count_requests_ahead(state.waiting, service, team, deadline)
     interval = compute_departure_interval(state, now, service, team)
     if admission.exceeds_deadline(rate, interval, ahead, left):
@@ -53,34 +54,38 @@
     now: float,
     request: state_module.Request,
 ) -> None:
-    """Learns from a whole answer how long the service's requests run."""
+    """Updates the run time estimate of a service from a complete answer."""
     run_times = state.run_times
     run_time = run_times.setdefault(request.new.service, admission.RunTime())
-    admission.record_run_time(run_time, now, now - request.attempt.started)
+    admission.record_run_time(run_time, now, now - request.attempt.started_at)
 
 
-def find_run_time(
+def estimate_run_time(
     state: state_module.RouterState, now: float, service: str
 ) -> float:
-    """Finds how long most of a service's requests run, in seconds."""
+    """Estimates within how many seconds most requests of a service run.
+
+    Returns 0 if the latest sample is older than `admission.RATE_LIFETIME`.
+    """
     run_time = state.run_times.get(service, admission.RunTime())
     stale = now - run_time.last_answer > admission.RATE_LIFETIME
     return 0.0 if stale else run_time.seconds
 
 
-def keep_for_run(run_time: float, timeout: float) -> float:
-    """Tells how much of its time a request must have left to run.
+def compute_run_reserve(run_time: float, timeout: float) -> float:
+    """Computes how much of its timeout a request needs to run, in seconds.
 
-    Guards callers with little patience: where most requests run longer than
-    they wait, they would be refused whenever anyone waits, though some of
-    them would have their answer in time. They may wait half their time.
+    At most half of the timeout. If a service's requests mostly run longer than
+    a caller's timeout, the full run time would get the caller refused whenever
+    any other request waits, although some of its requests would be answered in
+    time.
 
     Args:
-        run_time: Seconds that most of the service's requests run.
-        timeout: Seconds that its caller waits in all.
+        run_time: Seconds within which most of the service's requests run.
+        timeout: Total seconds that the caller waits.
 
     Returns:
-        Seconds.
+        Seconds that must be left when the request is sent to a sidecar.
     """
     return min(run_time, timeout / 2)
 
@@ -88,16 +93,16 @@
 def compute_departure_interval(
     state: state_module.RouterState, now: float, service: str, team: str
 ) -> float:
-    """Finds the mean time between departures of a team's queue."""
-    rate = state.rates.get((service, team), admission.DrainRate())
+    """Computes the mean seconds between departures from a team's queue."""
+    rate = state.drain_rates.get((service, team), admission.DrainRate())
     oldest = sharing.get_oldest_arrival(state.waiting, service, team)
     return admission.compute_departure_interval(rate, now, oldest)
 
 
-def suggest_return(
+def compute_retry_after(
     state: state_module.RouterState, now: float, service: str, team: str
 ) -> int:
-    """Suggests when a team's refused caller should come back, in seconds."""
+    """Computes the Retry-After, in seconds, of a team's refused request."""
     interval = compute_departure_interval(state, now, service, team)
     waiting = queues.count_waiting(state.waiting, service, team)
     return admission.suggest_retry_after(interval, waiting)
--- a/sycamorefall/router/hints.py
+++ b/sycamorefall/router/hints.py
@@ -1,12 +1,23 @@
-"""Hints of sidecars at free slots, and what a router makes of them."""
+"""Free-slot hints from sidecars, and the choice of sidecars by them.
 
-__all__ = ["list_free", "note_end", "note_hint", "take_slot", "take_slots"]
+Idle sidecars report their free slots in heartbeats. A router uses these hints
+to choose the sidecars that get offers (requests without a claim, see
+`offering`) or announcements.
+"""
+
+__all__ = [
+    "list_free_sidecars",
+    "record_attempt_end",
+    "record_hint",
+    "reserve_slot",
+    "reserve_slots",
+]
 
 from sycamorefall import membership
 from sycamorefall.router import state as state_module
 
 
-def note_hint(
+def record_hint(
     state: state_module.RouterState,
     service: str,
     sidecar: str,
@@ -14,19 +25,19 @@
     slots: int,
     clock_seconds: int = 0,
 ) -> None:
-    """Takes over a sidecar's word on its free slots.
+    """Stores the number of free slots that a sidecar reported.
 
-    The word is a hint, not a promise: it may be late, repeated or out of
-    order, and other routers heard it too. An offer on a wrong hint is
-    refused, which costs its request one trip to and fro.
+    A hint is no reservation: it may arrive late, repeatedly or out of order,
+    and other routers may have received it too. An offer because of a wrong hint
+    is refused, which costs its request one round trip.
 
     Args:
-        state: The router; changed.
+        state: The router's state; modified.
         service: The sidecar's service.
         sidecar: VM name of the sidecar.
-        incarnation: Its process.
-        slots: Slots that are free and that it knows no work for.
-        clock_seconds: Its clock, in whole seconds.
+        incarnation: The sidecar's incarnation.
+        slots: Free slots for which the sidecar knows no waiting request.
+        clock_seconds: Time of the sidecar's clock, in whole seconds.
     """
     hints = state.hints.setdefault(service, {})
     hints.pop(sidecar, None)
@@ -34,18 +45,18 @@
         hints[sidecar] = state_module.Hint(incarnation, slots, clock_seconds)
 
 
-def note_end(
+def record_attempt_end(
     state: state_module.RouterState, request: state_module.Request, free: bool
 ) -> None:
-    """Learns from the end of an attempt whether its slot is free again.
+    """Updates the hint of a sidecar when an attempt ends there.
 
-    Guards against a hint that is wrong: a sidecar that refused an offer, or
-    whose upstream failed, gets no other until it hints anew.
+    A sidecar that refused a request, or whose upstream failed, loses its hint:
+    it gets no offer until it sends a new hint.
 
     Args:
-        state: The router; changed.
+        state: The router's state; modified.
         request: The request whose attempt ended.
-        free: Whether it ended well, which leaves a free slot.
+        free: Whether the attempt completed, so that its slot is free again.
     """
     attempt = request.attempt
     hints = state.hints.get(request.new.service, {})
@@ -58,18 +69,18 @@
         hint.slots += 1
 
 
-def list_free(
+def list_free_sidecars(
     state: state_module.RouterState, now: float, service: str
 ) -> dict[str, state_module.Hint]:
-    """Lists the sidecars that are known to have free slots.
+    """Lists the sidecars of a service that are known to have free slots.
 
     Args:
-        state: The router; hints that are too old to use are dropped.
-        now: This process's time.
-        service: The service.
+        state: The router's state; hints of unusable sidecars are removed.
+        now: Current time of this process's clock, in seconds.
+        service: Name of the service.
 
     Returns:
-        Hints by VM name, the newest last.
+        Hints by VM name, from the oldest to the newest.
     """
     hints = state.hints.get(service)
     if not hints:
@@ -88,24 +99,25 @@
     }
 
 
-def take_slots(
+def reserve_slots(
     state: state_module.RouterState, now: float, service: str, count: int
 ) -> list[str]:
-    """Takes free slots for waiting requests, by the newest hints first.
+    """Reserves hinted slots for waiting requests, from the newest hint on.
 
-    The fuller the upstreams, the sooner a hint is out of date.
+    Newer hints are used first, because hints get outdated sooner the busier the
+    upstreams are.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
-        service: The service.
-        count: Requests that wait.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
+        service: Name of the service.
+        count: Number of waiting requests.
 
     Returns:
-        VM names of sidecars.
+        VM names of the sidecars.
     """
     chosen: list[str] = []
-    for name, hint in reversed(list_free(state, now, service).items()):
+    for name, hint in reversed(list_free_sidecars(state, now, service).items()):
         if count == 0:
             break
         taken = min(count, hint.slots)
@@ -115,27 +127,28 @@
     return chosen
 
 
-def take_slot(
+def reserve_slot(
     state: state_module.RouterState, now: float, service: str
 ) -> str | None:
-    """Takes one slot of the better of two hinted sidecars.
+    """Reserves a slot at the freer of two randomly chosen hinted sidecars.
 
-    Guards against routers that all offer to the same sidecar, the one with
-    the most room: it would refuse most of them, while others idle. Two
-    random choices spread the offers although the hints are late.
+    If each router chose the sidecar with the most free slots, all would choose
+    the same one, which would refuse most requests while other sidecars stay
+    idle. The power of two random choices spreads the requests although hints
+    arrive late.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
-        service: The service.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
+        service: Name of the service.
 
     Returns:
-        VM name of the sidecar, or None if none is known to have room.
+        VM name of the sidecar, or None if none is known to have a free slot.
     """
-    free = list_free(state, now, service)
+    free = list_free_sidecars(state, now, service)
     if not free:
         return None
-    pair = state.chance.sample(list(free), min(2, len(free)))
+    pair = state.rng.sample(list(free), min(2, len(free)))
     best = max(pair, key=lambda name: free[name].slots)
     free[best].slots -= 1
     return best
--- a/sycamorefall/router/intake.py
+++ b/sycamorefall/router/intake.py
@@ -1,12 +1,12 @@
-"""Intake of callers' requests: admitted to a queue, or answered at once."""
+"""Admission of callers' requests, which are queued or answered at once."""
 
 __all__ = [
     "admit_request",
     "cancel_request",
     "check_service",
+    "discard_request",
     "enqueue_request",
     "find_outage",
-    "forget_request",
     "identify_team",
     "refuse_waiting",
 ]
@@ -27,22 +27,25 @@
 from sycamorefall.router import state as state_module
 from sycamorefall.sharing import queues
 
-SPARE_DEADLINES = 1024
-"""Deadlines of answered requests that are kept at most beside the open ones."""
+MAX_STALE_DEADLINES = 1024
+"""Deadlines of answered requests kept before the heap is rebuilt.
+
+In addition, the heap may hold as many of them as there are open requests.
+"""
 
 
 def identify_team(state: state_module.RouterState, key: str) -> str | None:
-    """Finds the team that a bearer key belongs to.
+    """Looks up the team that a bearer key belongs to.
 
-    The key is hashed before it is looked up, so the time of the look-up
-    tells nothing about keys that are close to it.
+    The key is hashed before the lookup, so the lookup's duration reveals
+    nothing about similar keys.
 
     Args:
-        state: The router.
+        state: The router's state.
         key: The bearer key.
 
     Returns:
-        The team's name, or None.
+        The team's name, or None if no team has the key.
     """
     in_force = state.versions.configuration
     if in_force is None:
@@ -53,15 +56,15 @@
 def check_service(
     state: state_module.RouterState, now: float, service: str
 ) -> errors.ErrorKind | None:
-    """Tells why no request for a service can be taken, if so.
+    """Checks whether the router accepts requests for a service.
 
     Args:
-        state: The router.
-        now: This process's time.
+        state: The router's state.
+        now: Current time of this process's clock, in seconds.
         service: The service that a caller names.
 
     Returns:
-        The kind of failure, or None if the service takes requests.
+        The kind of error if requests are refused, or None.
     """
     in_force = state.versions.configuration
     if in_force is None:
@@ -76,15 +79,15 @@
 def find_outage(
     state: state_module.RouterState, now: float, service: str
 ) -> errors.ErrorKind | None:
-    """Tells why work of a service can't be run now, if so.
+    """Checks whether a service and its dependencies have usable upstreams.
 
     Args:
-        state: The router, with a configuration in force.
-        now: This process's time.
-        service: The service.
+        state: The router's state, with a configuration in force.
+        now: Current time of this process's clock, in seconds.
+        service: Name of the service.
 
     Returns:
-        The kind of failure, or None if it can be run.
+        The kind of error if requests of the service can't run now, or None.
     """
     known = state.versions.configuration.services.get(service)
     if known is None:
@@ -104,16 +107,16 @@
     now: float,
     new: state_module.NewRequest,
 ) -> tuple[int, list[router_effects.Effect]]:
-    """Takes a request in, or answers at once that it was not run.
+    """Queues a new request, or answers at once that it did not run.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
         new: The request.
 
     Returns:
-        The request's number and the effects; an `AnswerError` among them may
-        be for this request or for one that it pushed out.
+        The request's number and the effects. An `AnswerError` among them is for
+        this request or for a waiting one that was shed in its place.
     """
     state.last_request += 1
     number = state.last_request
@@ -126,17 +129,17 @@
         number, new, arrived=now, deadline=now + new.timeout
     )
     state.requests[number] = request
-    _note_deadline(state, request)
-    dispatch.deposit_request(state.budgets, now, new.team)
-    announced = enqueue_request(state, now, request)
-    return number, [*announced, *_shed_overflow(state, now)]
+    _record_deadline(state, request)
+    dispatch.deposit_request(state.retry_budgets, now, new.team)
+    sends = enqueue_request(state, now, request)
+    return number, [*sends, *_shed_overflow(state, now)]
 
 
-def _note_deadline(
+def _record_deadline(
     state: state_module.RouterState, request: state_module.Request
 ) -> None:
     heapq.heappush(state.deadlines, (request.deadline, request.number))
-    if len(state.deadlines) > 2 * len(state.requests) + SPARE_DEADLINES:
+    if len(state.deadlines) > 2 * len(state.requests) + MAX_STALE_DEADLINES:
         state.deadlines = [
             (known.deadline, known.number) for known in state.requests.values()
         ]
@@ -148,15 +151,15 @@
     now: float,
     request: state_module.Request,
 ) -> list[effects.SendMessage]:
-    """Makes a request wait for an upstream.
+    """Adds a request to the queue of its service and team.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
-        request: The request, known to the router and bound to no attempt.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
+        request: A request in `state.requests` that has no attempt.
 
     Returns:
-        Announcements.
+        Messages to send.
     """
     new = request.new
     team = state.versions.configuration.teams.get(new.team)
@@ -169,7 +172,7 @@
         request.deadline,
         weight=team.weight if team else 1.0,
     )
-    return announcement.announce_team(state, now, new.service, new.team)
+    return announcement.record_queue_change(state, now, new.service, new.team)
 
 
 def _refuse(
@@ -179,10 +182,10 @@
     new: state_module.NewRequest,
     kind: errors.ErrorKind,
 ) -> router_effects.AnswerError:
-    """Builds the final answer to a request that was not run."""
+    """Creates the final answer to a request that did not run."""
     retry_after = None
     if errors.ANSWERS[kind].retry:
-        retry_after = estimates.suggest_return(
+        retry_after = estimates.compute_retry_after(
             state, now, new.service, new.team
         )
     return router_effects.AnswerError(number, kind, errors.Ran.NO, retry_after)
@@ -194,19 +197,19 @@
     request: state_module.Request,
     kind: errors.ErrorKind,
 ) -> list[router_effects.Effect]:
-    """Answers a request that waits, at once.
+    """Answers a waiting request with an error and discards it.
 
-    Guards against the claim that it was not run, when an earlier attempt of
-    it broke off after it had begun: its caller is told that this is unknown.
+    If an earlier attempt failed after it had started, the answer says that it
+    is unknown whether the request ran, instead of that it did not run.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
-        request: A request bound to no attempt.
-        kind: Why it is not waited for any longer.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
+        request: A request without an attempt.
+        kind: The kind of error.
 
     Returns:
-        The answer, and announcements.
+        The answer, and messages.
     """
     answer = _refuse(state, now, request.number, request.new, kind)
     if request.failures:
@@ -217,10 +220,10 @@
 def _shed_overflow(
     state: state_module.RouterState, now: float
 ) -> list[router_effects.Effect]:
-    """Makes the team with the most waiting lose its newest request.
+    """Sheds the newest requests of the longest queue while the router is full.
 
-    Guards against a flood that fills the router: if whoever comes last were
-    refused, one team's flood would shut out all the others.
+    If the request that arrives last were refused instead, the flood of one team
+    would lock out all others.
     """
     limits = state.versions.configuration.limits
     shed: list[router_effects.Effect] = []
@@ -232,8 +235,8 @@
     return shed
 
 
-def forget_request(state: state_module.RouterState, number: int) -> None:
-    """Drops a request that has its final answer."""
+def discard_request(state: state_module.RouterState, number: int) -> None:
+    """Removes a request that has its final answer from the state."""
     request = state.requests.pop(number, None)
     state.awaiting_outcome.discard(number)
     if request is not None and request.attempt is not None:
@@ -243,15 +246,16 @@
 def cancel_request(
     state: state_module.RouterState, now: float, number: int
 ) -> list[router_effects.Effect]:
-    """Drops a request whose caller hung up.
+    """Discards a request whose caller no longer waits.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
-        number: The request.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
+        number: Number of the request.
 
     Returns:
-        Effects: its attempt is aborted, or its queue announced anew.
+        An effect that aborts the request's attempt, or messages if it was
+        waiting.
     """
     request = state.requests.get(number)
     if request is None:
@@ -263,6 +267,8 @@
     elif queues.remove_request(
         state.waiting, new.service, new.team, number, request.deadline
     ):
-        outcome += announcement.announce_team(state, now, new.service, new.team)
-    forget_request(state, number)
+        outcome += announcement.record_queue_change(
+            state, now, new.service, new.team
+        )
+    discard_request(state, number)
     return outcome
--- a/sycamorefall/router/offering.py
+++ b/sycamorefall/router/offering.py
@@ -1,6 +1,9 @@
-"""Offers: a fresh request goes to a sidecar with room without a claim."""
+"""Offers: requests sent to sidecars with free slots without a claim.
 
-__all__ = ["offer_fresh", "offer_to_room"]
+An offer saves a new request the round trips of an announcement and a claim.
+"""
+
+__all__ = ["offer_new_requests", "offer_waiting_requests"]
 
 from sycamorefall.router import announcement, attempt_lifecycle, hints
 from sycamorefall.router import effects as router_effects
@@ -8,22 +11,22 @@
 from sycamorefall.sharing import queues
 
 
-def offer_fresh(
+def offer_new_requests(
     state: state_module.RouterState, now: float
 ) -> list[router_effects.Effect]:
-    """Offers requests that have just come to sidecars with room.
+    """Offers requests that have just arrived to sidecars with free slots.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
 
     Returns:
-        Hand-outs without a claim.
+        Effects that send the requests.
     """
     offers: list[router_effects.Effect] = []
-    for service in sorted(state.fresh):
+    for service in sorted(state.services_with_new_requests):
         offers += _offer_service(state, now, service)
-    state.fresh.clear()
+    state.services_with_new_requests.clear()
     return offers
 
 
@@ -31,8 +34,8 @@
     state: state_module.RouterState, now: float, service: str
 ) -> list[router_effects.Effect]:
     offers: list[router_effects.Effect] = []
-    for number in _list_fresh(state, service):
-        sidecar = hints.take_slot(state, now, service)
+    for number in _list_new_requests(state, service):
+        sidecar = hints.reserve_slot(state, now, service)
         if sidecar is None:
             break
         offers.append(_offer(state, now, number, sidecar))
@@ -48,32 +51,32 @@
     queues.remove_request(
         state.waiting, new.service, new.team, number, request.deadline
     )
-    announcement.announce_team(state, now, new.service, new.team)
+    announcement.record_queue_change(state, now, new.service, new.team)
     offer = attempt_lifecycle.offer_request(state, now, request, sidecar, hint)
     request.attempt.offered = True
     return offer
 
 
-def offer_to_room(
+def offer_waiting_requests(
     state: state_module.RouterState, now: float, service: str, sidecar: str
 ) -> list[router_effects.Effect]:
-    """Offers what waits to a sidecar that just hinted, if one team waits.
+    """Offers waiting requests to a sidecar that just reported free slots.
 
-    With one team there is nothing to choose, so its requests take the hint
-    at once; among several the sidecar chooses, by the accounts. A request
-    that was refused before is left to the sidecars' claims.
+    Requests are offered only if a single team waits for the service. With
+    several teams the sidecar chooses one, by its service accounts, and claims.
+    A request whose earlier attempt was refused is left to claims as well.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
         service: The sidecar's service.
         sidecar: VM name of the sidecar.
 
     Returns:
-        Hand-outs without a claim.
+        Effects that send the requests.
     """
     teams = state.waiting.queues.get(service, {})
-    hint = hints.list_free(state, now, service).get(sidecar)
+    hint = hints.list_free_sidecars(state, now, service).get(sidecar)
     if len(teams) != 1 or hint is None:
         return []
     numbers = [number for queue in teams.values() for number in queue.arrivals]
@@ -86,17 +89,19 @@
     return offers
 
 
-def _list_fresh(state: state_module.RouterState, service: str) -> list[int]:
-    """Lists a service's waiting requests, oldest first, if all are fresh.
+def _list_new_requests(
+    state: state_module.RouterState, service: str
+) -> list[int]:
+    """Lists a service's waiting requests, oldest first, if all of them are new.
 
-    Guards the teams' order: while anything waits that the sidecars were told
-    of, or that came back from an attempt, a newcomer's offer would overtake
-    it at a sidecar that doesn't know of it yet. So nothing is offered then
-    and the sidecars choose, by the accounts.
+    Returns nothing if any request was announced to sidecars or was queued again
+    after an attempt: an offer of a new request would overtake it at a sidecar
+    that doesn't know of it yet. The sidecars then choose the team by their
+    service accounts, which preserves the order between teams.
     """
     numbers: list[int] = []
     for team, queue in state.waiting.queues.get(service, {}).items():
-        if (service, team) in state.told:
+        if (service, team) in state.informed_sidecars:
             return []
         numbers += queue.arrivals
     if any(state.requests[number].attempts for number in numbers):
--- a/sycamorefall/router/relay.py
+++ b/sycamorefall/router/relay.py
@@ -1,6 +1,6 @@
-"""Carries requests to sidecars and answers back to callers."""
+"""I/O side of a router: sends requests to sidecars, forwards the answers."""
 
-__all__ = ["Desk", "perform_effect", "take_request"]
+__all__ = ["Proxy", "handle_request", "perform_effect"]
 
 import dataclasses
 
@@ -17,10 +17,10 @@
 )
 from sycamorefall.router import state as state_module
 
-MOST_UNSENT = 1 << 18
-"""Bytes that may wait for a slow caller before the sidecar is paused."""
+MAX_UNSENT_BYTES = 1 << 18
+"""Unsent bytes for a slow caller above which its sidecar's answer is paused."""
 
-_ENDS = {
+_END_BY_OUTCOME = {
     messages.AttemptOutcome.REFUSED.value: attempt_lifecycle.AttemptEnd.REFUSED,
     messages.AttemptOutcome.REPEATED.value: attempt_lifecycle.AttemptEnd.BROKEN,
     messages.AttemptOutcome.NOT_RUN.value: attempt_lifecycle.AttemptEnd.NOT_RUN,
@@ -29,10 +29,11 @@
 
 
 class _Delivery:
-    """An attempt's answer on its way to the caller.
+    """The answer of an attempt, as it is received and forwarded to the caller.
 
-    A streamed answer passes through; any other is held until it is whole, so
-    that a broken one can still be replaced by another attempt's.
+    A streamed answer is forwarded as it arrives. Any other answer is buffered
+    until it is complete, so that an incomplete one can still be replaced by the
+    answer of another attempt.
     """
 
     __slots__ = (
@@ -40,7 +41,7 @@
         "end",
         "exchange",
         "headers",
-        "held",
+        "buffered_body",
         "status",
         "streamed",
     )
@@ -50,21 +51,21 @@
         self.end = attempt_lifecycle.AttemptEnd.COMPLETE
         self.exchange: transport.Exchange | None = None
         self.headers: tuple[tuple[str, str], ...] = ()
-        self.held: list[bytes] = []
+        self.buffered_body: list[bytes] = []
         self.status = 0
         self.streamed = False
 
 
 @dataclasses.dataclass(slots=True)
-class Desk:
-    """Callers that wait, and the attempts made for them.
+class Proxy:
+    """Calls in progress, and the attempts made for them.
 
     Attributes:
-        state: The router's decisions.
+        state: State of the router's decisions.
         calls: Calls by request number.
-        deliveries: Answers in progress by attempt.
-        tracks: What is recorded of each call, by request number.
-        recorder: The process's records.
+        deliveries: Answers in progress by attempt identifier.
+        tracks: Log actions and times of the calls, by request number.
+        recorder: Counters and histograms of the process.
     """
 
     state: state_module.RouterState
@@ -80,18 +81,18 @@
     )
 
 
-def take_request(
+def handle_request(
     node: node_module.Node,
-    desk: Desk,
+    proxy: Proxy,
     call: transport.IncomingCall,
     new: state_module.NewRequest,
 ) -> None:
-    """Hands a request to the decisions and holds its caller's connection."""
+    """Passes a request to admission and keeps its call until it is answered."""
     now = transport.read_clock()
-    number, outcome = intake.admit_request(desk.state, now, new)
-    desk.calls[number] = call
-    desk.tracks[number] = observation.begin_request(
-        desk.recorder,
+    number, outcome = intake.admit_request(proxy.state, now, new)
+    proxy.calls[number] = call
+    proxy.tracks[number] = observation.begin_request(
+        proxy.recorder,
         now,
         new.service,
         new.team,
@@ -99,66 +100,68 @@
         idempotent=new.idempotent,
         request_id=call.headers.get(request_parsing.REQUEST_ID_HEADER, ""),
     )
-    call.on_hangup = lambda: _cancel(node, desk, number)
+    call.on_hangup = lambda: _cancel(node, proxy, number)
     node_module.perform_effects(node, outcome)
 
 
-def _end_track(desk: Desk, number: int, result: str, **fields: object) -> None:
-    track = desk.tracks.pop(number, None)
+def _end_track(
+    proxy: Proxy, number: int, result: str, **fields: object
+) -> None:
+    track = proxy.tracks.pop(number, None)
     if track is not None:
         now = transport.read_clock()
-        observation.end_request(desk.recorder, track, now, result, **fields)
+        observation.end_request(proxy.recorder, track, now, result, **fields)
 
 
-def _cancel(node: node_module.Node, desk: Desk, number: int) -> None:
-    desk.calls.pop(number, None)
-    _end_track(desk, number, "cancelled")
+def _cancel(node: node_module.Node, proxy: Proxy, number: int) -> None:
+    proxy.calls.pop(number, None)
+    _end_track(proxy, number, "cancelled")
     now = transport.read_clock()
     node_module.perform_effects(
-        node, intake.cancel_request(desk.state, now, number)
+        node, intake.cancel_request(proxy.state, now, number)
     )
 
 
 def perform_effect(
-    node: node_module.Node, desk: Desk, effect: effects.Effect
+    node: node_module.Node, proxy: Proxy, effect: effects.Effect
 ) -> None:
-    """Carries out an effect of the router's decisions."""
+    """Performs an effect of the router's decisions."""
     match effect:
         case effects.SendRequest():
-            _hand_out(node, desk, effect)
+            _send_request(node, proxy, effect)
         case effects.AnswerError():
-            _answer_error(desk, effect)
+            _answer_error(proxy, effect)
         case effects.AbortAttempt():
-            delivery = desk.deliveries.pop(effect.attempt_id, None)
+            delivery = proxy.deliveries.pop(effect.attempt_id, None)
             if delivery is not None:
                 node.client.abort(delivery.exchange)
 
 
-def _answer_error(desk: Desk, effect: effects.AnswerError) -> None:
-    call = desk.calls.pop(effect.request, None)
+def _answer_error(proxy: Proxy, effect: effects.AnswerError) -> None:
+    call = proxy.calls.pop(effect.request, None)
     if call is None:
         return
-    _end_track(desk, effect.request, effect.kind.value, ran=effect.ran.value)
+    _end_track(proxy, effect.request, effect.kind.value, ran=effect.ran.value)
     if not call.begun:
         call.fail(effect.kind, ran=effect.ran, retry_after=effect.retry_after)
         return
-    # The caller has part of a streamed answer: it gets a last event that
-    # says so, and then a connection that breaks off, so that a client which
-    # doesn't know the event can't take the part for the whole either.
+    # The caller already has part of a streamed answer. It gets a final error
+    # event; then the connection is aborted, so that a client that ignores the
+    # event can't mistake the incomplete answer for a complete one.
     body = errors.describe_error(effect.kind, ran=effect.ran)
     call.write(b"event: error\ndata: " + msgspec.json.encode(body) + b"\n\n")
     call.abort()
 
 
-def _hand_out(
-    node: node_module.Node, desk: Desk, effect: effects.SendRequest
+def _send_request(
+    node: node_module.Node, proxy: Proxy, effect: effects.SendRequest
 ) -> None:
     attempt_id = effect.order.attempt_id
-    call = desk.calls[effect.request]
-    sidecar = desk.state.directory.vms[effect.sidecar]
-    track = desk.tracks[effect.request]
+    call = proxy.calls[effect.request]
+    sidecar = proxy.state.directory.vms[effect.sidecar]
+    track = proxy.tracks[effect.request]
     observation.note_hand_out(
-        desk.recorder,
+        proxy.recorder,
         track,
         transport.read_clock(),
         attempt_id,
@@ -167,7 +170,7 @@
     order = messages.encode_order(effect.order)
     signature = node.authenticator.sign_order(effect.sidecar, order, call.body)
     delivery = _Delivery(attempt_id)
-    desk.deliveries[attempt_id] = delivery
+    proxy.deliveries[attempt_id] = delivery
     request = transport.OutgoingRequest(
         settings.parse_address(sidecar.data),
         "POST",
@@ -181,115 +184,119 @@
     delivery.exchange = node.client.send(
         request,
         transport.Listener(
-            on_head=lambda status, headers: _take_head(
-                node, desk, call, delivery, status, headers
+            on_head=lambda status, headers: _handle_head(
+                node, proxy, call, delivery, status, headers
             ),
-            on_data=lambda data: _take_data(
-                node, desk, track, call, delivery, data
+            on_data=lambda data: _handle_data(
+                node, proxy, track, call, delivery, data
             ),
-            on_end=lambda: _take_end(node, desk, call, delivery),
-            on_failure=lambda stage: _take_failure(
-                node, desk, call, delivery, stage
+            on_end=lambda: _handle_end(node, proxy, call, delivery),
+            on_failure=lambda stage: _handle_failure(
+                node, proxy, call, delivery, stage
             ),
         ),
     )
 
 
-def _take_head(
+def _handle_head(
     node: node_module.Node,
-    desk: Desk,
+    proxy: Proxy,
     call: transport.IncomingCall,
     delivery: _Delivery,
     status: int,
     headers: list[tuple[str, str]],
 ) -> None:
-    named = dict(headers)
-    answered = named.get(messages.ATTEMPT_HEADER.lower())
-    if answered != delivery.attempt_id:
-        # Guards against someone else's answer: of an earlier request on this
-        # connection, of another process at this address, or of a server that
-        # never got as far as the attempt. It would be taken for the answer
-        # of the upstream. What became of the attempt itself is open.
+    header_by_name = dict(headers)
+    answered_attempt = header_by_name.get(messages.ATTEMPT_HEADER.lower())
+    if answered_attempt != delivery.attempt_id:
+        # This answer belongs to an earlier request on this connection, to
+        # another process at this address, or to a server that failed before
+        # it read the attempt. It must not be forwarded as the upstream's
+        # answer. The outcome of the attempt itself is unknown.
         node.client.abort(delivery.exchange)
-        _finish(node, desk, call, delivery, attempt_lifecycle.AttemptEnd.BROKEN)
+        _finish(
+            node, proxy, call, delivery, attempt_lifecycle.AttemptEnd.BROKEN
+        )
         return
-    outcome = named.get(messages.OUTCOME_HEADER.lower())
+    outcome = header_by_name.get(messages.OUTCOME_HEADER.lower())
     if outcome is not None:
-        delivery.end = _ENDS.get(outcome, attempt_lifecycle.AttemptEnd.FAILED)
+        delivery.end = _END_BY_OUTCOME.get(
+            outcome, attempt_lifecycle.AttemptEnd.FAILED
+        )
         return
     delivery.status = status
     delivery.headers = tuple(
-        (name.title(), named[name])
+        (name.title(), header_by_name[name])
         for name in ("content-type", "cache-control")
-        if name in named
+        if name in header_by_name
     )
-    content_type = named.get("content-type", "")
+    content_type = header_by_name.get("content-type", "")
     delivery.streamed = content_type.startswith(transport.EVENT_STREAM)
-    _note_progress(desk, delivery, 0)
+    _record_progress(proxy, delivery, 0)
     if delivery.streamed:
         call.begin(status, delivery.headers)
-        call.on_drained = lambda: _pause(node, desk, delivery, False)
+        call.on_drained = lambda: _pause(node, proxy, delivery, False)
 
 
-def _note_progress(desk: Desk, delivery: _Delivery, size: int) -> None:
+def _record_progress(proxy: Proxy, delivery: _Delivery, size: int) -> None:
     stalls.record_progress(
-        desk.state,
+        proxy.state,
         transport.read_clock(),
         delivery.attempt_id,
         size,
-        begun=delivery.streamed,
+        forwarding_started=delivery.streamed,
     )
 
 
 def _pause(
-    node: node_module.Node, desk: Desk, delivery: _Delivery, paused: bool
+    node: node_module.Node, proxy: Proxy, delivery: _Delivery, paused: bool
 ) -> None:
     node.client.pause(delivery.exchange, paused)
-    stalls.record_pause(desk.state, delivery.attempt_id, paused)
+    stalls.record_pause(proxy.state, delivery.attempt_id, paused)
 
 
-def _take_data(
+def _handle_data(
     node: node_module.Node,
-    desk: Desk,
+    proxy: Proxy,
     track: observation.Track,
     call: transport.IncomingCall,
     delivery: _Delivery,
     data: bytes,
 ) -> None:
-    _note_progress(desk, delivery, len(data))
+    _record_progress(proxy, delivery, len(data))
     if not delivery.streamed:
-        delivery.held.append(data)
+        delivery.buffered_body.append(data)
         return
-    observation.note_piece(desk.recorder, track, transport.read_clock())
+    observation.note_piece(proxy.recorder, track, transport.read_clock())
     call.write(data)
-    if call.backlog > MOST_UNSENT:
-        _pause(node, desk, delivery, True)
+    if call.backlog > MAX_UNSENT_BYTES:
+        _pause(node, proxy, delivery, True)
 
 
-def _take_end(
+def _handle_end(
     node: node_module.Node,
-    desk: Desk,
+    proxy: Proxy,
     call: transport.IncomingCall,
     delivery: _Delivery,
 ) -> None:
-    request = desk.state.request_by_attempt.get(delivery.attempt_id)
+    request = proxy.state.request_by_attempt.get(delivery.attempt_id)
     if (
         delivery.end is attempt_lifecycle.AttemptEnd.COMPLETE
         and request is not None
     ):
-        desk.calls.pop(request, None)
-        _end_track(desk, request, "answered", status=delivery.status)
+        proxy.calls.pop(request, None)
+        _end_track(proxy, request, "answered", status=delivery.status)
         if delivery.streamed:
             call.end()
         else:
-            body = b"".join(delivery.held)
+            body = b"".join(delivery.buffered_body)
             call.respond(delivery.status, body, delivery.headers)
-    _finish(node, desk, call, delivery, delivery.end)
+    _finish(node, proxy, call, delivery, delivery.end)
 
 
-def _take_failure(
+def _handle_failure(
     node: node_module.Node,
-    desk: Desk,
+    proxy: Proxy,
     call: transport.IncomingCall,
     delivery: _Delivery,
     stage: transport.Stage,
@@ -300,20 +307,20 @@
         if not_sent
         else attempt_lifecycle.AttemptEnd.BROKEN
     )
-    _finish(node, desk, call, delivery, end)
+    _finish(node, proxy, call, delivery, end)
 
 
 def _finish(
     node: node_module.Node,
-    desk: Desk,
+    proxy: Proxy,
     call: transport.IncomingCall,
     delivery: _Delivery,
     end: attempt_lifecycle.AttemptEnd,
 ) -> None:
-    desk.deliveries.pop(delivery.attempt_id, None)
-    observation.count_event(desk.recorder, "attempt", end.value)
+    proxy.deliveries.pop(delivery.attempt_id, None)
+    observation.count_event(proxy.recorder, "attempt", end.value)
     now = transport.read_clock()
     outcome = attempt_lifecycle.end_attempt(
-        desk.state, now, delivery.attempt_id, end, answer_begun=call.begun
+        proxy.state, now, delivery.attempt_id, end, answer_begun=call.begun
     )
     node_module.perform_effects(node, outcome)
--- a/sycamorefall/router/request_parsing.py
+++ b/sycamorefall/router/request_parsing.py
@@ -1,4 +1,4 @@
-"""The callers' interface: from an HTTP request to a request for a service."""
+"""Parses a caller's HTTP request into a request for a service."""
 
 __all__ = ["Refusal", "read_request"]
 
@@ -21,12 +21,17 @@
 REQUEST_ID_HEADER = "X-Request-Id"
 
 _IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "PUT", "DELETE", "OPTIONS"})
-_PASSED_ON = ("Content-Type", "Accept", REQUEST_ID_HEADER, "Idempotency-Key")
+_FORWARDED_HEADERS = (
+    "Content-Type",
+    "Accept",
+    REQUEST_ID_HEADER,
+    "Idempotency-Key",
+)
 _BOOLEANS = {"true": True, "1": True, "false": False, "0": False}
 
 
 class Call(Protocol):
-    """The parts of an HTTP request that are read here."""
+    """The parts of an HTTP request that are parsed here."""
 
     method: str
     path: str
@@ -35,10 +40,10 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """Why a request can't be taken.
+    """Why an HTTP request is refused.
 
     Attributes:
-        kind: The kind of failure.
+        kind: The kind of error.
         message: One sentence for people.
     """
 
@@ -47,7 +52,7 @@
 
 
 class _Completion(msgspec.Struct):
-    """The part of an OpenAI-style completion request that is looked at."""
+    """Fields of an OpenAI-style completion request that the router reads."""
 
     model: str
     messages: list[msgspec.Raw]
@@ -64,13 +69,13 @@
     in_force: configuration.Configuration,
     limits: settings.LimitSettings,
 ) -> result.Result[state_module.NewRequest, Refusal]:
-    """Reads a caller's request.
+    """Parses a caller's HTTP request.
 
     Args:
-        call: The HTTP request, its body whole.
-        team: The team its key belongs to.
+        call: The HTTP request with its complete body.
+        team: The team that the request is accounted to.
         in_force: The configuration in force.
-        limits: Bounds on deadlines.
+        limits: Default and maximum of the timeout.
 
     Returns:
         `Success` with the request, or `Failure` with a refusal.
@@ -99,26 +104,26 @@
         service, path = _read_service_path(call, in_force)
     else:
         kind = errors.ErrorKind.UNKNOWN_SERVICE
-        raise _Refused(kind, f"nothing is served at {call.path}")
+        raise _Refused(kind, f"unknown path {call.path}")
     return state_module.NewRequest(
         service=service.name,
         team=team,
         method=call.method,
         path=path,
-        headers=_read_passed_on(call),
+        headers=_read_forwarded_headers(call),
         timeout=_read_timeout(call, limits),
         idempotent=_read_idempotent(call, service),
         cost_hint=_read_number(call, COST_HEADER, default=0.0),
     )
 
 
-def _read_passed_on(call: Call) -> tuple[tuple[str, str], ...]:
-    """Reads the headers that go on to the upstream.
+def _read_forwarded_headers(call: Call) -> tuple[tuple[str, str], ...]:
+    """Reads the headers that are forwarded to the upstream.
 
-    Guards against bytes that no client may send on: at the sidecar they
-    would fail the hand-out, again at each attempt.
+    Values that aren't ASCII are refused: HTTP clients refuse to send them, so
+    every attempt would fail at the sidecar.
     """
-    values = ((name, call.headers.get(name)) for name in _PASSED_ON)
+    values = ((name, call.headers.get(name)) for name in _FORWARDED_HEADERS)
     passed_on = tuple((name, value) for name, value in values if value)
     for name, value in passed_on:
         if not value.isascii():
@@ -132,12 +137,12 @@
 ) -> tuple[configuration.Service, str]:
     if call.method != "POST":
         kind = errors.ErrorKind.METHOD_NOT_ALLOWED
-        raise _Refused(kind, "completions are asked for with POST")
+        raise _Refused(kind, "completions require the method POST")
     try:
         completion = _completion_decoder.decode(call.body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-        # The decoder gives nesting without end up with a RecursionError; let
-        # through, the caller would be told that its request may have run.
+        # Deeply nested JSON makes the decoder raise RecursionError. Left
+        # unhandled, it would be reported as a request that may have run.
         kind = errors.ErrorKind.MALFORMED_REQUEST
         raise _Refused(kind, f"body: {fault}") from fault
     service = _find_service(
@@ -175,7 +180,7 @@
     timeout = _read_number(call, TIMEOUT_HEADER, limits.default_timeout)
     if timeout == 0.0:
         kind = errors.ErrorKind.MALFORMED_REQUEST
-        raise _Refused(kind, f"{TIMEOUT_HEADER}: expected more than 0")
+        raise _Refused(kind, f"{TIMEOUT_HEADER}: expected a number above 0")
     return min(timeout, limits.max_timeout)
 
 
@@ -189,7 +194,7 @@
         number = math.nan
     if not (math.isfinite(number) and number >= 0):
         kind = errors.ErrorKind.MALFORMED_REQUEST
-        raise _Refused(kind, f"{name}: expected a number, not below 0")
+        raise _Refused(kind, f"{name}: expected a number of at least 0")
     return number
 
 
--- a/sycamorefall/router/stalls.py
+++ b/sycamorefall/router/stalls.py
@@ -1,22 +1,23 @@
-"""Checks of attempts that have gone silent.
-
-A link can die without being closed: bytes are held back, nothing fails, and
-a caller would hang until its deadline. So a router asks about an attempt of
-which it hears nothing, by a control message, and gives the connection up if
-the sidecar is silent too, or says that it sent what never came. An answer
-that flows needs no check; the longer a silent run is known to go on, the
-rarer the question.
+"""Detection of attempts whose connection has stalled.
+
+A connection can fail without being closed: bytes are held back, no error is
+reported, and the caller would wait until its deadline. A router therefore
+queries the sidecar, by control message, about an attempt from which it has
+received nothing for a while. It abandons the connection if the sidecar doesn't
+answer, or reports bytes that never arrived. An answer that keeps arriving needs
+no check. While a sidecar confirms that a silent attempt is running, the
+interval between queries grows.
 """
 
 __all__ = [
     "FIRST_CHECK_DELAY",
-    "SILENCE_LIMIT",
-    "ask_sidecar",
-    "is_abandoned",
-    "judge_report",
-    "pop_silent",
+    "STALL_TIMEOUT",
+    "detect_stall",
+    "pop_due_checks",
+    "query_sidecar",
     "record_pause",
     "record_progress",
+    "should_abandon",
     "watch_attempt",
 ]
 
@@ -26,32 +27,32 @@
 from sycamorefall.router import state as state_module
 
 FIRST_CHECK_DELAY = 2.0
-"""Seconds of silence after which an attempt is first asked about.
+"""Seconds without any byte after which a sidecar is first queried.
 
-Longer than a claim's lease, so that a hand-out which the question overtakes
-on its way would have been refused anyway.
+Longer than the lease of a claim: if the query overtakes the attempt's request
+on the network, that request would have been refused by the time it arrives.
 """
 
-LONGEST_CHECK = 30.0
-"""Longest time between two questions for a run known to go on, in seconds."""
+MAX_CHECK_INTERVAL = 30.0
+"""Maximum seconds between two queries about an attempt that is running."""
 
-ASK_INTERVAL = 0.5
-"""Seconds until a question that got no report is asked again."""
+QUERY_INTERVAL = 0.5
+"""Seconds after which a query that got no report is repeated."""
 
-SILENCE_LIMIT = {True: 2.0, False: 10.0}
-"""Seconds of open questions until an attempt is given up, by idempotence.
+STALL_TIMEOUT = {True: 2.0, False: 10.0}
+"""Seconds without a report before an attempt is abandoned, by idempotence.
 
-An idempotent request is soon better off elsewhere. Any other can only be
-answered "outcome unknown", so a sidecar that was frozen gets time to thaw
-and deliver the answer.
+An idempotent request is better retried elsewhere soon. Any other request could
+only be answered "outcome unknown", so a sidecar that was suspended gets time to
+resume and deliver the answer.
 """
 
 
 def watch_attempt(
     state: state_module.RouterState, now: float, attempt: state_module.Attempt
 ) -> None:
-    """Begins to watch an attempt that is handed out."""
-    attempt.heard_at = now
+    """Schedules the first check of an attempt that is being started."""
+    attempt.last_heard_at = now
     attempt.check_interval = FIRST_CHECK_DELAY
     _schedule(state, attempt, now + FIRST_CHECK_DELAY)
 
@@ -59,7 +60,7 @@
 def _schedule(
     state: state_module.RouterState, attempt: state_module.Attempt, at: float
 ) -> None:
-    attempt.ask_next = at
+    attempt.next_query_at = at
     heapq.heappush(state.checks, (at, attempt.attempt_id))
 
 
@@ -68,67 +69,72 @@
     now: float,
     attempt_id: str,
     size: int,
-    begun: bool,
+    forwarding_started: bool,
 ) -> None:
-    """Notes that part of an answer came.
+    """Records that part of an attempt's answer arrived.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
         attempt_id: The attempt.
-        size: Bytes of the answer's body that came.
-        begun: Whether they go on to the caller at once.
+        size: Number of bytes of the answer's body that arrived.
+        forwarding_started: Whether the bytes are forwarded to the caller at
+            once.
     """
     number = state.request_by_attempt.get(attempt_id)
     if number is None:
         return
     attempt = state.requests[number].attempt
     attempt.received += size
-    attempt.begun = attempt.begun or begun
-    attempt.heard_at = now
-    attempt.asked_since = None
-    attempt.behind = None
+    attempt.forwarding_started = (
+        attempt.forwarding_started or forwarding_started
+    )
+    attempt.last_heard_at = now
+    attempt.unanswered_since = None
+    attempt.received_when_behind = None
     attempt.check_interval = FIRST_CHECK_DELAY
 
 
 def record_pause(
     state: state_module.RouterState, attempt_id: str, paused: bool
 ) -> None:
-    """Notes that reading an answer was stopped or resumed for its caller."""
+    """Records that an answer was paused for a slow caller, or resumed."""
     number = state.request_by_attempt.get(attempt_id)
     if number is not None:
         state.requests[number].attempt.paused = paused
 
 
-def pop_silent(
+def pop_due_checks(
     state: state_module.RouterState, now: float
 ) -> list[state_module.Request]:
-    """Takes out the requests whose attempts have been silent too long.
+    """Removes the due checks and returns the requests that are still silent.
+
+    A check of an attempt that has made progress is rescheduled.
 
     Args:
-        state: The router; each of the requests is to be asked about or given
-            up next.
-        now: This process's time.
+        state: The router's state; modified. The caller must query the sidecar
+            of each returned request or abandon its attempt.
+        now: Current time of this process's clock, in seconds.
 
     Returns:
-        The requests.
+        Requests whose attempt has been silent for its check interval.
     """
     silent: list[state_module.Request] = []
     while state.checks and state.checks[0][0] <= now:
         due, attempt_id = heapq.heappop(state.checks)
-        request = _find_watched(state, attempt_id)
-        if request is None or request.attempt.ask_next != due:
+        request = _find_handed_out(state, attempt_id)
+        if request is None or request.attempt.next_query_at != due:
             continue
         attempt = request.attempt
-        silent_until = attempt.heard_at + attempt.check_interval
-        if attempt.asked_since is None and now < silent_until:
+        silent_until = attempt.last_heard_at + attempt.check_interval
+        if attempt.unanswered_since is None and now < silent_until:
             _schedule(state, attempt, silent_until)
         else:
             silent.append(request)
     return silent
 
 
-def _find_watched(
+def _find_handed_out(
     state: state_module.RouterState, attempt_id: str
 ) -> state_module.Request | None:
     number = state.request_by_attempt.get(attempt_id)
@@ -139,91 +145,94 @@
     return request if handed_out else None
 
 
-def is_abandoned(
+def should_abandon(
     state: state_module.RouterState,
     now: float,
     request: state_module.Request,
 ) -> bool:
-    """Tells whether a silent attempt is to be given up.
+    """Tells whether a silent attempt is to be abandoned.
 
     Args:
-        state: The router.
-        now: This process's time.
+        state: The router's state.
+        now: Current time of this process's clock, in seconds.
         request: A request whose attempt is silent.
 
     Returns:
-        Whether its sidecar left all questions open for too long, or is a new
-        process that knows nothing of the attempt.
+        True if the sidecar has left all queries unanswered for `STALL_TIMEOUT`,
+        or was replaced by a new process that doesn't know the attempt.
     """
     attempt = request.attempt
     peer = state.directory.peers.get(attempt.sidecar)
     if peer is not None and peer.incarnation > attempt.incarnation:
         return True
-    if attempt.asked_since is None:
+    if attempt.unanswered_since is None:
         return False
-    return now - attempt.asked_since >= SILENCE_LIMIT[request.new.idempotent]
+    return (
+        now - attempt.unanswered_since >= STALL_TIMEOUT[request.new.idempotent]
+    )
 
 
-def ask_sidecar(
+def query_sidecar(
     state: state_module.RouterState,
     now: float,
     request: state_module.Request,
 ) -> effects.SendMessage:
-    """Asks a sidecar what became of a silent attempt.
+    """Creates a query about a silent attempt and schedules the next check.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
         request: A request whose attempt is silent.
 
     Returns:
-        The question.
+        The query.
     """
     attempt = request.attempt
-    if attempt.asked_since is None:
-        attempt.asked_since = now
-    _schedule(state, attempt, now + ASK_INTERVAL)
+    if attempt.unanswered_since is None:
+        attempt.unanswered_since = now
+    _schedule(state, attempt, now + QUERY_INTERVAL)
     query = messages.AttemptQuery(attempt.attempt_id)
     return effects.SendMessage(attempt.sidecar, query)
 
 
-def judge_report(
+def detect_stall(
     state: state_module.RouterState,
     now: float,
     request: state_module.Request,
     report: messages.AttemptReport,
 ) -> bool:
-    """Judges by a sidecar's report whether an attempt's connection works.
+    """Applies a sidecar's report; tells whether the connection has stalled.
 
-    Guards against a connection that holds bytes back without being closed:
-    the sidecar sent more of the answer than came, at two reports in a row
-    with nothing received between them. One report may just have overtaken
-    the bytes. A connection that this router itself doesn't read from, for a
-    slow caller, is not judged.
+    A connection counts as stalled if two reports in a row say that the sidecar
+    sent more of the answer than arrived here, with nothing received between
+    them. A single report may have overtaken the bytes. A connection that this
+    router itself has paused for a slow caller never counts as stalled.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
-        request: A request that is handed out.
-        report: The attempt started, at least.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
+        request: A request that was sent to a sidecar.
+        report: The sidecar's report; the attempt has at least started.
 
     Returns:
-        Whether the connection is to be taken for broken.
+        Whether the connection is to be treated as broken.
     """
     attempt = request.attempt
-    if attempt.asked_since is None:
+    if attempt.unanswered_since is None:
         return False
-    attempt.asked_since = None
-    attempt.heard_at = now
+    attempt.unanswered_since = None
+    attempt.last_heard_at = now
     ended = report.state is messages.AttemptState.FINISHED
     held_back = ended or report.sent > attempt.received
     if not held_back or attempt.paused:
-        attempt.behind = None
-        attempt.check_interval = min(2 * attempt.check_interval, LONGEST_CHECK)
-    elif attempt.behind == attempt.received:
+        attempt.received_when_behind = None
+        attempt.check_interval = min(
+            2 * attempt.check_interval, MAX_CHECK_INTERVAL
+        )
+    elif attempt.received_when_behind == attempt.received:
         return True
     else:
-        attempt.behind = attempt.received
+        attempt.received_when_behind = attempt.received
         attempt.check_interval = FIRST_CHECK_DELAY
     _schedule(state, attempt, now + attempt.check_interval)
     return False
--- a/sycamorefall/router/state.py
+++ b/sycamorefall/router/state.py
@@ -1,4 +1,4 @@
-"""State of a router's decisions. All of it is lost with the process."""
+"""State of a router's decisions; kept in memory only."""
 
 __all__ = [
     "Attempt",
@@ -24,7 +24,12 @@
 
 
 class RequestState(enum.Enum):
-    """Where a request stands."""
+    """Processing state of a request.
+
+    WAITING: in a queue, or delayed before a retry.
+    HANDED_OUT: sent to a sidecar; the attempt is in progress.
+    ASKING: the connection broke; the sidecar is queried for the outcome.
+    """
 
     WAITING = "waiting"
     HANDED_OUT = "handed_out"
@@ -33,17 +38,18 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class NewRequest:
-    """A caller's request as it comes in.
+    """A caller's request as parsed, before admission.
 
     Attributes:
-        service: The service.
-        team: The team.
-        method: HTTP method towards the upstream.
-        path: Path and query towards the upstream.
-        headers: Headers to pass on.
-        timeout: Seconds the caller waits.
-        idempotent: Whether it may be run again.
-        cost_hint: The caller's rough estimate in cost units, 0 if none.
+        service: Name of the service.
+        team: Name of the team that the request is accounted to.
+        method: HTTP method of the request to the upstream.
+        path: Path and query of the request to the upstream.
+        headers: Headers that are forwarded to the upstream.
+        timeout: Seconds that the caller waits.
+        idempotent: Whether the request may run more than once.
+        cost_hint: The caller's rough estimate of the cost, in cost units; 0 if
+            none.
     """
 
     service: str
@@ -57,23 +63,24 @@
 
 
 ANNOUNCE_RATE = 3300.0
-"""Bytes per second that a router without links may send for announcements."""
+"""Bytes per second of announcements of a router without links."""
 
 HEARTBEAT_RATE = 50.0
-"""Bytes per second that the heartbeats of a link take, both ways."""
+"""Bytes per second that heartbeats use per link, in both directions."""
 
 ANNOUNCE_BURST = 4800.0
-"""Bytes of announcements that a router may save up."""
+"""Maximum bytes of announcements that a router may accumulate."""
 
 
 @dataclasses.dataclass(slots=True)
 class Hint:
-    """Free slots of a sidecar, as it last hinted.
+    """Free slots of a sidecar, as last reported by it.
 
     Attributes:
-        incarnation: The sidecar's process.
-        slots: Free slots, less what was offered since.
-        clock_seconds: The sidecar's clock then, in whole seconds.
+        incarnation: The sidecar's incarnation.
+        slots: Free slots, minus those reserved since the report.
+        clock_seconds: Time of the sidecar's clock at the report, in whole
+            seconds.
     """
 
     incarnation: int
@@ -83,55 +90,57 @@
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """A hand-out of a request to a sidecar.
+    """One try to run a request at a sidecar.
 
     Attributes:
-        attempt_id: Unique over all routers, incarnations and attempts.
+        attempt_id: Identifier, unique across routers, incarnations and
+            attempts.
         sidecar: VM name of the sidecar.
-        incarnation: The sidecar's process when it claimed.
-        started: When it was handed out.
-        ask_until: When to give up asking for its outcome.
-        ask_next: When to ask again.
-        offered: Whether no claim asked for it.
-        begun: Whether the caller already has part of the answer.
-        paused: Whether this router reads no further for a slow caller.
-        received: Bytes of the answer that have come.
-        heard_at: When something of the answer last came.
-        check_interval: Seconds of silence until its outcome is asked for.
-        asked_since: Since when a question for it is open, or None.
-        behind: Bytes received when the sidecar first said that it had sent
-            more, or None.
+        incarnation: The sidecar's incarnation when the attempt was created.
+        started_at: When the request was sent to the sidecar.
+        query_until: Time from which the outcome is no longer queried.
+        next_query_at: When the sidecar is queried next.
+        offered: Whether the attempt is an offer, made without a claim.
+        forwarding_started: Whether the caller already has part of the answer.
+        paused: Whether reading the answer is paused for a slow caller.
+        received: Bytes of the answer's body received so far.
+        last_heard_at: When a part of the answer or a report was last received.
+        check_interval: Seconds of silence after which the sidecar is queried.
+        unanswered_since: When the sidecar was first queried without a report
+            since; None if no query is open.
+        received_when_behind: Bytes received when a report first said that the
+            sidecar had sent more; None if no report does.
     """
 
     attempt_id: str
     sidecar: str
     incarnation: int
-    started: float = 0.0
-    ask_until: float = 0.0
-    ask_next: float = 0.0
+    started_at: float = 0.0
+    query_until: float = 0.0
+    next_query_at: float = 0.0
     offered: bool = False
-    begun: bool = False
+    forwarding_started: bool = False
     paused: bool = False
     received: int = 0
-    heard_at: float = 0.0
+    last_heard_at: float = 0.0
     check_interval: float = 0.0
-    asked_since: float | None = None
-    behind: int | None = None
+    unanswered_since: float | None = None
+    received_when_behind: int | None = None
 
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """A request that this router answers for.
+    """A request that this router has to answer.
 
     Attributes:
-        number: Its number at this router's incarnation.
-        new: What came in.
-        arrived: When it came.
-        deadline: When its caller stops waiting.
-        state: Where it stands.
-        attempt: The current hand-out, if there is one.
-        attempts: Hand-outs so far.
-        failures: Attempts that may have run and gave no answer.
+        number: Number of the request, unique within the router's incarnation.
+        new: The request as parsed.
+        arrived: When the request arrived.
+        deadline: When the caller stops waiting.
+        state: Processing state.
+        attempt: The current attempt, if any.
+        attempts: Number of attempts so far.
+        failures: Number of attempts that may have run but gave no answer.
     """
 
     number: int
@@ -146,46 +155,52 @@
 
 @dataclasses.dataclass(slots=True)
 class RouterState:
-    """Everything a router decides from.
+    """State on which a router bases all its decisions.
 
     Attributes:
-        vm: This router's VM name.
-        incarnation: This process's number.
+        vm: VM name of this router.
+        incarnation: Incarnation of this process.
         versions: The configuration in force.
         directory: The VMs of the fleet.
-        links: The sidecars that it is linked to.
-        waiting: Queues of requests not handed out.
+        links: The sidecars to which this router is linked.
+        waiting: Queues of waiting requests.
         requests: Requests not yet answered, by number.
-        request_by_attempt: Request number by attempt.
-        awaiting_outcome: Numbers of requests whose outcome a sidecar is asked
-            for.
-        checks: Heap of (time, attempt) at which silent attempts are checked;
-            may hold attempts that are over.
-        deadlines: Heap of (deadline, request); may hold answered requests.
-        rates: Drain rate by service and team, least recent departure first.
-        run_times: Run time by service.
-        budgets: Retry budgets of the teams.
-        backoffs: Heap of (time, request) of failed requests that stay out of
-            the queues until then; may hold answered requests.
-        outages: Since when work of a service can't be run, by service.
-        unswept: Queues not yet looked at in the current sweep.
-        next_sweep: When waiting work is looked at next.
-        announced: What sidecars that claimed believe to wait, by service
-            and team: the last announced count, less what left since.
-        told: Sidecars that believe something to wait, by service and team.
-        counted: Count at the last change, by service and team.
-        changed: Services and teams whose count changed and was not looked at
-            for an announcement yet.
-        fresh: Services that a request has just come for.
+        request_by_attempt: Request number by attempt identifier.
+        awaiting_outcome: Numbers of requests for whose outcome a sidecar is
+            queried.
+        checks: Heap of (time, attempt identifier) at which attempts are checked
+            for stalls; may contain attempts that have ended.
+        deadlines: Heap of (deadline, request number); may contain answered
+            requests.
+        drain_rates: Drain rate of each queue by service and team, least recent
+            departure first.
+        run_times: Run time estimate by service.
+        retry_budgets: Retry budgets of the teams.
+        backoffs: Heap of (time, request number) of failed requests that are
+            queued again at that time; may contain answered requests.
+        outages: Time since which a service can't run requests, by service.
+        unswept_queues: Queues not yet visited in the current sweep.
+        next_sweep_at: When waiting requests are next swept.
+        announced_counts: Waiting requests as known to the sidecars that claim,
+            by service and team: the last announced count minus the requests
+            that have left since.
+        informed_sidecars: Sidecars that were told of waiting requests, by
+            service and team.
+        last_counts: Waiting requests at the last recorded change, by service
+            and team.
+        changed_queues: Services and teams whose count changed since the last
+            announcement of changes.
+        services_with_new_requests: Services with requests that arrived since
+            offers were last made.
         hints: Free slots by service and sidecar.
-        announcing: What may be sent for announcements.
-        chance: Source of random choices.
-        announcements: Sequence number of the last announcement.
+        announcement_budget: Byte budget of announcements.
+        rng: Source of random choices.
+        last_announcement: Sequence number of the last announcement.
         last_request: Number of the last request.
-        next_heartbeat: When the next heartbeat is due.
-        next_digest: When the next digest of waiting work is due.
-        stopping: Whether no new request is taken.
-        late_answers: Answers that matched no attempt, dropped.
+        next_heartbeat_at: When the next heartbeat is due.
+        next_full_announcement_at: Earliest time of the next full announcement.
+        stopping: Whether new requests are refused.
+        late_answers: Number of dropped answers that matched no attempt.
     """
 
     vm: str
@@ -207,58 +222,64 @@
     awaiting_outcome: set[int] = dataclasses.field(default_factory=set)
     checks: list[tuple[float, str]] = dataclasses.field(default_factory=list)
     deadlines: list[tuple[float, int]] = dataclasses.field(default_factory=list)
-    rates: dict[tuple[str, str], admission.DrainRate] = dataclasses.field(
+    drain_rates: dict[tuple[str, str], admission.DrainRate] = dataclasses.field(
         default_factory=dict
     )
     run_times: dict[str, admission.RunTime] = dataclasses.field(
         default_factory=dict
     )
-    budgets: dispatch.RetryBudgets = dataclasses.field(
+    retry_budgets: dispatch.RetryBudgets = dataclasses.field(
         default_factory=dispatch.RetryBudgets
     )
     backoffs: list[tuple[float, int]] = dataclasses.field(default_factory=list)
     outages: dict[str, float] = dataclasses.field(default_factory=dict)
-    unswept: list[tuple[str, str]] = dataclasses.field(default_factory=list)
-    next_sweep: float = 0.0
-    announced: dict[tuple[str, str], int] = dataclasses.field(
+    unswept_queues: list[tuple[str, str]] = dataclasses.field(
+        default_factory=list
+    )
+    next_sweep_at: float = 0.0
+    announced_counts: dict[tuple[str, str], int] = dataclasses.field(
         default_factory=dict
     )
-    told: dict[tuple[str, str], set[str]] = dataclasses.field(
+    informed_sidecars: dict[tuple[str, str], set[str]] = dataclasses.field(
         default_factory=dict
     )
-    counted: dict[tuple[str, str], int] = dataclasses.field(
+    last_counts: dict[tuple[str, str], int] = dataclasses.field(
         default_factory=dict
     )
-    changed: set[tuple[str, str]] = dataclasses.field(default_factory=set)
-    fresh: set[str] = dataclasses.field(default_factory=set)
+    changed_queues: set[tuple[str, str]] = dataclasses.field(
+        default_factory=set
+    )
+    services_with_new_requests: set[str] = dataclasses.field(
+        default_factory=set
+    )
     hints: dict[str, dict[str, Hint]] = dataclasses.field(default_factory=dict)
-    announcing: sharing.ByteBudget = dataclasses.field(
+    announcement_budget: sharing.ByteBudget = dataclasses.field(
         default_factory=lambda: sharing.ByteBudget(
             ANNOUNCE_RATE, ANNOUNCE_BURST, ANNOUNCE_BURST
         )
     )
-    chance: random.Random = dataclasses.field(default_factory=random.Random)
-    announcements: int = 0
+    rng: random.Random = dataclasses.field(default_factory=random.Random)
+    last_announcement: int = 0
     last_request: int = 0
-    next_heartbeat: float = 0.0
-    next_digest: float = 0.0
+    next_heartbeat_at: float = 0.0
+    next_full_announcement_at: float = 0.0
     stopping: bool = False
     late_answers: int = 0
 
     def __post_init__(self):
-        """Seeds the choices: alike in each run, different at each router."""
-        self.chance.seed(f"{self.vm}/{self.incarnation}")
+        """Seeds the random choices, reproducibly and differently per router."""
+        self.rng.seed(f"{self.vm}/{self.incarnation}")
 
 
 def find_request(state: RouterState, attempt_id: str) -> Request | None:
-    """Finds the request whose current attempt this is.
+    """Looks up the request whose current attempt has an identifier.
 
-    Guards against late and repeated answers: what belongs to an earlier
-    attempt, or to another incarnation, matches nothing and is counted.
+    A late or repeated answer, which belongs to an earlier attempt or to another
+    incarnation, matches no request; it is counted and dropped.
 
     Args:
-        state: The router; the count of late answers may rise.
-        attempt_id: The attempt that something was heard of.
+        state: The router's state; `late_answers` is incremented on a miss.
+        attempt_id: Identifier of the attempt.
 
     Returns:
         The request, or None.
--- a/sycamorefall/router/status.py
+++ b/sycamorefall/router/status.py
@@ -1,4 +1,4 @@
-"""What a router shows to its operators."""
+"""Status, readiness and metrics of a router."""
 
 __all__ = ["create_pages"]
 
@@ -22,35 +22,35 @@
     recorder: observation.Recorder,
     listen: settings.ListenSettings,
 ) -> pages.Pages:
-    """Creates a router's pages.
+    """Creates a router's operator pages.
 
     Args:
-        node: The process.
-        state: The router's decisions.
-        recorder: Its records.
-        listen: Its addresses.
+        node: The router's process.
+        state: State of the router's decisions.
+        recorder: Counters and histograms of the process.
+        listen: The listening addresses.
 
     Returns:
         The pages.
     """
     return pages.Pages(
         listen=listen,
-        find_unready=lambda: _find_unready(node, state),
+        find_unready=lambda: _list_unready_reasons(node, state),
         describe=lambda whole: _describe(node, state, recorder, whole),
         list_metrics=lambda: _list_metrics(node, state, recorder),
     )
 
 
-def _find_unready(
+def _list_unready_reasons(
     node: node_module.Node, state: state_module.RouterState
 ) -> tuple[str, ...]:
     common = pages.find_common_unready(node)
-    if _list_services(state, transport.read_clock()):
+    if _list_available_services(state, transport.read_clock()):
         return common
-    return (*common, "no upstream of any service is reached")
+    return (*common, "no service has a usable upstream")
 
 
-def _list_services(
+def _list_available_services(
     state: state_module.RouterState, now: float
 ) -> tuple[str, ...]:
     in_force = state.versions.configuration
@@ -61,7 +61,9 @@
     )
 
 
-def _list_linked(state: state_module.RouterState, now: float) -> set[str]:
+def _collect_linked_sidecars(
+    state: state_module.RouterState, now: float
+) -> set[str]:
     in_force = state.versions.configuration
     return {
         name
@@ -83,12 +85,12 @@
     listed = queues.list_queues(state.waiting)
     return status_module.RouterStatus(
         **pages.describe_process(
-            node, recorder, now, _list_linked(state, now), whole
+            node, recorder, now, _collect_linked_sidecars(state, now), whole
         ),
-        unready=_find_unready(node, state),
+        unready=_list_unready_reasons(node, state),
         teams=_describe_teams(state, now, listed),
         teams_total=len(listed),
-        services=_list_services(state, now),
+        services=_list_available_services(state, now),
         waiting=state.waiting.total,
         requests=len(state.requests),
         late_answers=state.late_answers,
@@ -126,7 +128,7 @@
     recorder: observation.Recorder,
 ) -> Iterator[metrics_core.Metric]:
     now = transport.read_clock()
-    linked = _list_linked(state, now)
+    linked = _collect_linked_sidecars(state, now)
     yield from pages.list_metrics(node, recorder, now, linked)
     yield metrics_module.gauge_metric(
         "waiting",
--- a/sycamorefall/router/sweep.py
+++ b/sycamorefall/router/sweep.py
@@ -1,6 +1,6 @@
-"""Looks at waiting work from time to time: who waits in vain is told so."""
+"""Periodic sweep of waiting requests; those that wait in vain are refused."""
 
-__all__ = ["end_backoffs", "find_next_due", "sweep_waiting"]
+__all__ = ["find_next_due", "requeue_after_backoff", "sweep_waiting"]
 
 import heapq
 
@@ -11,85 +11,87 @@
 from sycamorefall.sharing import queues
 
 SWEEP_INTERVAL = 0.25
-"""Seconds between two looks at waiting work."""
+"""Seconds between two sweeps."""
 
-MOST_QUEUES = 256
-"""Queues looked at in one go; the others follow in the next."""
+MAX_QUEUES_PER_SWEEP = 256
+"""Queues visited per sweep; the next sweep continues with the others."""
 
-MARGIN = 1.25
-"""Times its remaining time that a request may be estimated to wait.
+WAIT_MARGIN = 1.25
+"""Multiple of its remaining time that a request may be estimated to wait.
 
-Estimates vary by chance. Judged as strictly as when it came, a request that
-was just let in would soon be given up again.
+Estimates vary randomly. With the same threshold as at admission, a request that
+was just admitted would soon be refused.
 """
 
 OUTAGE_GRACE = 1.0
-"""Seconds that work waits for a service whose last upstream vanished."""
+"""Seconds that requests keep waiting after a service lost its last upstream."""
 
 
 def find_next_due(state: state_module.RouterState) -> float:
-    """Tells when `sweep_waiting` or `end_backoffs` has something to do."""
+    """Returns when `sweep_waiting` or `requeue_after_backoff` is due."""
     backoffs = (entry[0] for entry in state.backoffs[:1])
-    idle = not (state.waiting.total or state.rates or state.budgets.teams)
-    sweep = float("inf") if idle else state.next_sweep
+    idle = not (
+        state.waiting.total or state.drain_rates or state.retry_budgets.teams
+    )
+    sweep = float("inf") if idle else state.next_sweep_at
     return min(sweep, *backoffs, float("inf"))
 
 
-def end_backoffs(
+def requeue_after_backoff(
     state: state_module.RouterState, now: float
 ) -> list[effects.SendMessage]:
-    """Makes failed requests wait again whose back-off is over.
+    """Queues failed requests again whose back-off has ended.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
 
     Returns:
-        Announcements.
+        Messages to send.
     """
-    news: list[effects.SendMessage] = []
+    sends: list[effects.SendMessage] = []
     while state.backoffs and state.backoffs[0][0] <= now:
         _, number = heapq.heappop(state.backoffs)
         request = state.requests.get(number)
         if request is not None:
-            news += intake.enqueue_request(state, now, request)
-    return news
+            sends += intake.enqueue_request(state, now, request)
+    return sends
 
 
 def sweep_waiting(
     state: state_module.RouterState, now: float
 ) -> list[router_effects.Effect]:
-    """Answers waiting requests that wait in vain; drops old state.
+    """Refuses requests that wait in vain, and drops outdated state.
 
     Args:
-        state: The router; changed.
-        now: This process's time.
+        state: The router's state; modified.
+        now: Current time of this process's clock, in seconds.
 
     Returns:
-        Answers and announcements.
+        Answers and messages.
     """
-    if now < state.next_sweep or state.versions.configuration is None:
+    if now < state.next_sweep_at or state.versions.configuration is None:
         return []
-    state.next_sweep = now + SWEEP_INTERVAL
-    answers = _answer_outages(state, now)
-    if not state.unswept:
-        state.unswept = queues.list_queues(state.waiting)
-    for _ in range(min(MOST_QUEUES, len(state.unswept))):
-        service, team = state.unswept.pop()
-        answers += _answer_late(state, now, service, team)
+    state.next_sweep_at = now + SWEEP_INTERVAL
+    answers = _refuse_during_outages(state, now)
+    if not state.unswept_queues:
+        state.unswept_queues = queues.list_queues(state.waiting)
+    for _ in range(min(MAX_QUEUES_PER_SWEEP, len(state.unswept_queues))):
+        service, team = state.unswept_queues.pop()
+        answers += _refuse_late_requests(state, now, service, team)
     _drop_idle_rates(state, now)
-    dispatch.drop_idle_budgets(state.budgets, now)
+    dispatch.drop_idle_budgets(state.retry_budgets, now)
     return answers
 
 
-def _answer_outages(
+def _refuse_during_outages(
     state: state_module.RouterState, now: float
 ) -> list[router_effects.Effect]:
-    """Answers all work of services that can't be run any more.
+    """Refuses all waiting requests of services that can't run any more.
 
-    Guards against work held to its deadline when the last upstream of its
-    service, or of one it depends on, vanished while it waited. A short grace
-    keeps it through a restart, and through a list that lags behind.
+    Otherwise requests would wait until their deadline if the last upstream of
+    their service, or of one that it depends on, disappears. The grace period
+    bridges a restart of the upstream and an outdated VM list.
     """
     answers: list[router_effects.Effect] = []
     kinds = {
@@ -117,23 +119,23 @@
     return answers
 
 
-def _answer_late(
+def _refuse_late_requests(
     state: state_module.RouterState, now: float, service: str, team: str
 ) -> list[router_effects.Effect]:
-    """Answers a team's requests whose wait has grown beyond their deadline.
+    """Refuses a team's requests whose estimated wait exceeds their deadline.
 
-    Guards against callers held to their deadline for nothing: the queue
-    slowed down after they joined it, or others with earlier deadlines came.
-    Each request that is given up moves those behind it up.
+    Otherwise callers would wait until their deadline in vain if the queue slows
+    down after they joined it, or requests with earlier deadlines arrive. Each
+    refused request shortens the estimated wait of those behind it.
     """
-    rate = state.rates.get((service, team))
+    rate = state.drain_rates.get((service, team))
     deadlines = queues.list_deadlines(state.waiting, service, team)
     if rate is None or not deadlines:
         return []
     oldest = queues.get_oldest_arrival(state.waiting, service, team)
     interval = admission.compute_departure_interval(rate, now, oldest)
     longest = admission.estimate_wait(interval, len(deadlines))
-    run_time = estimates.find_run_time(state, now, service)
+    run_time = estimates.estimate_run_time(state, now, service)
     first_left = deadlines[0][0] - now
     if longest <= first_left - run_time and first_left > run_time:
         return []
@@ -142,10 +144,12 @@
     kind = errors.ErrorKind.WAIT_EXCEEDS_DEADLINE
     for deadline, number in deadlines:
         request = state.requests[number]
-        kept = estimates.keep_for_run(run_time, request.new.timeout)
-        left = MARGIN * (deadline - now) - kept
+        run_reserve = estimates.compute_run_reserve(
+            run_time, request.new.timeout
+        )
+        available = WAIT_MARGIN * (deadline - now) - run_reserve
         if _is_too_late(request, now, run_time) or admission.exceeds_deadline(
-            rate, interval, ahead, left
+            rate, interval, ahead, available
         ):
             answers += intake.refuse_waiting(state, now, request, kind)
         else:
@@ -156,29 +160,29 @@
 def _is_too_late(
     request: state_module.Request, now: float, run_time: float
 ) -> bool:
-    """Tells whether a request has waited until too little time is left.
+    """Tells whether a request has waited until too little time is left to run.
 
-    Guards against slots spent on answers that come after the deadline, which
-    shows as an upstream at work and callers without an answer. A request
-    that came with little time is tried all the same: the run time is only
-    learned from those that run.
+    Otherwise upstreams would spend slots on answers that come after the
+    deadline: they would be busy while callers get no answer. A request that
+    arrived with little time is tried nevertheless, as run times are only
+    learned from requests that run.
     """
     had_time = request.new.timeout > 2.0 * run_time
     return had_time and request.deadline - now < run_time
 
 
 def _drop_idle_rates(state: state_module.RouterState, now: float) -> None:
-    """Drops the rates of queues that have long been empty.
+    """Drops the drain rates of queues that have long been empty.
 
-    Guards against memory that grows with every team that ever called, and
-    against judging a team by a rate of long ago.
+    Otherwise memory would grow with every team that ever called, and teams
+    would be judged by outdated rates.
     """
-    while state.rates:
-        key, rate = next(iter(state.rates.items()))
+    while state.drain_rates:
+        key, rate = next(iter(state.drain_rates.items()))
         if not admission.is_stale(rate, now):
             return
-        del state.rates[key]
+        del state.drain_rates[key]
         if queues.count_waiting(state.waiting, *key):
-            # It still waits: the rate goes to the end, to be looked at again.
-            state.rates[key] = rate
+            # The team still has waiting requests: its rate moves to the end.
+            state.drain_rates[key] = rate
             return
--- a/sycamorefall/router/tests/fakes.py
+++ b/sycamorefall/router/tests/fakes.py
@@ -51,7 +51,7 @@
         """Lets live upstreams be heard, and timers run; returns answers."""
         for name in self.live:
             self.receive(now, messages.Heartbeat(), name)
-        return select_answers(core.run_timers(self.state, now))
+        return collect_answers(core.run_timers(self.state, now))
 
     def receive(self, now, message, sender="engine-0"):
         envelope = messages.Envelope(sender, 1, 1, message)
@@ -62,28 +62,28 @@
             service, team, "POST", "/", (), timeout, idempotent=True
         )
         number, outcome = intake.admit_request(self.state, now, new)
-        return number, select_answers(outcome)
+        return number, collect_answers(outcome)
 
     def claim(self, now, team="mill", service="assistant", sidecar="engine-0"):
         """Claims a request; returns its hand-out or None."""
         self.claims += 1
         claim = messages.Claim(self.claims, service, team, 1.0)
-        handed = [
+        sent = [
             effect
             for effect in self.receive(now, claim, sidecar)
             if isinstance(effect, router_effects.SendRequest)
         ]
-        return handed[0] if handed else None
+        return sent[0] if sent else None
 
-    def end(self, now, handed, end=attempt_lifecycle.AttemptEnd.COMPLETE):
-        return select_answers(
+    def end(self, now, sent, end=attempt_lifecycle.AttemptEnd.COMPLETE):
+        return collect_answers(
             attempt_lifecycle.end_attempt(
-                self.state, now, handed.order.attempt_id, end, False
+                self.state, now, sent.order.attempt_id, end, False
             )
         )
 
 
-def select_answers(outcome):
+def collect_answers(outcome):
     """Selects failures as (request, kind, ran, retry_after)."""
     return [
         (
--- a/sycamorefall/router/tests/test_admission.py
+++ b/sycamorefall/router/tests/test_admission.py
@@ -8,7 +8,7 @@
 from sycamorefall.router.tests import fakes
 
 
-def drain(router, start, count, interval):
+def serve_at_interval(router, start, count, interval):
     """Lets requests come and go at an interval, one always waiting."""
     for index in range(count):
         now = start + index * interval
@@ -19,14 +19,14 @@
     return start + count * interval
 
 
-def fill(router, now, count, **options):
+def admit_many(router, now, count, **options):
     return [router.admit(now, **options) for _ in range(count)]
 
 
 def test_wait_beyond_the_deadline_is_answered_at_once():
     router = fakes.Router()
-    now = drain(router, 0.0, 20, interval=1.0)
-    fill(router, now, 9)
+    now = serve_at_interval(router, 0.0, 20, interval=1.0)
+    admit_many(router, now, 9)
     deep = [router.admit(now, timeout=8.0)[1] for _ in range(12)]
     refused = [entry for answers in deep for entry in answers]
     assert {entry[1:3] for entry in refused} == {
@@ -45,7 +45,7 @@
     in, and each departure moves the rate.
     """
     router = fakes.Router()
-    now = drain(router, 0.0, 12, interval=10.0)
+    now = serve_at_interval(router, 0.0, 12, interval=10.0)
     router.run(now)
     while router.claim(now):
         pass
@@ -68,11 +68,11 @@
     refused for the run time alone whenever anyone else waits.
     """
     router = fakes.Router()
-    now = drain(router, 0.0, 12, interval=0.1)
-    handed = router.claim(now)
+    now = serve_at_interval(router, 0.0, 12, interval=0.1)
+    sent = router.claim(now)
     router.admit(now)
     router.state.run_times["assistant"] = admission.RunTime(8.0, now)
-    router.end(now + 8.0, handed)
+    router.end(now + 8.0, sent)
     assert router.admit(now, timeout=6.0)[1] == []
     assert router.admit(now, timeout=6.0)[1] == []
     deep = [router.admit(now, timeout=6.0)[1] for _ in range(35)]
@@ -81,15 +81,17 @@
 
 def test_idle_team_is_judged_by_nothing_old():
     router = fakes.Router()
-    now = drain(router, 0.0, 12, interval=2.0)
+    now = serve_at_interval(router, 0.0, 12, interval=2.0)
     while router.claim(now):
         pass
-    assert router.state.rates
+    assert router.state.drain_rates
     now += admission.RATE_LIFETIME + 1.0
     router.run(now)
     router.run(now + 1.0)
-    assert not router.state.rates
-    assert all(not answers for _, answers in fill(router, now, 20, timeout=3.0))
+    assert not router.state.drain_rates
+    assert all(
+        not answers for _, answers in admit_many(router, now, 20, timeout=3.0)
+    )
 
 
 def test_state_of_idle_teams_is_dropped():
@@ -101,12 +103,12 @@
         router.admit(now, team=team)
         router.run(now)
         router.end(now, router.claim(now, team))
-    assert len(router.state.rates) <= 10 * admission.RATE_LIFETIME + 10
-    assert len(router.state.budgets.teams) <= 10 * 60 + 10
+    assert len(router.state.drain_rates) <= 10 * admission.RATE_LIFETIME + 10
+    assert len(router.state.retry_budgets.teams) <= 10 * 60 + 10
     router.run(now + 300.0)
     router.run(now + 301.0)
-    assert not router.state.rates
-    assert not router.state.budgets.teams
+    assert not router.state.drain_rates
+    assert not router.state.retry_budgets.teams
     assert len(router.state.deadlines) <= 1100
 
 
@@ -118,18 +120,18 @@
     queue, which may be the next to leave, is kept to the last.
     """
     router = fakes.Router()
-    now = drain(router, 0.0, 20, interval=0.5)
-    numbers = [n for n, _ in fill(router, now, 10, timeout=30.0)]
-    told = {}
+    now = serve_at_interval(router, 0.0, 20, interval=0.5)
+    numbers = [n for n, _ in admit_many(router, now, 10, timeout=30.0)]
+    answered_after = {}
     for step in range(1, 130):
         for number, kind, ran, retry in router.run(now + step * 0.25):
-            told[number] = step * 0.25
+            answered_after[number] = step * 0.25
             assert (kind, ran) in {
                 ("wait_exceeds_deadline", "no"),
                 ("deadline_exceeded", "no"),
             }
             assert retry >= 1
-    late = [told[number] for number in numbers]
+    late = [answered_after[number] for number in numbers]
     assert late == sorted(late, reverse=True)
     assert late[0] == 30.0
     assert late[-1] < 20.0
@@ -151,11 +153,11 @@
     assert router.run(1.0) == []
     router.live.discard(lost)
     answers = [router.run(1.0 + step * 0.25) for step in range(1, 40)]
-    told = [(i, found) for i, found in enumerate(answers) if found]
-    assert [found for _, found in told] == [[(number, kind, "no", 1)]]
+    answered = [(i, found) for i, found in enumerate(answers) if found]
+    assert [found for _, found in answered] == [[(number, kind, "no", 1)]]
     # Suspected after a silence, answered after the grace that follows.
     seconds = membership.SUSPECT_AFTER + sweep.OUTAGE_GRACE
-    assert seconds - 0.5 <= told[0][0] * 0.25 <= seconds + 0.5
+    assert seconds - 0.5 <= answered[0][0] * 0.25 <= seconds + 0.5
     assert [entry[1] for entry in router.admit(11.0)[1]] == [kind]
     assert router.state.waiting.total == 0
 
@@ -178,8 +180,8 @@
     team with the most waiting, by weight, loses its newest instead.
     """
     router = fakes.Router()
-    large = [n for n, _ in fill(router, 0.0, 25, team="large")]
-    flood = [n for n, _ in fill(router, 0.0, 15, team="flood")]
+    large = [n for n, _ in admit_many(router, 0.0, 25, team="large")]
+    flood = [n for n, _ in admit_many(router, 0.0, 15, team="flood")]
     small, answers = router.admit(0.0, team="mill")
     assert answers == [(flood[-1], "too_many_waiting", "no", 1)]
     assert small in router.state.requests
@@ -196,11 +198,11 @@
     """
     router = fakes.Router()
     first, _ = router.admit(0.0, timeout=10.0)
-    numbers = [n for n, _ in fill(router, 1.0, 39)]
-    handed = router.claim(2.0)
-    assert handed.request == first
+    numbers = [n for n, _ in admit_many(router, 1.0, 39)]
+    sent = router.claim(2.0)
+    assert sent.request == first
     router.admit(2.0)
-    router.end(2.0, handed, attempt_lifecycle.AttemptEnd.REFUSED)
+    router.end(2.0, sent, attempt_lifecycle.AttemptEnd.REFUSED)
     _, answers = router.admit(2.0, team="flood")
     lost = [entry[0] for entry in answers]
     assert first not in lost
@@ -246,11 +248,11 @@
         now = index * 0.1
         router.run(now)
         router.admit(now)
-        while handed := router.claim(now):
+        while sent := router.claim(now):
             attempts += 1
-            router.end(now, handed, attempt_lifecycle.AttemptEnd.FAILED)
+            router.end(now, sent, attempt_lifecycle.AttemptEnd.FAILED)
     assert 200 + 20 <= attempts <= 200 + 20 + 5 + 1
-    assert router.state.budgets.refused > 100
+    assert router.state.retry_budgets.refused > 100
 
 
 @pytest.mark.parametrize(
--- a/sycamorefall/router/tests/test_dependencies.py
+++ b/sycamorefall/router/tests/test_dependencies.py
@@ -143,21 +143,21 @@
             finish(run)
 
     def finish(run):
-        vm, handed = run
+        vm, sent = run
         slots[vm] = None
-        router.end(0.0, handed)
-        settle(handed.request, "answered")
+        router.end(0.0, sent)
+        settle(sent.request, "answered")
 
-    def call(vm, handed):
-        service = CHILD.get(handed.order.service)
+    def call(vm, sent):
+        service = CHILD.get(sent.order.service)
         if service is None:
-            finish((vm, handed))
+            finish((vm, sent))
             return
         parent = admission.Parent(
             "mill",
-            handed.order.service,
-            handed.order.attempt_id,
-            handed.order.remaining,
+            sent.order.service,
+            sent.order.attempt_id,
+            sent.order.remaining,
         )
         caller = dependencies.identify_caller(
             router.state, "", issue(router, parent)
@@ -165,7 +165,7 @@
         bound = dependencies.bind_request(
             router.state, new_request(service), caller
         )
-        send(service, bound.unwrap().timeout, (vm, handed))
+        send(service, bound.unwrap().timeout, (vm, sent))
 
     def send(service, timeout, run=None):
         number = router.state.last_request + 1
@@ -179,10 +179,10 @@
     for _ in range(10 * parents):
         for vm, service in upstreams.items():
             if slots[vm] is None:
-                handed = router.claim(0.0, service=service, sidecar=vm)
-                if handed is not None:
-                    slots[vm] = handed
-                    call(vm, handed)
+                sent = router.claim(0.0, service=service, sidecar=vm)
+                if sent is not None:
+                    slots[vm] = sent
+                    call(vm, sent)
     assert not any(slots.values())
     assert not router.state.requests
     assert ended["answered"] >= min(parents, per_team, per_router)
--- a/sycamorefall/router/tests/test_offering.py
+++ b/sycamorefall/router/tests/test_offering.py
@@ -26,58 +26,58 @@
     )
     membership.apply_vm_list(state.directory, membership.VmList(1, tuple(vms)))
     for name in SIDECARS:
-        hear(state, name, free_slots=0)
+        receive_heartbeat(state, name, free_slots=0)
     core.run_timers(state, 0.0)
     return state
 
 
-def hear(state, sidecar, free_slots, now=0.0, incarnation=1):
+def receive_heartbeat(state, sidecar, free_slots, now=0.0, incarnation=1):
     beat = messages.Heartbeat(free_slots=free_slots)
     envelope = messages.Envelope(sidecar, incarnation, 1, beat)
     return core.receive_message(state, now, envelope)
 
 
-def ask(state, team="mill-a", now=0.0):
+def admit_and_run(state, team="mill-a", now=0.0):
     new = state_module.NewRequest("assistant", team, "POST", "/", (), 9.0, True)
     _, outcome = intake.admit_request(state, now, new)
     assert outcome == []
-    return split(core.run_timers(state, now))
+    return split_effects(core.run_timers(state, now))
 
 
-def split(outcome):
+def split_effects(outcome):
     offers = [e for e in outcome if isinstance(e, router_effects.SendRequest)]
-    told = [
+    announcements = [
         e.message
         for e in outcome
         if isinstance(e, effects.SendMessage)
         and isinstance(e.message, messages.Waiting)
     ]
-    return offers, told
+    return offers, announcements
 
 
 def test_fresh_request_goes_to_hinted_room_without_control_messages(router):
-    hear(router, "engine-1", free_slots=1)
-    offers, told = ask(router)
+    receive_heartbeat(router, "engine-1", free_slots=1)
+    offers, announcements = admit_and_run(router)
     assert [offer.sidecar for offer in offers] == ["engine-1"]
     assert offers[0].order.claim_id == messages.UNCLAIMED
-    assert told == []
+    assert announcements == []
 
 
 def test_request_beyond_the_hinted_room_is_announced(router):
-    hear(router, "engine-1", free_slots=1)
-    ask(router)
-    offers, told = ask(router, team="mill-b")
+    receive_heartbeat(router, "engine-1", free_slots=1)
+    admit_and_run(router)
+    offers, announcements = admit_and_run(router, team="mill-b")
     assert offers == []
-    assert [entry.team for entry in told[0].teams] == ["mill-b"]
+    assert [entry.team for entry in announcements[0].teams] == ["mill-b"]
 
 
 def test_nothing_is_offered_past_a_team_that_waits(router):
     # A clerk of mill-a waits, announced; then a sidecar hints at room before
     # its claim arrives. A newcomer of the flooding team would be offered
     # that room and overtake the clerk.
-    ask(router, team="mill-a")
-    hear(router, "engine-1", free_slots=1)
-    offers, _ = ask(router, team="flood")
+    admit_and_run(router, team="mill-a")
+    receive_heartbeat(router, "engine-1", free_slots=1)
+    offers, _ = admit_and_run(router, team="flood")
     assert offers == []
 
 
@@ -86,60 +86,67 @@
     # and on, its request would use up its attempts while it never waits in
     # any team's turn.
     for name in SIDECARS:
-        hear(router, name, free_slots=2)
-    offers, _ = ask(router)
+        receive_heartbeat(router, name, free_slots=2)
+    offers, _ = admit_and_run(router)
     attempt = offers[0].order.attempt_id
     end = attempt_lifecycle.AttemptEnd.REFUSED
     attempt_lifecycle.end_attempt(router, 0.1, attempt, end, answer_begun=False)
-    offers, told = split(core.run_timers(router, 0.1))
+    offers, announcements = split_effects(core.run_timers(router, 0.1))
     assert offers == []
-    assert told[0].teams[0].count == 1
+    assert announcements[0].teams[0].count == 1
     assert len(router.hints["assistant"]) == 2
 
 
 def test_slot_of_an_ended_offer_is_offered_again(router):
-    hear(router, "engine-2", free_slots=1)
-    offers, _ = ask(router)
+    receive_heartbeat(router, "engine-2", free_slots=1)
+    offers, _ = admit_and_run(router)
     attempt = offers[0].order.attempt_id
     end = attempt_lifecycle.AttemptEnd.COMPLETE
     attempt_lifecycle.end_attempt(router, 0.1, attempt, end, answer_begun=True)
-    offers, _ = ask(router, now=0.2)
+    offers, _ = admit_and_run(router, now=0.2)
     assert [offer.sidecar for offer in offers] == ["engine-2"]
 
 
 def test_hint_of_a_silent_sidecar_is_not_used(router):
     # A VM fails right after its hint; its router would go on offering to it,
     # and each caller's request would wait for a connection that never opens.
-    hear(router, "engine-1", free_slots=2)
+    receive_heartbeat(router, "engine-1", free_slots=2)
     later = membership.SUSPECT_AFTER + 0.5
-    hear(router, "engine-0", free_slots=0, now=later)
-    offers, told = ask(router, now=later)
+    receive_heartbeat(router, "engine-0", free_slots=0, now=later)
+    offers, announcements = admit_and_run(router, now=later)
     assert offers == []
-    assert len(told) == 1
+    assert len(announcements) == 1
 
 
 def test_offers_spread_over_sidecars_with_equal_room(router):
     for name in SIDECARS:
-        hear(router, name, free_slots=4)
-    sidecars = [ask(router)[0][0].sidecar for _ in range(12)]
+        receive_heartbeat(router, name, free_slots=4)
+    sidecars = [admit_and_run(router)[0][0].sidecar for _ in range(12)]
     assert {sidecars.count(name) for name in SIDECARS} == {4}
 
 
 def test_sidecar_with_room_learns_at_once_which_teams_wait(router):
-    ask(router, team="mill-a")
-    ask(router, team="mill-b")
-    offers, told = split(hear(router, "engine-1", free_slots=1))
+    admit_and_run(router, team="mill-a")
+    admit_and_run(router, team="mill-b")
+    offers, announcements = split_effects(
+        receive_heartbeat(router, "engine-1", free_slots=1)
+    )
     assert offers == []
-    assert told[0].complete
-    assert {entry.team for entry in told[0].teams} == {"mill-a", "mill-b"}
+    assert announcements[0].complete
+    assert {entry.team for entry in announcements[0].teams} == {
+        "mill-a",
+        "mill-b",
+    }
 
 
 def test_one_teams_waiting_requests_take_a_hint_at_once(router):
     for _ in range(3):
-        ask(router, team="mill-a")
-    offers, told = split(hear(router, "engine-1", free_slots=2))
+        admit_and_run(router, team="mill-a")
+    offers, announcements = split_effects(
+        receive_heartbeat(router, "engine-1", free_slots=2)
+    )
     assert [offer.sidecar for offer in offers] == ["engine-1"] * 2
-    assert told == []
+    assert announcements == []
     assert router.waiting.total == 1
 
 
@@ -147,14 +154,14 @@
     # The budget is used up while a team's one request leaves by a claim and
     # another comes. Its count is 1 as announced, but the claiming sidecar
     # has counted it down: without a word the new request would wait on.
-    ask(router, team="mill-a")
+    admit_and_run(router, team="mill-a")
     overdraft = announcement.URGENT_OVERDRAFT
-    router.announcing.level = -overdraft - 120.0
+    router.announcement_budget.level = -overdraft - 120.0
     claim = messages.Claim(1, "assistant", "mill-a", 1000)
     envelope = messages.Envelope("engine-0", 1, 1, claim)
     core.receive_message(router, 0.01, envelope)
-    offers, told = ask(router, team="mill-a", now=0.02)
-    assert offers == told == []
+    offers, announcements = admit_and_run(router, team="mill-a", now=0.02)
+    assert offers == announcements == []
     later = core.find_next_due(router)
-    _, told = split(core.run_timers(router, later))
-    assert told[0].teams[0].count == 1
+    _, announcements = split_effects(core.run_timers(router, later))
+    assert announcements[0].teams[0].count == 1
