--- a/sycamorefall/router/announcement.py
+++ b/sycamorefall/router/announcement.py
@@ -144,8 +144,8 @@
     free slots, then random ones, drawn anew each time. If every sidecar were
     told, all would claim the same few requests and most claims would come back
     empty. When a team's queue becomes empty, only the sidecars that were told
-    of its requests are informed. A sidecar that was not told and has nothing to claim
-    sends a hint and gets an announcement in response.
+    of its requests are informed. A sidecar that was not told and has nothing to
+    claim sends a hint and gets an announcement in response.
     """
     receivers = _list_receivers(state, now, service)
     shuffled = state.rng.sample(receivers, len(receivers))
--- a/sycamorefall/router/request_parsing.py
+++ b/sycamorefall/router/request_parsing.py
@@ -124,12 +124,12 @@
     every attempt would fail at the sidecar.
     """
     values = ((name, call.headers.get(name)) for name in _FORWARDED_HEADERS)
-    passed_on = tuple((name, value) for name, value in values if value)
-    for name, value in passed_on:
+    forwarded = tuple((name, value) for name, value in values if value)
+    for name, value in forwarded:
         if not value.isascii():
             kind = errors.ErrorKind.MALFORMED_REQUEST
             raise _Refused(kind, f"{name}: expected ASCII characters")
-    return passed_on
+    return forwarded
 
 
 def _read_completion(
--- a/sycamorefall/router/stalls.py
+++ b/sycamorefall/router/stalls.py
@@ -40,7 +40,7 @@
 """Seconds after which a query that got no report is repeated."""
 
 STALL_TIMEOUT = {True: 2.0, False: 10.0}
-"""Seconds without a report before an attempt is abandoned, by idempotence.
+"""Seconds of unanswered queries until an attempt is abandoned, by idempotence.
 
 An idempotent request is better retried elsewhere soon. Any other request could
 only be answered "outcome unknown", so a sidecar that was suspended gets time to
--- a/sycamorefall/router/tests/fakes.py
+++ b/sycamorefall/router/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A router's decisions with faked upstreams, for tests."""
+"""A router's decisions with simulated upstreams, for tests."""
 
 from sycamorefall import configuration, membership, messages
 from sycamorefall.router import attempt_lifecycle, core, intake
@@ -24,7 +24,7 @@
 
 
 class Router:
-    """A router whose upstreams live as long as they are in `live`."""
+    """A router whose upstreams send heartbeats while they are in `live`."""
 
     def __init__(self, text=TEXT, upstreams=UPSTREAMS):
         self.state = state_module.RouterState("router-0", 1)
@@ -48,7 +48,11 @@
         self.run(0.0)
 
     def run(self, now):
-        """Lets live upstreams be heard, and timers run; returns answers."""
+        """Delivers heartbeats of live upstreams and runs the timers.
+
+        Returns:
+            The error answers.
+        """
         for name in self.live:
             self.receive(now, messages.Heartbeat(), name)
         return collect_answers(core.run_timers(self.state, now))
@@ -65,7 +69,7 @@
         return number, collect_answers(outcome)
 
     def claim(self, now, team="mill", service="assistant", sidecar="engine-0"):
-        """Claims a request; returns its hand-out or None."""
+        """Claims a request; returns the effect that sends it, or None."""
         self.claims += 1
         claim = messages.Claim(self.claims, service, team, 1.0)
         sent = [
@@ -84,7 +88,7 @@
 
 
 def collect_answers(outcome):
-    """Selects failures as (request, kind, ran, retry_after)."""
+    """Returns the error answers as (request, kind, ran, retry_after)."""
     return [
         (
             effect.request,
--- a/sycamorefall/router/tests/test_admission.py
+++ b/sycamorefall/router/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Who is let in, who waits, and who is answered at once."""
+"""Admission, waiting, and refusal of requests at a router."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 def serve_at_interval(router, start, count, interval):
-    """Lets requests come and go at an interval, one always waiting."""
+    """Admits and completes a request per interval; one always waits."""
     for index in range(count):
         now = start + index * interval
         router.run(now)
@@ -32,17 +32,17 @@
     assert {entry[1:3] for entry in refused} == {
         ("wait_exceeds_deadline", "no")
     }
-    # Those with less time go first: about eight of them fit in eight seconds.
+    # Earlier deadlines are served first: about eight requests fit in 8 s.
     assert len(refused) == 4
     assert [entry[3] for entry in refused] == [19, 19, 19, 19]
 
 
-def test_stale_slow_rate_does_not_refuse_for_ever():
-    """A slow hour leaves a slow rate; then the upstreams are fast again.
+def test_outdated_slow_rate_does_not_refuse_forever():
+    """Upstreams get fast again after a time in which a slow rate was measured.
 
-    Callers would be refused with all slots free: nothing is let in, so
-    nothing departs, so the rate never changes. One request is always let
-    in, and each departure moves the rate.
+    By the slow rate, callers would be refused while all slots are free: with no
+    request admitted, none departs, and the rate never changes. Therefore one
+    request is always admitted, and each departure updates the rate.
     """
     router = fakes.Router()
     now = serve_at_interval(router, 0.0, 12, interval=10.0)
@@ -62,10 +62,10 @@
 
 
 def test_caller_with_less_time_than_most_requests_run_may_wait():
-    """Most answers take eight seconds; a caller waits six.
+    """Most answers take eight seconds; a caller's timeout is six.
 
-    Some answers are short, so it may be served in time. It must not be
-    refused for the run time alone whenever anyone else waits.
+    Some answers are short, so the request may be served in time. It must not be
+    refused for the run time alone whenever another request waits.
     """
     router = fakes.Router()
     now = serve_at_interval(router, 0.0, 12, interval=0.1)
@@ -79,7 +79,7 @@
     assert any(deep)
 
 
-def test_idle_team_is_judged_by_nothing_old():
+def test_old_drain_rate_of_an_idle_team_is_dropped():
     router = fakes.Router()
     now = serve_at_interval(router, 0.0, 12, interval=2.0)
     while router.claim(now):
@@ -95,7 +95,7 @@
 
 
 def test_state_of_idle_teams_is_dropped():
-    """31,000 teams call now and then; a router that remembers all grows."""
+    """With 31,000 teams that call now and then, memory must stay bounded."""
     router = fakes.Router()
     for index in range(2000):
         now = index * 0.1
@@ -113,11 +113,11 @@
 
 
 def test_wait_that_grows_beyond_the_deadline_is_answered_then():
-    """Work drains well, then the upstreams hang with callers waiting.
+    """Requests depart steadily, then the upstreams hang while callers wait.
 
-    Without a second look each caller is held to its deadline. It must be
-    told as soon as the wait is known to be too long, and the head of the
-    queue, which may be the next to leave, is kept to the last.
+    If requests were only checked at admission, each caller would wait until its
+    deadline. It must get an answer as soon as the estimated wait is too long.
+    The head of the queue, which may be the next to leave, is kept longest.
     """
     router = fakes.Router()
     now = serve_at_interval(router, 0.0, 20, interval=0.5)
@@ -142,11 +142,12 @@
     ("lost", "kind"),
     [("engine-0", "no_upstream"), ("ledger-0", "dependency_unavailable")],
 )
-def test_waiting_work_is_answered_when_its_last_upstream_vanishes(lost, kind):
-    """The last upstream of a service, or of one it needs, dies.
+def test_waiting_requests_are_answered_when_the_last_upstream_fails(lost, kind):
+    """The last upstream of a service, or of its dependency, fails.
 
-    Whatever waits for it would be held to its deadline, up to an hour. It
-    is answered after a short grace; new work is refused at once.
+    Waiting requests would otherwise be held until their deadline, up to an
+    hour. They are answered after a short grace period; new ones are refused at
+    once.
     """
     router = fakes.Router()
     number, _ = router.admit(0.0)
@@ -155,14 +156,14 @@
     answers = [router.run(1.0 + step * 0.25) for step in range(1, 40)]
     answered = [(i, found) for i, found in enumerate(answers) if found]
     assert [found for _, found in answered] == [[(number, kind, "no", 1)]]
-    # Suspected after a silence, answered after the grace that follows.
+    # Suspected after a silence, refused after the grace period that follows.
     seconds = membership.SUSPECT_AFTER + sweep.OUTAGE_GRACE
     assert seconds - 0.5 <= answered[0][0] * 0.25 <= seconds + 0.5
     assert [entry[1] for entry in router.admit(11.0)[1]] == [kind]
     assert router.state.waiting.total == 0
 
 
-def test_work_waits_through_a_restart_of_the_only_upstream():
+def test_requests_wait_through_a_restart_of_the_only_upstream():
     router = fakes.Router()
     number, _ = router.admit(0.0)
     router.live.discard("engine-0")
@@ -173,11 +174,11 @@
     assert router.claim(13.0).request == number
 
 
-def test_flood_loses_its_newest_when_the_router_is_full():
-    """One team fills the router to its bound, then others come.
+def test_flooding_team_loses_its_newest_when_the_router_is_full():
+    """One team fills the router to its limit, then requests of others arrive.
 
-    If whoever comes last were refused, a flood would shut out everyone. The
-    team with the most waiting, by weight, loses its newest instead.
+    If the last arrival were refused, a flood would lock out all other teams.
+    Instead, the team with the most waiting requests by weight loses its newest.
     """
     router = fakes.Router()
     large = [n for n, _ in admit_many(router, 0.0, 25, team="large")]
@@ -190,11 +191,11 @@
     assert [entry[0] for entry in answers] == [small + 1]
 
 
-def test_request_that_waits_again_is_not_the_newest():
-    """A request is refused by a sidecar after it has waited long.
+def test_requeued_request_is_not_the_newest():
+    """A sidecar refuses a request that has waited long.
 
-    Back in the queue it must not count as the newest: it would be lost on
-    overflow in place of those that have just come.
+    Back in its queue, the request must not count as the newest: on overflow it
+    would be shed in place of requests that have just arrived.
     """
     router = fakes.Router()
     first, _ = router.admit(0.0, timeout=10.0)
@@ -209,10 +210,10 @@
     assert set(lost).isdisjoint(numbers[:-1])
 
 
-def test_failed_request_that_is_given_up_is_not_called_unrun():
-    """An attempt broke off after it began; its retry then waits in vain.
+def test_refused_retry_is_not_reported_as_not_run():
+    """An attempt breaks after it started; the retry waits in vain.
 
-    "Not run" would be a lie: the upstream may have done the work.
+    The answer must not say "not run": the upstream may have run the request.
     """
     router = fakes.Router()
     number, _ = router.admit(0.0)
@@ -237,10 +238,10 @@
 
 
 def test_upstreams_that_fail_everything_get_few_retries():
-    """Every attempt fails. With two retries each the load would triple.
+    """Every attempt fails. With two retries each, the load would triple.
 
-    The retries stay within a tenth of the requests and the reserve, and the
-    rest are answered at once.
+    Retries must stay within a tenth of the requests plus the reserve; the other
+    requests are answered at once.
     """
     router = fakes.Router()
     attempts = 0
@@ -264,7 +265,7 @@
         ("slow, then fast again", 0.01),
     ],
 )
-def test_who_is_let_in_is_served_in_time(load, most_missed):
+def test_admitted_requests_are_served_in_time(load, most_missed):
     shares = bench.run_load(bench.LOADS[load], seconds=90.0)
     assert shares["missed"] <= most_missed
     assert shares["refused, but a slot came free"] <= 0.01
--- a/sycamorefall/router/tests/test_dependencies.py
+++ b/sycamorefall/router/tests/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Calls made by upstreams: whose they are, how long, and no deadlock."""
+"""Calls by upstreams: accounting, time limits, and freedom from deadlock."""
 
 import collections
 
@@ -58,7 +58,7 @@
 def test_team_cannot_call_in_the_name_of_another(router):
     """A team forges a token that names another team.
 
-    It knows its own key and so can sign, but with nobody else's.
+    The team knows its own key and can sign with it, but with no other key.
     """
     in_force = router.state.versions.configuration
     own = in_force.teams["flood-keyed"].keys_sha256
@@ -73,7 +73,7 @@
 
 
 @hypothesis.given(strategies.text(max_size=80), strategies.integers(0, 100))
-def test_garbage_is_no_token(text, place):
+def test_malformed_token_is_refused(text, place):
     router = fakes.Router(TEXT)
     in_force = router.state.versions.configuration
     assert admission.verify_token(in_force, text) is None
@@ -121,11 +121,11 @@
 def test_parents_and_children_at_one_router_cannot_block_each_other(
     per_team, per_router, parents
 ):
-    """Services of one slot each, in a chain; every request calls the next.
+    """Services with one slot each form a chain; every request calls the next.
 
-    All wait at one router, whose bounds are as tight as can be. If parents
-    could keep their children out, all would stand still with their slots
-    full. Without time passing, every request must come to its end.
+    All requests wait at one router with the tightest limits. If parents could
+    keep their children out, all would wait forever with their slots in use.
+    Every request must end without time passing.
     """
     text = CHAIN.format(
         per_team=per_team, per_router=per_router, key=KEYS["mill"]
--- a/sycamorefall/router/tests/test_offering.py
+++ b/sycamorefall/router/tests/test_offering.py
@@ -1,4 +1,4 @@
-"""Offers of fresh requests to sidecars that hinted at room."""
+"""Offers of new requests to sidecars that reported free slots."""
 
 import pytest
 
@@ -55,7 +55,7 @@
     return offers, announcements
 
 
-def test_fresh_request_goes_to_hinted_room_without_control_messages(router):
+def test_new_request_goes_to_a_hinted_slot_without_control_messages(router):
     receive_heartbeat(router, "engine-1", free_slots=1)
     offers, announcements = admit_and_run(router)
     assert [offer.sidecar for offer in offers] == ["engine-1"]
@@ -63,7 +63,7 @@
     assert announcements == []
 
 
-def test_request_beyond_the_hinted_room_is_announced(router):
+def test_request_beyond_the_hinted_slots_is_announced(router):
     receive_heartbeat(router, "engine-1", free_slots=1)
     admit_and_run(router)
     offers, announcements = admit_and_run(router, team="mill-b")
@@ -72,9 +72,9 @@
 
 
 def test_nothing_is_offered_past_a_team_that_waits(router):
-    # A clerk of mill-a waits, announced; then a sidecar hints at room before
-    # its claim arrives. A newcomer of the flooding team would be offered
-    # that room and overtake the clerk.
+    # A request of mill-a waits and is announced; then a sidecar reports a free
+    # slot before its claim arrives. A new request of the flooding team must
+    # not be offered that slot and overtake the waiting one.
     admit_and_run(router, team="mill-a")
     receive_heartbeat(router, "engine-1", free_slots=1)
     offers, _ = admit_and_run(router, team="flood")
@@ -82,9 +82,9 @@
 
 
 def test_refused_offer_waits_and_is_announced_not_offered_again(router):
-    # Two routers offer on the same hint; the second is refused. Offered on
-    # and on, its request would use up its attempts while it never waits in
-    # any team's turn.
+    # Two routers make offers because of the same hint; the second is refused.
+    # If offered again and again, its request would use up its attempts without
+    # ever waiting in its team's queue.
     for name in SIDECARS:
         receive_heartbeat(router, name, free_slots=2)
     offers, _ = admit_and_run(router)
@@ -108,8 +108,8 @@
 
 
 def test_hint_of_a_silent_sidecar_is_not_used(router):
-    # A VM fails right after its hint; its router would go on offering to it,
-    # and each caller's request would wait for a connection that never opens.
+    # A VM fails right after its hint. If the router still made offers to it,
+    # each request would wait for a connection that is never established.
     receive_heartbeat(router, "engine-1", free_slots=2)
     later = membership.SUSPECT_AFTER + 0.5
     receive_heartbeat(router, "engine-0", free_slots=0, now=later)
@@ -118,14 +118,14 @@
     assert len(announcements) == 1
 
 
-def test_offers_spread_over_sidecars_with_equal_room(router):
+def test_offers_spread_over_sidecars_with_equal_free_slots(router):
     for name in SIDECARS:
         receive_heartbeat(router, name, free_slots=4)
     sidecars = [admit_and_run(router)[0][0].sidecar for _ in range(12)]
     assert {sidecars.count(name) for name in SIDECARS} == {4}
 
 
-def test_sidecar_with_room_learns_at_once_which_teams_wait(router):
+def test_sidecar_with_free_slots_is_told_at_once_which_teams_wait(router):
     admit_and_run(router, team="mill-a")
     admit_and_run(router, team="mill-b")
     offers, announcements = split_effects(
@@ -150,10 +150,11 @@
     assert router.waiting.total == 1
 
 
-def test_count_that_falls_and_rises_unannounced_is_told_again(router):
-    # The budget is used up while a team's one request leaves by a claim and
-    # another comes. Its count is 1 as announced, but the claiming sidecar
-    # has counted it down: without a word the new request would wait on.
+def test_count_that_falls_and_rises_unannounced_is_announced_again(router):
+    # The budget is exhausted while a team's only request is claimed and another
+    # arrives. The count is 1, as announced, but the claiming sidecar has
+    # decremented it: without an announcement the new request would keep
+    # waiting.
     admit_and_run(router, team="mill-a")
     overdraft = announcement.URGENT_OVERDRAFT
     router.announcement_budget.level = -overdraft - 120.0
--- a/sycamorefall/router/tests/test_request_parsing_fuzz.py
+++ b/sycamorefall/router/tests/test_request_parsing_fuzz.py
@@ -1,4 +1,4 @@
-"""Any HTTP request of a caller is read, or refused by a kind of the list."""
+"""Any HTTP request is either parsed or refused with a defined error kind."""
 
 import types
 
