--- a/sycamorefall/router/intake.py
+++ b/sycamorefall/router/intake.py
@@ -220,7 +220,9 @@
 def _shed_overflow(
     state: state_module.RouterState, now: float
 ) -> list[router_effects.Effect]:
-    """Sheds the newest requests of the longest queue while the router is full.
+    """Sheds requests of the longest queue, by weight, while the router is full.
+
+    The newest request of that queue is shed first.
 
     If the request that arrives last were refused instead, the flood of one team
     would lock out all others.
