--- a/sycamorefall/router/tests/fakes.py
+++ b/sycamorefall/router/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A router's decisions with faked upstreams, for tests."""
+"""A router's decisions with simulated upstreams, for tests."""
 
 from sycamorefall import configuration, membership, messages
 from sycamorefall.router import attempt_lifecycle, core, intake
@@ -24,7 +24,7 @@
 
 
 class Router:
-    """A router whose upstreams live as long as they are in `live`."""
+    """A router whose upstreams send heartbeats while they are in `live`."""
 
     def __init__(self, text=TEXT, upstreams=UPSTREAMS):
         self.state = state_module.RouterState("router-0", 1)
@@ -48,10 +48,14 @@
         self.run(0.0)
 
     def run(self, now):
-        """Lets live upstreams be heard, and timers run; returns answers."""
+        """Delivers heartbeats of live upstreams and runs the timers.
+
+        Returns:
+            The error answers.
+        """
         for name in self.live:
             self.receive(now, messages.Heartbeat(), name)
-        return select_answers(core.run_timers(self.state, now))
+        return collect_answers(core.run_timers(self.state, now))
 
     def receive(self, now, message, sender="engine-0"):
         envelope = messages.Envelope(sender, 1, 1, message)
@@ -62,29 +66,29 @@
             service, team, "POST", "/", (), timeout, idempotent=True
         )
         number, outcome = intake.admit_request(self.state, now, new)
-        return number, select_answers(outcome)
+        return number, collect_answers(outcome)
 
     def claim(self, now, team="mill", service="assistant", sidecar="engine-0"):
-        """Claims a request; returns its hand-out or None."""
+        """Claims a request; returns the effect that sends it, or None."""
         self.claims += 1
         claim = messages.Claim(self.claims, service, team, 1.0)
-        handed = [
+        sent = [
             effect
             for effect in self.receive(now, claim, sidecar)
             if isinstance(effect, router_effects.SendRequest)
         ]
-        return handed[0] if handed else None
+        return sent[0] if sent else None
 
-    def end(self, now, handed, end=attempt_lifecycle.AttemptEnd.COMPLETE):
-        return select_answers(
+    def end(self, now, sent, end=attempt_lifecycle.AttemptEnd.COMPLETE):
+        return collect_answers(
             attempt_lifecycle.end_attempt(
-                self.state, now, handed.order.attempt_id, end, False
+                self.state, now, sent.order.attempt_id, end, False
             )
         )
 
 
-def select_answers(outcome):
-    """Selects failures as (request, kind, ran, retry_after)."""
+def collect_answers(outcome):
+    """Returns the error answers as (request, kind, ran, retry_after)."""
     return [
         (
             effect.request,
