--- a/sycamorefall/dispatch/__init__.py
+++ b/sycamorefall/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""Hand-out of requests: claims, attempts, outcomes, retries."""
+"""Dispatch of requests: claims, attempt records and retry budgets."""
 
 __all__ = [
     "CLAIM_LEASE",
--- a/sycamorefall/dispatch/claims.py
+++ b/sycamorefall/dispatch/claims.py
@@ -1,4 +1,9 @@
-"""Claims of a sidecar: leases on one request of a team at a router."""
+"""A sidecar's claims: leases on one waiting request of a team at a router.
+
+A sidecar with a free slot claims a request from a router, and reserves the
+request's estimated cost. The claim ends when the router sends the request, when
+the router answers that none waits, or when the lease expires.
+"""
 
 __all__ = [
     "CLAIM_LEASE",
@@ -13,19 +18,19 @@
 import dataclasses
 
 CLAIM_LEASE = 1.0
-"""Seconds a sidecar waits for the request that it claimed."""
+"""Seconds after a claim within which the claimed request may start."""
 
 
 @dataclasses.dataclass(slots=True)
 class OpenClaim:
-    """A claim whose request has not come yet.
+    """A claim whose request has not arrived yet.
 
     Attributes:
-        claim_id: Number of the claim at this sidecar's incarnation.
-        router: Where the request waits.
-        team: Whose request it is.
+        claim_id: Number of the claim, unique within the sidecar's process.
+        router: VM name of the router at which the request waits.
+        team: Team of the request.
         expires_at: When the lease ends, by this process's clock.
-        reserved: Cost units reserved for it.
+        reserved: Cost units reserved for the request.
     """
 
     claim_id: int
@@ -37,7 +42,12 @@
 
 @dataclasses.dataclass(slots=True)
 class ClaimTable:
-    """Open claims of one sidecar, in the order in which they expire."""
+    """Open claims of one sidecar.
+
+    Attributes:
+        last_id: Number of the last claim; 0 if there was none.
+        open: Open claims by number, in the order in which they expire.
+    """
 
     last_id: int = 0
     open: dict[int, OpenClaim] = dataclasses.field(default_factory=dict)
@@ -46,13 +56,13 @@
 def open_claim(
     table: ClaimTable, now: float, router: str, team: str, reserved: float
 ) -> OpenClaim:
-    """Opens a claim.
+    """Adds a claim with a new number and a lease of `CLAIM_LEASE` seconds.
 
     Args:
         table: The claims; changed.
-        now: This process's time.
-        router: The router to be asked.
-        team: The team.
+        now: This process's time, in seconds.
+        router: VM name of the router that the claim is sent to.
+        team: Team whose request is claimed.
         reserved: Cost units reserved for the request.
 
     Returns:
@@ -67,22 +77,24 @@
 def redeem_claim(
     table: ClaimTable, now: float, claim_id: int, router: str, team: str
 ) -> OpenClaim | None:
-    """Ends a claim because its request came.
+    """Ends a claim because its request arrived.
 
-    Guards against a request that comes late, after the sidecar was frozen or
-    the link was slow: its slot may have been given away. The lease is judged
-    by this process's own clock, directly before the request would start, so
-    a thawed process finds it expired.
+    A request can arrive late, because the sidecar's process was suspended or
+    the link was slow. By then its slot may have been given to another request.
+    The lease is therefore checked directly before the request would start, and
+    by this process's own clock, so that a process which resumes after a
+    suspension finds the lease expired.
 
     Args:
         table: The claims; changed.
-        now: This process's time.
-        claim_id: The claim that the router names.
-        router: The router that sent the request.
-        team: The request's team.
+        now: This process's time, in seconds.
+        claim_id: Number of the claim, as stated by the router.
+        router: VM name of the router that sent the request.
+        team: Team of the request.
 
     Returns:
-        The claim, or None if there is no such claim in force.
+        The claim; None if there is no such claim for this router and team, or
+        its lease has expired.
     """
     claim = table.open.get(claim_id)
     if claim is None or (claim.router, claim.team) != (router, team):
@@ -92,21 +104,23 @@
 
 
 def release_claim(table: ClaimTable, claim_id: int) -> OpenClaim | None:
-    """Ends a claim because the router has nothing for it.
+    """Ends a claim because the router has no waiting request for it.
 
     Returns:
-        The claim, or None if it was not open.
+        The claim; None if it was not open.
     """
     return table.open.pop(claim_id, None)
 
 
 def expire_claims(table: ClaimTable, now: float) -> list[OpenClaim]:
-    """Ends all claims whose lease is over.
+    """Ends all claims whose lease has expired.
 
     Returns:
-        The ended claims.
+        The claims that ended.
     """
-    over = [claim for claim in table.open.values() if claim.expires_at <= now]
-    for claim in over:
+    expired = [
+        claim for claim in table.open.values() if claim.expires_at <= now
+    ]
+    for claim in expired:
         del table.open[claim.claim_id]
-    return over
+    return expired
--- a/sycamorefall/dispatch/outcomes.py
+++ b/sycamorefall/dispatch/outcomes.py
@@ -1,4 +1,8 @@
-"""Outcome records: what a sidecar knows of each attempt it was sent."""
+"""A sidecar's records of the attempts that routers sent it.
+
+By these records a sidecar starts each attempt at most once, and answers a
+router that lost the connection of an attempt and queries its state.
+"""
 
 __all__ = [
     "RECORD_LIFETIME",
@@ -16,35 +20,37 @@
 from sycamorefall import messages
 
 RECORD_LIFETIME = 600.0
-"""Seconds for which an outcome is remembered once it is settled.
+"""Seconds for which the record of a settled attempt is kept.
 
-A router believes "never seen" only about attempts younger than this, so a
-record that was dropped can't be taken for an attempt that never came.
+A router trusts the state "never seen" only for attempts younger than this.
+Otherwise it could take an attempt whose record was dropped for one that never
+arrived.
 """
 
 
 @dataclasses.dataclass(slots=True)
 class SettledRecord:
-    """What became of one attempt.
+    """Final state of an attempt.
 
     Attributes:
         state: `REFUSED` or `FINISHED`.
-        changed: When that became known.
+        settled_at: When the state was recorded, by this process's clock.
     """
 
     state: messages.AttemptState
-    changed: float
+    settled_at: float
 
 
 @dataclasses.dataclass(slots=True)
 class OutcomeRecords:
-    """Records of one sidecar incarnation.
+    """Records of the attempts that one sidecar process was sent.
 
     Attributes:
-        started: Attempts in progress. They are kept for as long as they run:
-            dropped by age, a long run would be reported as never seen, and
-            its request would be run a second time.
-        settled: Attempts that were refused or have ended, oldest first.
+        started: Ids of the attempts in progress. They don't expire. If they
+            did, a long run would be reported as never seen, and its request
+            would be run a second time.
+        settled: Records of attempts that were refused or have ended, by attempt
+            id, earliest first.
     """
 
     started: set[str] = dataclasses.field(default_factory=set)
@@ -54,7 +60,7 @@
 def find_attempt_state(
     outcomes: OutcomeRecords, attempt_id: str
 ) -> messages.AttemptState | None:
-    """Tells what became of an attempt, or None if it was never seen."""
+    """Looks up the state of an attempt; None if there is no record of it."""
     if attempt_id in outcomes.started:
         return messages.AttemptState.STARTED
     record = outcomes.settled.get(attempt_id)
@@ -67,7 +73,14 @@
     attempt_id: str,
     state: messages.AttemptState,
 ) -> None:
-    """Records that an attempt is settled: `REFUSED` or `FINISHED`."""
+    """Records that an attempt was refused or has ended.
+
+    Args:
+        outcomes: The records; changed.
+        now: This process's time, in seconds.
+        attempt_id: The attempt.
+        state: `REFUSED` or `FINISHED`.
+    """
     outcomes.started.discard(attempt_id)
     outcomes.settled.pop(attempt_id, None)
     outcomes.settled[attempt_id] = SettledRecord(state, now)
@@ -76,9 +89,10 @@
 def try_start(outcomes: OutcomeRecords, attempt_id: str) -> bool:
     """Records the start of an attempt unless there is a record of it.
 
-    Guards against a hand-out that arrives twice, or after the router was
-    told that the attempt was never seen: the record (a tombstone in the
-    latter case) refuses it, so what was called "not run" never runs.
+    The request that carries the attempt may arrive twice, or after the router
+    was told that the attempt was never seen. In the latter case `answer_query`
+    has left a tombstone. Either record prevents the start, so a request that
+    was reported as not run is never run.
 
     Returns:
         Whether the attempt may start.
@@ -92,15 +106,16 @@
 def answer_query(
     outcomes: OutcomeRecords, now: float, attempt_id: str
 ) -> messages.AttemptState:
-    """Tells what became of an attempt; one never seen is refused from now on.
+    """Looks up an attempt's state; marks an unknown attempt as refused.
 
     Args:
-        outcomes: The records; a tombstone is added for an unseen attempt.
-        now: This process's time.
+        outcomes: The records. If the attempt is unknown, a tombstone with the
+            state `REFUSED` is added.
+        now: This process's time, in seconds.
         attempt_id: The attempt.
 
     Returns:
-        Its state.
+        The state before the call: `NEVER_SEEN` if the attempt was unknown.
 
     Example:
         >>> records = OutcomeRecords()
@@ -119,9 +134,9 @@
 
 
 def expire_records(outcomes: OutcomeRecords, now: float) -> None:
-    """Forgets settled outcomes that no router can still ask for."""
+    """Drops the records of attempts that settled `RECORD_LIFETIME` ago."""
     while outcomes.settled:
         attempt_id, record = next(iter(outcomes.settled.items()))
-        if now - record.changed < RECORD_LIFETIME:
+        if now - record.settled_at < RECORD_LIFETIME:
             return
         del outcomes.settled[attempt_id]
--- a/sycamorefall/dispatch/retries.py
+++ b/sycamorefall/dispatch/retries.py
@@ -1,9 +1,10 @@
-"""Retry budget of each team, and the back-off before a retry waits again.
+"""Retry budgets of teams, and the backoff before a retry is queued again.
 
-When an upstream fails everything it is given, each request comes back up to
-its limit of attempts: the load on what is left of the service multiplies just
-when it can bear it least. The budget limits a team's retries to a share of
-its requests, so a failing team costs the others little.
+When an upstream fails all its requests, each request is retried up to its limit
+of attempts. This multiplies the load on the remaining upstreams just when their
+capacity is lowest. The retry budget, a token bucket, limits a team's retries to
+a fraction of its requests, so a team whose requests fail has little effect on
+other teams.
 """
 
 __all__ = [
@@ -18,23 +19,23 @@
 import dataclasses
 import random
 
-SHARE = 0.1
-"""Retries earned by each request."""
+RETRY_TOKENS_PER_REQUEST = 0.1
+"""Retry tokens that each admitted request adds to its team's budget."""
 
-RESERVE = 5.0
-"""Retries that a team has without having sent much."""
+INITIAL_RETRY_TOKENS = 5.0
+"""Retry tokens of a team that has sent no requests recently."""
 
-MOST = 50.0
-"""Retries that can be saved up."""
+MAX_RETRY_TOKENS = 50.0
+"""Maximum retry tokens of a budget."""
 
 BUDGET_LIFETIME = 60.0
-"""Seconds without a request after which a team has just the reserve again."""
+"""Seconds without use after which a budget is reset to its initial tokens."""
 
-FIRST_BACKOFF = 0.05
-"""Seconds before the first retry, at most."""
+INITIAL_BACKOFF = 0.05
+"""Maximum backoff after the first failure, in seconds."""
 
-LONGEST_BACKOFF = 2.0
-"""Seconds before any retry, at most."""
+MAX_BACKOFF = 2.0
+"""Maximum backoff after any number of failures, in seconds."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -42,65 +43,68 @@
     """One team's token bucket.
 
     Attributes:
-        tokens: Retries left.
-        used: When it was last used.
+        tokens: Retry tokens left; a retry takes one.
+        last_used_at: When a request or retry last changed the budget.
     """
 
     tokens: float
-    used: float
+    last_used_at: float
 
 
 @dataclasses.dataclass(slots=True)
 class RetryBudgets:
-    """Budgets of all teams with recent requests, least recently used first.
+    """Budgets of all teams with recent requests.
 
     Attributes:
-        teams: Budgets by team; a team without one has the reserve.
-        refused: Retries that a budget refused so far.
+        teams: Budgets by team, least recently used first. A team that is
+            missing has `INITIAL_RETRY_TOKENS`.
+        refused: Total number of retries refused for lack of tokens.
     """
 
     teams: dict[str, RetryBudget] = dataclasses.field(default_factory=dict)
     refused: int = 0
 
 
-def _touch_budget(budgets: RetryBudgets, now: float, team: str) -> RetryBudget:
+def _use_budget(budgets: RetryBudgets, now: float, team: str) -> RetryBudget:
     budget = budgets.teams.pop(team, None)
-    if budget is None or now - budget.used > BUDGET_LIFETIME:
-        budget = RetryBudget(RESERVE, now)
-    budget.used = now
+    if budget is None or now - budget.last_used_at > BUDGET_LIFETIME:
+        budget = RetryBudget(INITIAL_RETRY_TOKENS, now)
+    budget.last_used_at = now
     budgets.teams[team] = budget
     return budget
 
 
 def deposit_request(budgets: RetryBudgets, now: float, team: str) -> None:
-    """Earns a share of a retry for a request that was let in.
+    """Adds the retry tokens of an admitted request to its team's budget.
 
     Args:
         budgets: The budgets; changed.
-        now: This process's time.
-        team: The team.
+        now: This process's time, in seconds.
+        team: Team of the request.
     """
-    budget = _touch_budget(budgets, now, team)
-    budget.tokens = min(MOST, budget.tokens + SHARE)
+    budget = _use_budget(budgets, now, team)
+    budget.tokens = min(
+        MAX_RETRY_TOKENS, budget.tokens + RETRY_TOKENS_PER_REQUEST
+    )
 
 
 def withdraw_retry(budgets: RetryBudgets, now: float, team: str) -> bool:
-    """Takes one retry out of a team's budget.
+    """Takes the token of one retry out of a team's budget, if it has one.
 
     Args:
         budgets: The budgets; changed.
-        now: This process's time.
-        team: The team.
+        now: This process's time, in seconds.
+        team: Team of the request to be retried.
 
     Returns:
-        Whether there was one.
+        Whether the team had a token; if not, the retry is refused.
 
     Example:
         >>> budgets = RetryBudgets()
         >>> [withdraw_retry(budgets, 0.0, "mill") for _ in range(6)]
         [True, True, True, True, True, False]
     """
-    budget = _touch_budget(budgets, now, team)
+    budget = _use_budget(budgets, now, team)
     if budget.tokens < 1.0:
         budgets.refused += 1
         return False
@@ -109,31 +113,31 @@
 
 
 def drop_idle_budgets(budgets: RetryBudgets, now: float) -> None:
-    """Forgets teams without recent requests; they have the reserve again."""
+    """Drops budgets that were not used for `BUDGET_LIFETIME`."""
     while budgets.teams:
         team, budget = next(iter(budgets.teams.items()))
-        if now - budget.used <= BUDGET_LIFETIME:
+        if now - budget.last_used_at <= BUDGET_LIFETIME:
             return
         del budgets.teams[team]
 
 
 def compute_backoff(failures: int, seed: str) -> float:
-    """Computes how long a failed request stays out before it waits again.
+    """Computes the backoff before a failed request is queued again.
 
-    The longest time doubles with each failure; where in its upper half the
-    request comes back is chosen by the seed, so that requests which failed
-    together don't come back together.
+    The maximum backoff doubles with each failure. The seed determines a random
+    backoff in the upper half of the range, so that requests which failed
+    together are not queued again at the same time.
 
     Args:
-        failures: Attempts that failed, from 1.
-        seed: Names the request and the attempt.
+        failures: Number of attempts that failed, from 1.
+        seed: Identifies the request and the attempt.
 
     Returns:
-        Seconds.
+        The backoff in seconds.
 
     Example:
         >>> 0.05 <= compute_backoff(2, "router-0/1/7") <= 0.1
         True
     """
-    longest = min(LONGEST_BACKOFF, FIRST_BACKOFF * 2.0 ** (failures - 1))
-    return longest * (0.5 + 0.5 * random.Random(seed).random())
+    max_backoff = min(MAX_BACKOFF, INITIAL_BACKOFF * 2.0 ** (failures - 1))
+    return max_backoff * (0.5 + 0.5 * random.Random(seed).random())
