--- a/sycamorefall/messages/__init__.py
+++ b/sycamorefall/messages/__init__.py
@@ -1,7 +1,9 @@
-"""Control messages between the system's processes, and their codec.
+"""Messages between routers and sidecars, and their codec.
 
-A message travels in an `Envelope`, encoded as MessagePack. Control messages
-may be lost, repeated, delayed and reordered: every receiver must cope.
+Control messages are sent in an `Envelope`, encoded as MessagePack. They may be
+lost, repeated, delayed or reordered, and each receiver has to tolerate this.
+An `AttemptOrder` is not a control message: it is sent in a header of the HTTP
+request by which a router sends an attempt to a sidecar.
 """
 
 __all__ = [
--- a/sycamorefall/messages/attempts.py
+++ b/sycamorefall/messages/attempts.py
@@ -1,4 +1,9 @@
-"""Attempts that routers hand out to sidecars, and what became of them."""
+"""Attempts that routers send to sidecars, and their states and outcomes.
+
+An attempt is one try to run a caller's request at an upstream. A router sends
+it to the upstream's sidecar as an HTTP request, the attempt request: its
+`AttemptOrder` in a header, and the caller's body as the body.
+"""
 
 __all__ = [
     "ATTEMPT_HEADER",
@@ -25,33 +30,34 @@
 from sycamorefall import errors
 
 ATTEMPT_PATH = "/v1/attempts"
-"""Where a sidecar takes attempts over HTTP."""
+"""HTTP path at which a sidecar accepts attempt requests."""
 
 ATTEMPT_HEADER = "Sycamorefall-Attempt"
-"""Header of a sidecar's answer that names the attempt it answers."""
+"""Header of a sidecar's response: id of the attempt that it answers."""
 
 ORDER_HEADER = "Sycamorefall-Order"
-"""Header of a hand-out that carries its `AttemptOrder`."""
+"""Header of an attempt request: its encoded `AttemptOrder`."""
 
 SIGNATURE_HEADER = "Sycamorefall-Signature"
-"""Header of a hand-out with the digest of its order and body."""
+"""Header with a keyed digest (HMAC): of an attempt request's order and body, or
+of a message between the replicas of configuration and VM list."""
 
 OUTCOME_HEADER = "Sycamorefall-Outcome"
-"""Header of a sidecar's answer in place of the upstream's: an
+"""Header of a response that a sidecar sends without an upstream's response: an
 `AttemptOutcome`."""
 
 
 UNCLAIMED = 0
-"""Claim number of an offer: a hand-out that nobody claimed."""
+"""Claim number of an offer: an attempt that the sidecar did not claim."""
 
 
 class AttemptOutcome(enum.Enum):
-    """Why a sidecar answers a hand-out without the upstream's answer.
+    """Reason why a sidecar has no upstream's response to an attempt request.
 
-    REFUSED: it did not start the attempt and never will.
-    REPEATED: it started this attempt before; this was a copy of it.
-    NOT_RUN: it could not reach the upstream.
-    FAILED: the upstream broke off after it had the request.
+    REFUSED: the sidecar did not start the attempt and never will.
+    REPEATED: the sidecar started the attempt before; this request was a copy.
+    NOT_RUN: the sidecar could not connect to the upstream.
+    FAILED: the upstream failed after the request was sent to it.
     """
 
     REFUSED = "refused"
@@ -61,7 +67,13 @@
 
 
 class AttemptState(enum.Enum):
-    """What a sidecar knows of an attempt."""
+    """State of an attempt in the records of a sidecar.
+
+    NEVER_SEEN: there was no record of it; the sidecar refuses it from now on.
+    REFUSED: it was not run, and the sidecar will not start it.
+    STARTED: it is in progress.
+    FINISHED: it was run and has ended, successfully or not.
+    """
 
     NEVER_SEEN = "never_seen"
     REFUSED = "refused"
@@ -70,18 +82,26 @@
 
 
 class AttemptQuery(msgspec.Struct, frozen=True, array_like=True, tag="q"):
-    """A router asks what became of an attempt whose answer broke off."""
+    """A router's query for the state of an attempt.
+
+    It is sent when the connection of the attempt broke, or when nothing was
+    received on it for some time.
+
+    Attributes:
+        attempt_id: The attempt.
+    """
 
     attempt_id: str
 
 
 class AttemptReport(msgspec.Struct, frozen=True, array_like=True, tag="r"):
-    """A sidecar's answer to a query.
+    """A sidecar's response to an `AttemptQuery`.
 
     Attributes:
         attempt_id: The attempt.
-        state: What the sidecar knows of it.
-        sent: Bytes of its answer that the sidecar has passed on so far.
+        state: State of the attempt in the sidecar's records.
+        sent: Bytes of the response body that the sidecar has sent to the router
+            so far; 0 unless the attempt is in progress.
     """
 
     attempt_id: str
@@ -90,26 +110,29 @@
 
 
 class AttemptOrder(msgspec.Struct, frozen=True):
-    """Head of an attempt that a router hands out to a sidecar.
+    """Metadata of an attempt that a router sends to a sidecar.
 
-    It travels in one HTTP header of the hand-out, as Base64 of MessagePack.
+    It is sent in one header of the attempt request, as Base64 of MessagePack.
 
     Attributes:
-        attempt_id: Unique over all routers, incarnations and attempts.
-        claim_id: The claim this attempt answers, or `UNCLAIMED`.
+        attempt_id: Id, unique over all routers, incarnations and attempts.
+        claim_id: Number of the sidecar's claim that the attempt answers, or
+            `UNCLAIMED`.
         router: VM name of the router.
-        incarnation: The router's incarnation.
-        service: The service.
-        team: The team.
-        method: HTTP method towards the upstream.
-        path: Path and query towards the upstream.
-        headers: Headers to pass on.
+        incarnation: Incarnation of the router's process.
+        service: Name of the service.
+        team: Name of the caller's team.
+        method: HTTP method of the request to the upstream.
+        path: Path and query of the request to the upstream.
+        headers: Headers of the request to the upstream.
         remaining: Seconds left until the caller's deadline.
-        idempotent: Whether the request may be run again.
-        cost_hint: The caller's estimate in cost units, 0 if none.
-        sidecar: VM name of the sidecar it is meant for.
-        sidecar_incarnation: The process there that it is meant for.
-        hinted: Of an offer: `second` of the hint that it answers.
+        idempotent: Whether the request may be run more than once.
+        cost_hint: The caller's estimate of the cost, in cost units; 0 if there
+            is none.
+        sidecar: VM name of the receiving sidecar.
+        sidecar_incarnation: Incarnation of the receiving process.
+        hinted: If the attempt is an offer, `Heartbeat.clock_seconds` of the
+            sidecar's hint at free slots that led to it.
     """
 
     attempt_id: str
@@ -134,21 +157,21 @@
 
 
 def encode_order(order: AttemptOrder) -> str:
-    """Encodes an attempt's head as text that fits an HTTP header."""
+    """Encodes an attempt order as text for an HTTP header."""
     return base64.b64encode(_encoder.encode(order)).decode("ascii")
 
 
 def decode_order(text: str) -> AttemptOrder:
-    """Decodes an attempt's head.
+    """Decodes an attempt order.
 
     Args:
         text: The header's value.
 
     Returns:
-        The head.
+        The order.
 
     Raises:
-        errors.MessageRefused: The text is not an attempt's head.
+        errors.MessageRefused: The text is not an encoded attempt order.
     """
     try:
         return _order_decoder.decode(base64.b64decode(text, validate=True))
--- a/sycamorefall/messages/envelope.py
+++ b/sycamorefall/messages/envelope.py
@@ -1,4 +1,4 @@
-"""The envelope that a control message travels in, and its codec."""
+"""The envelope in which control messages are sent, and its codec."""
 
 __all__ = [
     "Envelope",
@@ -36,10 +36,12 @@
 
     Attributes:
         sender: VM name of the sending process.
-        incarnation: Number of the sending process, new at each start.
+        incarnation: Incarnation of the sending process: a number that is higher
+            for later processes of the VM.
         revision: Revision of the configuration in force at the sender.
         message: The message.
-        names: Names that the sender defines.
+        names: Names that the message defines for the receiver; see
+            `messages.Name`.
     """
 
     sender: str
@@ -62,22 +64,22 @@
     """Decodes an envelope.
 
     Args:
-        data: Bytes as received.
+        data: The received bytes.
 
     Returns:
         The envelope.
 
     Raises:
-        errors.MessageRefused: The bytes are not an envelope.
+        errors.MessageRefused: The bytes are not an encoded envelope.
 
     Example:
-        >>> sent = Envelope("router-1", 1, 7, scheduling.Heartbeat())
-        >>> decode_envelope(encode_envelope(sent)) == sent
+        >>> envelope = Envelope("router-1", 1, 7, scheduling.Heartbeat())
+        >>> decode_envelope(encode_envelope(envelope)) == envelope
         True
     """
     try:
         return _envelope_decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-        # The decoder gives nesting without end up with a RecursionError; it
-        # would escape to the loop, and the link's reader would lose its turn.
+        # Nesting that is too deep raises RecursionError. Uncaught, it would
+        # reach the event loop, and the reader of the link would not run again.
         raise errors.MessageRefused(str(fault)) from fault
--- a/sycamorefall/messages/naming.py
+++ b/sycamorefall/messages/naming.py
@@ -1,4 +1,4 @@
-"""Names on the wire, as numbers that their sender defines."""
+"""Names in messages, encoded as numbers; see `sycamorefall.names`."""
 
 __all__ = [
     "Name",
@@ -9,17 +9,27 @@
 import msgspec
 
 Name = str | int
-"""A name; on the wire an index that the sender defined, see `names`."""
+"""A name. When sent, it is replaced by an index that the sender has defined for
+the receiver, or by a digest; see `sycamorefall.names`."""
 
 
 class UnknownNames(msgspec.Struct, frozen=True, array_like=True, tag="u"):
-    """A receiver lacks names, and dropped a message because of it."""
+    """A receiver's report that it dropped a message with undefined names.
+
+    Attributes:
+        indexes: Indexes and digests that the receiver can't resolve.
+    """
 
     indexes: tuple[int, ...]
 
 
 class NameEntry(msgspec.Struct, frozen=True, array_like=True):
-    """Defines a name of the sender's process by an index."""
+    """Definition of an index for a name.
+
+    Attributes:
+        index: The index, unique within the sender's process.
+        name: The name that the index stands for.
+    """
 
     index: int
     name: str
--- a/sycamorefall/messages/records.py
+++ b/sycamorefall/messages/records.py
@@ -1,4 +1,7 @@
-"""What routers tell each other of the platform, so that few need to read it."""
+"""Messages by which routers forward the platform's records to each other.
+
+They allow a few routers to read the platform on behalf of all.
+"""
 
 __all__ = [
     "FetchRecords",
@@ -12,13 +15,13 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """A document of the platform, as it is stored there.
+    """A key and its value, as stored on the platform.
 
     Attributes:
-        key: Its key.
-        created_revision: Revision at which the key was made.
-        changed_revision: Revision of its last change.
-        value: Its bytes.
+        key: The key.
+        created_revision: Revision at which the key was created.
+        changed_revision: Revision of the last change to the value.
+        value: The stored bytes.
     """
 
     key: str
@@ -28,17 +31,19 @@
 
 
 class Subscribe(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """A router asks another one to tell it what it learns of the platform.
+    """A router's subscription to the records that another router learns.
 
-    Repeated while it holds, so that loss does no harm; without it the
-    subscription ends by itself.
+    The message is repeated for as long as the subscription is wanted, so a lost
+    message has no effect. Without it the subscription expires.
 
     Attributes:
-        control: Where the sender takes control messages.
-        clock: The sender's clock as this was written, in seconds. What it is
-            told later is put in terms of this clock.
-        revision: Up to which the sender knows the records.
-        changes_only: Whether it is to be told only of later revisions.
+        control: Address at which the sender receives control messages.
+        clock: The sender's clock when the message was created, in seconds. The
+            receiver answers with `ReaderState` messages, and states their
+            `proven_at` by this clock.
+        revision: Revision up to which the sender has the records.
+        changes_only: Whether to send a `ReaderState` message only when the
+            revision changes, and not with each new proof.
     """
 
     control: str
@@ -48,14 +53,16 @@
 
 
 class ReaderState(msgspec.Struct, frozen=True, array_like=True, tag="k"):
-    """A router tells a subscriber how new its knowledge of the platform is.
+    """Revision and age of a router's records, sent to a subscriber.
 
     Attributes:
-        process: Incarnation of the subscriber that is meant. A later one has
-            another clock, by which `proven_at` would mean another time.
-        revision: Up to which the sender knows the records.
-        proven_at: When the sender's records were the newest for certain, by
-            the subscriber's clock in seconds, or earlier.
+        process: Incarnation of the subscriber's process for which the message
+            is meant. A later process has another clock, by which `proven_at`
+            would be another time.
+        revision: Revision up to which the sender has the records.
+        proven_at: Time at which the sender's records were proven to be the
+            latest, in seconds by the subscriber's clock. The conversion between
+            clocks may make it earlier, never later.
         reads_succeed: Whether the sender's reads of the platform succeed.
     """
 
@@ -66,7 +73,11 @@
 
 
 class FetchRecords(msgspec.Struct, frozen=True, array_like=True, tag="f"):
-    """A router asks for the records that changed after a revision."""
+    """A router's request for the records that changed after a revision.
+
+    Attributes:
+        since: The revision.
+    """
 
     since: int
 
@@ -75,11 +86,12 @@
     """The records that changed between two revisions.
 
     Attributes:
-        since: The earlier revision; 0 if these are all records.
-        revision: The later one.
-        records: Those made or changed.
-        deleted_keys: Keys of those deleted.
-        fingerprint: Of the keys of all records at the later revision.
+        since: The earlier revision; 0 if the message contains all records.
+        revision: The later revision.
+        records: Records that were created or changed.
+        deleted_keys: Keys of the records that were deleted.
+        fingerprint: XOR of the hashes of the keys of all records at the later
+            revision.
     """
 
     since: int
--- a/sycamorefall/messages/scheduling.py
+++ b/sycamorefall/messages/scheduling.py
@@ -1,4 +1,9 @@
-"""Work that waits, claims of it, and accounts of what teams received."""
+"""Messages for scheduling: waiting requests, claims and service accounts.
+
+Routers announce to sidecars which teams have requests waiting. A sidecar with a
+free slot claims a request of the team that has received the least service. To
+know which team that is, the sidecars of a service exchange account entries.
+"""
 
 __all__ = [
     "AccountEntry",
@@ -16,18 +21,20 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="h"):
-    """Says that the sender lives, and what it holds.
+    """Reports that the sender is alive, and which documents it has.
 
     Attributes:
-        stopping: Whether the sender takes nothing new.
-        free_slots: Of a sidecar: slots that are free and that it knows no work
-            for, a hint for routers; 0 of a router.
-        vms_revision: Revision of the VM list in use.
-        fingerprint: Differs between processes whose documents differ; 0 of
-            a process that is starting.
-        clock_seconds: Of a sidecar with room: its clock, in whole seconds. An
-            offer
-            on this hint brings it back.
+        stopping: Whether the sender accepts no new requests.
+        free_slots: Number of free slots of a sidecar that knows of no waiting
+            requests; 0 from a router. It is a hint: routers may offer requests
+            for these slots without a claim.
+        vms_revision: Revision of the VM list in use at the sender.
+        fingerprint: Fingerprint of the sender's documents, which differs
+            between processes whose documents differ; 0 from a process that is
+            starting.
+        clock_seconds: The sender's clock in whole seconds, from a sidecar.
+            An offer that answers this hint returns it in
+            `AttemptOrder.hinted`.
     """
 
     stopping: bool = False
@@ -38,12 +45,12 @@
 
 
 class TeamWaiting(msgspec.Struct, frozen=True, array_like=True):
-    """Work of one team that waits at a router.
+    """Requests of one team that wait at a router.
 
     Attributes:
-        team: The team's name.
-        count: Waiting requests.
-        oldest_ms: Milliseconds the oldest of them has waited.
+        team: Name of the team.
+        count: Number of waiting requests.
+        oldest_ms: Milliseconds for which the oldest of them has waited.
     """
 
     team: Name
@@ -52,13 +59,16 @@
 
 
 class Waiting(msgspec.Struct, frozen=True, array_like=True, tag="w"):
-    """A router tells which teams of a service have work waiting with it.
+    """A router's announcement of the requests of a service that wait there.
 
     Attributes:
-        service: The service.
-        sequence: Grows with each announcement of the sender's incarnation.
-        teams: Teams whose count changed; a count of 0 ends an announcement.
-        complete: Whether `teams` is all there is, replacing what was known.
+        service: Name of the service.
+        sequence: Sequence number, which grows with each announcement of the
+            sender's process.
+        teams: Teams whose number of waiting requests changed; a count of 0
+            means that none wait any more.
+        complete: Whether `teams` contains all teams with waiting requests, and
+            replaces earlier announcements.
     """
 
     service: Name
@@ -68,10 +78,16 @@
 
 
 class Claim(msgspec.Struct, frozen=True, array_like=True, tag="c"):
-    """A sidecar asks a router for one request of a team.
+    """A sidecar's claim of one waiting request of a team at a router.
 
     The claim is a lease: the sidecar refuses an attempt that arrives after
     `lease_ms` milliseconds by its own clock.
+
+    Attributes:
+        claim_id: Number of the claim, unique within the sidecar's process.
+        service: Name of the service.
+        team: Name of the team.
+        lease_ms: Duration of the lease in milliseconds.
     """
 
     claim_id: int
@@ -81,7 +97,13 @@
 
 
 class NoWork(msgspec.Struct, frozen=True, array_like=True, tag="n"):
-    """A router's answer to a claim when the team has nothing waiting."""
+    """A router's response to a claim if no request of the team is waiting.
+
+    Attributes:
+        claim_id: Number of the claim.
+        service: Name of the service.
+        team: Name of the team.
+    """
 
     claim_id: int
     service: Name
@@ -89,15 +111,16 @@
 
 
 class AccountEntry(msgspec.Struct, frozen=True, array_like=True):
-    """What one sidecar incarnation gave to a team.
+    """Service that one sidecar process, the owner of the entry, gave to a team.
 
     Attributes:
-        team: The team's name.
-        owner: The owner: VM name and incarnation.
-        sequence: Grows with each change by the owner.
-        served: Cost units charged so far.
-        reserved: Estimated units of claims and runs in flight.
-        offset: Order key from which the units count, the highest known.
+        team: Name of the team.
+        owner: VM name and incarnation of the owner.
+        sequence: Sequence number, which grows with each change by the owner.
+        served: Cost units charged to the team since the offset.
+        reserved: Estimated cost units of open claims and of runs in progress.
+        offset: Order key from which the units of the account are counted; the
+            highest that the sender knows.
     """
 
     team: Name
@@ -109,7 +132,12 @@
 
 
 class AccountUpdate(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """Account entries of a service, the sender's own or passed on."""
+    """Account entries of a service, of the sender or of other owners.
+
+    Attributes:
+        service: Name of the service.
+        entries: The entries.
+    """
 
     service: Name
     entries: tuple[AccountEntry, ...]
