--- a/sycamorefall/membership/__init__.py
+++ b/sycamorefall/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which VMs there are and which of them may get new work."""
+"""VMs of the fleet, their availability, and the links between them."""
 
 __all__ = [
     "FORGET_AFTER",
--- a/sycamorefall/membership/directory.py
+++ b/sycamorefall/membership/directory.py
@@ -1,4 +1,8 @@
-"""The VMs of the fleet: the platform's lagging list joined with heartbeats."""
+"""Directory of the fleet's VMs: the platform's list and messages of peers.
+
+The platform's list of VMs lags behind the fleet. A VM therefore gets new
+requests only if it is listed and its process was heard from recently.
+"""
 
 __all__ = [
     "FORGET_AFTER",
@@ -29,21 +33,30 @@
 from sycamorefall.configuration import documents
 
 SUSPECT_AFTER = 3.0
-"""Seconds without a message after which a peer gets nothing new."""
+"""Seconds without a message after which a peer gets no new requests."""
 
 FORGET_AFTER = 30.0
-"""Seconds without a message after which what a peer said no longer counts."""
+"""Seconds without a message after which the state of a peer's process no longer
+counts: a lower incarnation is accepted, and a departed VM is dropped."""
 
 
 class VmRole(enum.Enum):
-    """Which program of the system runs on a VM."""
+    """Program that runs on a VM.
+
+    ROUTER: a router.
+    UPSTREAM: an upstream and its sidecar.
+    """
 
     ROUTER = "router"
     UPSTREAM = "upstream"
 
 
 class VmState(enum.Enum):
-    """The operators' mark on a VM."""
+    """State of a VM as set by the operators.
+
+    LIVE: it may get new requests.
+    LEAVING: it gets no new requests, because it will be removed.
+    """
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -53,13 +66,13 @@
     """A VM in the platform's list.
 
     Attributes:
-        name: The VM.
-        role: Entry VM with a router, or upstream VM with a sidecar.
-        failure_domain: The failure domain it stands in.
-        control: `IP:port` of its control messages.
-        data: `IP:port` of its HTTP server.
-        service: The upstream's service; empty for routers.
-        state: The operators' mark.
+        name: Name of the VM.
+        role: Whether it runs a router, or an upstream with a sidecar.
+        failure_domain: Failure domain of the VM.
+        control: `IP:port` at which its process receives control messages.
+        data: `IP:port` of its process's HTTP server.
+        service: Service of the upstream; empty for routers.
+        state: State as set by the operators.
     """
 
     name: str
@@ -72,7 +85,12 @@
 
 
 class VmList(msgspec.Struct, frozen=True):
-    """The platform's list of VMs at a revision."""
+    """The platform's list of VMs at a revision.
+
+    Attributes:
+        revision: Revision of the list on the platform.
+        vms: The VMs.
+    """
 
     revision: int
     vms: tuple[VmEntry, ...]
@@ -80,12 +98,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Peer:
-    """What this process has heard from another.
+    """State of another VM's process, from its messages.
 
     Attributes:
-        incarnation: The peer's process: the newest heard from.
-        heard_at: When that message came, by this process's clock.
-        stopping: Whether the peer said that it takes nothing new.
+        incarnation: Incarnation of the latest process heard from.
+        heard_at: When its last message arrived, by this process's clock.
+        stopping: Whether it reported that it accepts no new requests.
     """
 
     incarnation: int
@@ -95,18 +113,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Directory:
-    """VMs of the fleet as this process sees them.
+    """VMs of the fleet as known to this process.
 
     Attributes:
-        document: The list in use.
-        vms: Listed VMs by name, and departed ones that still talk.
-        departed: Names of VMs that the list no longer has.
+        document: The VM list in use, as a document.
+        vms: Entries by VM name, of listed VMs and of departed ones.
+        departed: Names of VMs that were removed from the list while their
+            processes still sent messages.
         peers: Processes heard from, by VM name.
-        by_service: Entries of `indexed` by service.
-        indexed: The VMs that were last sorted by service; outdated once it
-            is no longer the same dictionary as `vms`.
-        older_seen: Lists of a lower revision, ignored.
-        outdated: Messages of replaced processes, ignored.
+        by_service: Index of `indexed_vms`: entries by service.
+        indexed_vms: Value of `vms` for which `by_service` was computed. The
+            index is out of date once `vms` is another dictionary.
+        older_seen: Number of ignored lists with a lower revision.
+        outdated: Number of ignored messages of replaced processes.
     """
 
     document: documents.Document | None = None
@@ -116,7 +135,7 @@
     by_service: dict[str, list[VmEntry]] = dataclasses.field(
         default_factory=dict
     )
-    indexed: dict[str, VmEntry] | None = None
+    indexed_vms: dict[str, VmEntry] | None = None
     older_seen: int = 0
     outdated: int = 0
 
@@ -127,14 +146,14 @@
 
 
 def create_vm_list_document(vms: VmList) -> documents.Document:
-    """Writes a list as a document, one VM a line, for passing it on."""
+    """Encodes a VM list as a document: one line of JSON for each VM."""
     lines = (msgspec.json.encode(vm).decode("utf-8") for vm in vms.vms)
     text = "".join(f"{line}\n" for line in lines)
     return documents.create_document(vms.revision, text)
 
 
 def parse_vm_list_document(document: documents.Document) -> VmList | None:
-    """Reads a list from its document; None if it is not a list of VMs."""
+    """Decodes a VM list from a document; None if the text is not a VM list."""
     try:
         vms = tuple(
             msgspec.json.decode(line, type=VmEntry)
@@ -146,22 +165,23 @@
 
 
 def apply_vm_list(directory: Directory, vms: VmList) -> bool:
-    """Takes a newer list of VMs into use.
+    """Replaces the VM list in use by a newer one.
 
-    Guards against a platform that was restored from an old copy: its list
-    would make VMs that are leaving live again. Only a higher revision is
-    taken; of two lists under one revision, each process takes the same one.
+    Only a list with a higher revision is applied. Otherwise the old list of a
+    platform that was restored from a backup would change leaving VMs back to
+    live. Of two lists with the same revision, all processes choose the one with
+    the higher document key, so they end up with the same list.
 
-    A VM that the list drops while its process still talks is kept as leaving
-    until it falls silent: requests may be in progress there, and their
-    outcome could not be asked for any more.
+    A VM that the new list lacks is kept, as leaving, while its process sends
+    messages. Requests may be in progress there, and without the entry their
+    outcomes could no longer be queried.
 
     Args:
-        directory: This process's view; changed.
+        directory: This process's directory; changed.
         vms: The platform's list.
 
     Returns:
-        Whether it was newer.
+        Whether the list was newer and was applied.
     """
     if vms.revision < directory.revision:
         directory.older_seen += 1
@@ -189,14 +209,14 @@
 
 
 def drop_departed(directory: Directory, now: float) -> bool:
-    """Drops departed VMs whose processes have fallen silent.
+    """Drops departed VMs not heard from for `FORGET_AFTER` seconds.
 
     Args:
-        directory: This process's view; changed.
+        directory: This process's directory; changed.
         now: This process's time, in seconds.
 
     Returns:
-        Whether any was dropped.
+        Whether any VM was dropped.
     """
     silent = {
         name
@@ -205,7 +225,8 @@
     }
     if not silent:
         return False
-    # A new map, as for a new list: links are computed once for each.
+    # Creates a new dictionary, because links and the service index are computed
+    # again only if the dictionary is another object.
     directory.vms = {
         name: vm for name, vm in directory.vms.items() if name not in silent
     }
@@ -218,21 +239,22 @@
 def is_outdated(
     directory: Directory, now: float, name: str, incarnation: int
 ) -> bool:
-    """Tells whether a message is from a process that was replaced.
+    """Checks whether a message is from a process that has been replaced.
 
-    Guards against a message that comes late: taken for the VM's state, one
-    of the old process would hide the new one, which then looks restarted
-    once more. Later processes have higher numbers, so a lower one is late.
+    A late message of an old process must not replace the state of the new
+    process; the new one would then seem to have restarted again. Later
+    processes have higher incarnations, so a message with a lower one is late.
 
-    The numbers come from the VM's clock, which may be set back before a
-    restart; a lower number is therefore believed once the higher one has
-    been silent for `FORGET_AFTER`, longer than any link holds a message.
+    Incarnations are derived from the VM's clock, which may be set back before a
+    restart. A lower incarnation is therefore accepted once the higher one has
+    not been heard from for `FORGET_AFTER`, which is longer than any link delays
+    a message.
 
     Args:
-        directory: This process's view; the count of such messages may rise.
+        directory: This process's directory; counts outdated messages.
         now: This process's time, in seconds.
-        name: The sender's VM.
-        incarnation: The sending process.
+        name: VM name of the sender.
+        incarnation: Incarnation of the sending process.
 
     Returns:
         Whether the message is to be ignored.
@@ -253,18 +275,19 @@
     incarnation: int,
     stopping: bool | None,
 ) -> bool:
-    """Records a message of a peer, unless a newer process sent one.
+    """Records the arrival of a peer's message, unless it is outdated.
 
     Args:
-        directory: This process's view; changed.
+        directory: This process's directory; changed.
         now: This process's time, in seconds.
-        name: The peer's VM.
-        incarnation: The peer's process.
-        stopping: Whether the peer says that it takes nothing new; None if
-            the message doesn't say.
+        name: VM name of the peer.
+        incarnation: Incarnation of the peer's process.
+        stopping: Whether the peer accepts no new requests; None if the message
+            doesn't state it.
 
     Returns:
-        Whether the peer is a new process, or was out of reach until now.
+        Whether the peer is a new process, or was silent for longer than
+        `SUSPECT_AFTER` before the message.
     """
     if is_outdated(directory, now, name, incarnation):
         return False
@@ -288,28 +311,28 @@
 def list_usable_upstreams(
     directory: Directory, now: float, service: str
 ) -> list[VmEntry]:
-    """Lists upstream VMs of a service that may get new work.
+    """Lists the upstream VMs of a service that may get new requests.
 
     Args:
-        directory: This process's view.
+        directory: This process's directory.
         now: This process's time, in seconds.
-        service: The service.
+        service: Name of the service.
 
     Returns:
-        VMs that are listed as live, heard from lately and not stopping.
+        VMs that are live, not stopping, and heard from within `SUSPECT_AFTER`.
     """
-    listed = _list_service(directory, service)
+    listed = _list_service_vms(directory, service)
     return [vm for vm in listed if _is_usable(directory, now, vm)]
 
 
-def _list_service(directory: Directory, service: str) -> list[VmEntry]:
-    """Lists all upstream VMs of a service.
+def _list_service_vms(directory: Directory, service: str) -> list[VmEntry]:
+    """Lists all upstream VMs of a service, from the index.
 
-    Guards the routers' loop: with 1,280 VMs a look at each of them, several
-    times a request, took longer than all other decisions on the request.
+    With 1,280 VMs, iterating over all of them several times per request took
+    longer than all other decisions on the request.
     """
-    if directory.indexed is not directory.vms:
-        directory.indexed = directory.vms
+    if directory.indexed_vms is not directory.vms:
+        directory.indexed_vms = directory.vms
         directory.by_service = {}
         for vm in directory.vms.values():
             directory.by_service.setdefault(vm.service, []).append(vm)
@@ -319,18 +342,18 @@
 def is_usable_upstream(
     directory: Directory, now: float, name: str, service: str
 ) -> bool:
-    """Tells whether a VM is an upstream of a service and may get new work."""
+    """Checks whether a VM is an upstream of a service and usable."""
     vm = directory.vms.get(name)
     known = vm is not None and vm.service == service
     return known and _is_usable(directory, now, vm)
 
 
 def has_usable_upstream(directory: Directory, now: float, service: str) -> bool:
-    """Tells whether a service has an upstream that may get new work."""
-    listed = _list_service(directory, service)
+    """Checks whether any upstream of a service may get new requests."""
+    listed = _list_service_vms(directory, service)
     return any(_is_usable(directory, now, vm) for vm in listed)
 
 
 def list_router_vms(directory: Directory) -> list[VmEntry]:
-    """Lists all router VMs; a leaving router still has work to hand out."""
+    """Lists all router VMs, also leaving ones, which still have requests."""
     return [vm for vm in directory.vms.values() if vm.role is VmRole.ROUTER]
--- a/sycamorefall/membership/links.py
+++ b/sycamorefall/membership/links.py
@@ -1,14 +1,16 @@
-"""Which routers and sidecars keep a link, at sizes where not all can.
+"""Links between routers and sidecars in a fleet too large to link all pairs.
 
-Both ends compute the same links from the platform's list of VMs alone. A
-difference between their lists, which lag, does no harm: a message is taken
-from any listed VM, and the link appears or goes once both have the list.
+A router and a sidecar that are linked send each other heartbeats. Both ends
+compute the same links from the platform's list of VMs alone. Their lists may
+differ for a while, because they lag. This is harmless: a process accepts
+messages from any listed VM, and a link is added or removed as soon as both ends
+have the same list.
 """
 
 __all__ = [
     "Links",
     "choose_full_sync_senders",
-    "choose_sidecars",
+    "rank_sidecars",
     "list_linked_routers",
     "list_linked_sidecars",
     "list_siblings",
@@ -23,33 +25,37 @@
 from sycamorefall.membership import directory as directory_module
 
 MIN_SIDECARS_PER_SERVICE = 3
-"""Sidecars of each service that every router is linked to, if there are."""
+"""Minimum number of live sidecars of each service to which a router is linked,
+if the service has as many."""
 
 MIN_ROUTERS_PER_SIDECAR = 12
-"""Routers that a sidecar is linked to on average, if there are."""
+"""Minimum number of routers to which a sidecar is linked on average, if there
+are as many."""
 
 FULL_SYNC_SENDERS = 2
-"""Sidecars that tell a new one the entries of all owners."""
+"""Number of sidecars that send a new one the account entries of all owners."""
 
 Vms = Sequence[directory_module.VmEntry]
 
 
 @dataclasses.dataclass(slots=True)
 class Links:
-    """A process's links, kept until the list of VMs changes.
+    """Links of a process, cached until the list of VMs changes.
 
     Attributes:
-        vms: The list that they were computed from.
-        since: When that list was first used, by this process's clock.
-        ranked: Of a router: sidecars by service, in order of preference.
-        degrees: Of a router: how many of them it is linked to.
-        routers: Of a sidecar: names of its linked routers.
-        unlinked: Of a sidecar: names of all other routers.
-        siblings: Of a sidecar: names of the service's other sidecars.
+        vms: VMs from which the links were computed.
+        computed_at: When they were computed, by this process's clock.
+        ranked: At a router, names of all sidecars by service, in order of
+            preference.
+        degrees: At a router, number of sidecars to which it is linked, by
+            service. These are the first ones in `ranked`.
+        routers: At a sidecar, names of the routers to which it is linked.
+        unlinked: At a sidecar, names of all other routers.
+        siblings: At a sidecar, names of the other sidecars of its service.
     """
 
     vms: dict[str, directory_module.VmEntry] | None = None
-    since: float = 0.0
+    computed_at: float = 0.0
     ranked: dict[str, list[str]] = dataclasses.field(default_factory=dict)
     degrees: dict[str, int] = dataclasses.field(default_factory=dict)
     routers: list[str] = dataclasses.field(default_factory=list)
@@ -57,67 +63,70 @@
     siblings: list[str] = dataclasses.field(default_factory=list)
 
 
-def choose_sidecars(
-    router: directory_module.VmEntry, sidecars: Vms, routers: int
+def rank_sidecars(
+    router: directory_module.VmEntry, sidecars: Vms, router_count: int
 ) -> tuple[list[str], int]:
-    """Ranks a service's sidecars for a router.
+    """Ranks the sidecars of a service for a router, and counts its links.
 
-    Rendezvous hashing: a VM that comes or goes changes no link but its own.
-    Sidecars of the router's own failure domain come first, for the short
-    way; but the last link goes to another failure domain, so that a router
-    still reaches the service when the own one has lost it.
+    The order is by rendezvous hashing, so a VM that is added or removed changes
+    only its own links. Sidecars in the router's failure domain come first,
+    because of the short distance. The last link goes to another failure domain,
+    so that the router can use the service even if its own failure domain has no
+    upstream of it left.
 
     Args:
         router: The router.
         sidecars: All sidecars of the service.
-        routers: Number of routers in the fleet.
+        router_count: Number of routers in the fleet.
 
     Returns:
-        Names in order of preference, and how many of them are linked. VMs
-        that are leaving don't count, so links are made in their place.
+        VM names in order of preference, and the number of them, from the first,
+        to which the router is linked. Leaving VMs are linked in addition to the
+        required number of live ones.
 
     Example:
         >>> role = directory_module.VmRole
         >>> here = directory_module.VmEntry("r", role.ROUTER, "d", "", "")
         >>> there = directory_module.VmEntry("s", role.UPSTREAM, "d", "", "")
-        >>> choose_sidecars(here, [there], routers=4)
+        >>> rank_sidecars(here, [there], router_count=4)
         (['s'], 1)
     """
     live = sum(_is_live(vm) for vm in sidecars)
     count = max(
         MIN_SIDECARS_PER_SERVICE,
-        math.ceil(live * MIN_ROUTERS_PER_SIDECAR / routers),
+        math.ceil(live * MIN_ROUTERS_PER_SIDECAR / router_count),
     )
-    ordered = sorted(sidecars, key=lambda vm: _score(router.name, vm.name))
+    ordered = sorted(sidecars, key=lambda vm: _hash_pair(router.name, vm.name))
     domain = router.failure_domain
-    near = [vm for vm in ordered if vm.failure_domain == domain]
-    far = [vm for vm in ordered if vm.failure_domain != domain]
-    first = _count_until(near, count - 1)
-    ranked = near[:first] + far + near[first:]
+    local = [vm for vm in ordered if vm.failure_domain == domain]
+    remote = [vm for vm in ordered if vm.failure_domain != domain]
+    first = _count_until(local, count - 1)
+    ranked = local[:first] + remote + local[first:]
     names = [vm.name for vm in ranked]
     return names, _count_until(ranked, count)
 
 
 def choose_full_sync_senders(
-    newcomer: str, sidecars: Sequence[str]
+    new_sidecar: str, sidecars: Sequence[str]
 ) -> list[str]:
-    """Chooses the sidecars that tell a new one the entries of all owners.
+    """Chooses the sidecars that send all account entries to a new sidecar.
 
     Args:
-        newcomer: VM name of the new sidecar.
-        sidecars: VM names of the service's sidecars.
+        new_sidecar: VM name of the new sidecar.
+        sidecars: VM names of all sidecars of the service.
 
     Returns:
-        A few VM names, the same at every sidecar.
+        At most `FULL_SYNC_SENDERS` VM names. Each sidecar computes the
+        same ones from the same list.
     """
-    others = (name for name in sidecars if name != newcomer)
-    return sorted(others, key=lambda name: _score(newcomer, name))[
+    others = (name for name in sidecars if name != new_sidecar)
+    return sorted(others, key=lambda name: _hash_pair(new_sidecar, name))[
         :FULL_SYNC_SENDERS
     ]
 
 
-def _score(router: str, sidecar: str) -> bytes:
-    pair = f"{router}/{sidecar}".encode()
+def _hash_pair(first: str, second: str) -> bytes:
+    pair = f"{first}/{second}".encode()
     return hashlib.blake2b(pair, digest_size=8).digest()
 
 
@@ -126,7 +135,7 @@
 
 
 def _count_until(vms: Vms, live: int) -> int:
-    """Counts the leading VMs that hold a number of live ones."""
+    """Computes how many VMs, from the first, include a number of live ones."""
     for index, vm in enumerate(vms):
         if live <= 0:
             return index
@@ -141,23 +150,24 @@
     own: str,
     service: str,
 ) -> list[str]:
-    """Lists the sidecars of a service that a router is linked to.
+    """Lists the sidecars of a service to which a router is linked.
 
-    Guards against a rack or failure domain that is gone and took all linked
-    sidecars of a service with it, while the platform's list still shows
-    them: callers would hear that there is no upstream although others idle.
-    In place of each that is silent stands the next in order; a sidecar
-    answers any router that it hears.
+    A failure may remove all linked sidecars of a service, such as the loss of a
+    rack or failure domain, while the platform's list still contains them. To
+    avoid that callers are told that there is no upstream although others are
+    idle, the list is extended by one further sidecar, in order of preference,
+    for each linked one that is silent. A sidecar responds to any router that it
+    hears from.
 
     Args:
-        links: The router's links; brought up to date.
-        directory: The router's view of the fleet.
-        now: This process's time.
+        links: The router's links; updated if the list of VMs has changed.
+        directory: The router's directory.
+        now: This process's time, in seconds.
         own: VM name of the router.
-        service: The service.
+        service: Name of the service.
 
     Returns:
-        VM names, silent ones included.
+        VM names, including silent sidecars.
     """
     _update_links(links, directory, now, own)
     ranked = links.ranked.get(service, [])
@@ -175,39 +185,40 @@
     name: str,
 ) -> bool:
     peer = directory.peers.get(name)
-    heard_at = peer.heard_at if peer else links.since
+    heard_at = peer.heard_at if peer else links.computed_at
     return now - heard_at > directory_module.SUSPECT_AFTER
 
 
 def list_linked_routers(
     links: Links, directory: directory_module.Directory, now: float, own: str
 ) -> list[str]:
-    """Lists the routers that a sidecar is linked to or that it just heard.
+    """Lists the routers to which a sidecar is linked, or that it heard from.
 
     Args:
-        links: The sidecar's links; brought up to date.
-        directory: The sidecar's view of the fleet.
-        now: This process's time.
+        links: The sidecar's links; updated if the list of VMs has changed.
+        directory: The sidecar's directory.
+        now: This process's time, in seconds.
         own: VM name of the sidecar.
 
     Returns:
-        VM names.
+        VM names of the linked routers, and of unlinked ones that sent a message
+        within `SUSPECT_AFTER`.
     """
     _update_links(links, directory, now, own)
-    heard = [
+    recently_heard = [
         name
         for name in links.unlinked
         if name in directory.peers
         and now - directory.peers[name].heard_at
         <= directory_module.SUSPECT_AFTER
     ]
-    return links.routers + heard
+    return links.routers + recently_heard
 
 
 def list_unlinked_routers(
     links: Links, directory: directory_module.Directory, now: float, own: str
 ) -> list[str]:
-    """Lists the routers that a sidecar is not linked to."""
+    """Lists the routers to which a sidecar is not linked."""
     _update_links(links, directory, now, own)
     return links.unlinked
 
@@ -215,7 +226,7 @@
 def list_siblings(
     links: Links, directory: directory_module.Directory, now: float, own: str
 ) -> list[str]:
-    """Lists the other sidecars of a sidecar's service."""
+    """Lists the other sidecars of the same service."""
     _update_links(links, directory, now, own)
     return links.siblings
 
@@ -226,7 +237,7 @@
     if links.vms is directory.vms:
         return
     links.vms = directory.vms
-    links.since = now
+    links.computed_at = now
     vms = list(directory.vms.values())
     role = directory_module.VmRole
     routers = [vm for vm in vms if vm.role is role.ROUTER]
@@ -239,21 +250,21 @@
     if entry.role is role.ROUTER:
         _link_router(links, entry, sidecars, len(routers))
     else:
-        same = [vm for vm in sidecars if vm.service == entry.service]
-        _link_sidecar(links, entry, same, routers)
+        in_service = [vm for vm in sidecars if vm.service == entry.service]
+        _link_sidecar(links, entry, in_service, routers)
 
 
 def _link_router(
     links: Links,
     router: directory_module.VmEntry,
     sidecars: Vms,
-    routers: int,
+    router_count: int,
 ) -> None:
     services: dict[str, list[directory_module.VmEntry]] = {}
     for vm in sidecars:
         services.setdefault(vm.service, []).append(vm)
     for service, group in services.items():
-        ranked, degree = choose_sidecars(router, group, routers)
+        ranked, degree = rank_sidecars(router, group, router_count)
         links.ranked[service] = ranked
         links.degrees[service] = degree
 
@@ -261,11 +272,11 @@
 def _link_sidecar(
     links: Links,
     sidecar: directory_module.VmEntry,
-    same: Vms,
+    in_service: Vms,
     routers: Vms,
 ) -> None:
     for router in routers:
-        ranked, degree = choose_sidecars(router, same, len(routers))
+        ranked, degree = rank_sidecars(router, in_service, len(routers))
         linked = sidecar.name in ranked[:degree]
         (links.routers if linked else links.unlinked).append(router.name)
-    links.siblings = [vm.name for vm in same if vm.name != sidecar.name]
+    links.siblings = [vm.name for vm in in_service if vm.name != sidecar.name]
--- a/sycamorefall/membership/tests/test_directory.py
+++ b/sycamorefall/membership/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""The list joined with heartbeats: late, lost, older, cut off."""
+"""Tests of the directory of VMs: late, old and missing lists and messages."""
 
 import pytest
 
@@ -36,56 +36,59 @@
     return [vm.name for vm in usable]
 
 
-def beat(directory, now, incarnation, stopping=False, name="engine"):
+def record_message(directory, now, incarnation, stopping=False, name="engine"):
     return membership.record_peer_message(
         directory, now, name, incarnation, stopping
     )
 
 
-def test_late_message_of_a_replaced_process_changes_nothing(directory):
-    # A sidecar restarts, and a message of its old process, held up on a slow
-    # link, comes after the first of the new one. Taken for news it would say
-    # that the VM restarted once more, and bring the old "stopping" back.
-    assert beat(directory, 1.0, incarnation=10, stopping=True)
-    assert beat(directory, 2.0, incarnation=20)
-    assert not beat(directory, 2.1, incarnation=10, stopping=True)
+def test_late_message_of_a_replaced_process_is_ignored(directory):
+    # A sidecar restarts. A message of its old process is delayed on a slow link
+    # and arrives after the first one of the new process. If it were accepted,
+    # the VM would seem to have restarted again, and to be stopping.
+    assert record_message(directory, 1.0, incarnation=10, stopping=True)
+    assert record_message(directory, 2.0, incarnation=20)
+    assert not record_message(directory, 2.1, incarnation=10, stopping=True)
     assert directory.peers["engine"].incarnation == 20
     assert list_usable(directory, 2.2) == ["engine"]
     assert directory.outdated == 1
 
 
-def test_process_whose_clock_was_set_back_is_believed_in_the_end(directory):
-    # A VM's clock is set back before its process restarts, so the new one
-    # has a lower number. Were it ignored for ever, the upstream would idle.
-    beat(directory, 1.0, incarnation=20)
-    assert not beat(directory, 2.0, incarnation=10)
+def test_process_whose_clock_was_set_back_is_accepted_after_a_timeout(
+    directory,
+):
+    # A VM's clock is set back before its process restarts, so the new process
+    # has a lower incarnation. If it were always ignored, its upstream would
+    # never get a request.
+    record_message(directory, 1.0, incarnation=20)
+    assert not record_message(directory, 2.0, incarnation=10)
     now = 1.5 + membership.FORGET_AFTER
-    assert beat(directory, now, incarnation=10)
+    assert record_message(directory, now, incarnation=10)
     assert list_usable(directory, now) == ["engine"]
 
 
-def test_silent_peer_gets_nothing_new_and_is_not_forgotten(directory):
-    beat(directory, 1.0, incarnation=10)
-    late = 1.5 + membership.SUSPECT_AFTER
-    assert list_usable(directory, late) == []
+def test_silent_peer_is_unusable_but_not_dropped(directory):
+    record_message(directory, 1.0, incarnation=10)
+    suspect_at = 1.5 + membership.SUSPECT_AFTER
+    assert list_usable(directory, suspect_at) == []
     assert directory.peers["engine"].incarnation == 10
-    assert beat(directory, late, incarnation=10)
-    assert list_usable(directory, late) == ["engine"]
+    assert record_message(directory, suspect_at, incarnation=10)
+    assert list_usable(directory, suspect_at) == ["engine"]
 
 
-def test_message_that_says_nothing_of_stopping_keeps_what_was_said(directory):
-    beat(directory, 1.0, incarnation=10, stopping=True)
-    beat(directory, 1.1, incarnation=10, stopping=None)
+def test_message_without_stopping_keeps_the_last_reported_state(directory):
+    record_message(directory, 1.0, incarnation=10, stopping=True)
+    record_message(directory, 1.1, incarnation=10, stopping=None)
     assert list_usable(directory, 1.2) == []
-    beat(directory, 1.3, incarnation=11, stopping=None)
+    record_message(directory, 1.3, incarnation=11, stopping=None)
     assert list_usable(directory, 1.4) == ["engine"]
 
 
-def test_leaving_holds_against_a_platform_that_goes_back(directory):
-    # Operators mark an upstream as leaving, then the platform is restored
-    # from a copy in which it is live. New work would go to a VM that is
-    # about to be taken away.
-    beat(directory, 1.0, incarnation=10)
+def test_older_vm_list_does_not_make_a_leaving_vm_live(directory):
+    # Operators mark an upstream as leaving. Then the platform is restored from
+    # a backup in which it is live. If this list were applied, new requests
+    # would be sent to a VM that is about to be removed.
+    record_message(directory, 1.0, incarnation=10)
     leaving = make_entry("engine", state="leaving")
     membership.apply_vm_list(directory, make_list(6, leaving))
     assert list_usable(directory, 1.1) == []
@@ -96,31 +99,31 @@
     assert directory.older_seen == 1
 
 
-def test_vm_dropped_from_the_list_is_reachable_while_it_talks(directory):
-    # An upstream is dropped from the list with work in progress. If it were
-    # forgotten at once, the outcome of that work could not be asked for.
-    beat(directory, 1.0, incarnation=10)
+def test_vm_removed_from_the_list_is_kept_while_it_sends_messages(directory):
+    # An upstream is removed from the list while requests run there. If its
+    # entry were dropped at once, their outcomes could not be queried.
+    record_message(directory, 1.0, incarnation=10)
     membership.apply_vm_list(
         directory, make_list(6, make_entry("router", "router"))
     )
     assert "engine" in directory.vms
     assert list_usable(directory, 1.1) == []
-    beat(directory, 20.0, incarnation=10)
+    record_message(directory, 20.0, incarnation=10)
     assert not membership.drop_departed(directory, 40.0)
     assert membership.drop_departed(directory, 60.0)
     assert "engine" not in directory.vms
 
 
-def test_vm_dropped_and_listed_again_is_live_again(directory):
-    beat(directory, 1.0, incarnation=10)
+def test_vm_removed_and_listed_again_is_usable(directory):
+    record_message(directory, 1.0, incarnation=10)
     membership.apply_vm_list(directory, make_list(6))
     membership.apply_vm_list(directory, make_list(7, make_entry("engine")))
-    beat(directory, 2.0, incarnation=10)
+    record_message(directory, 2.0, incarnation=10)
     assert list_usable(directory, 2.1) == ["engine"]
     assert not membership.drop_departed(directory, 99.0)
 
 
-def test_two_lists_under_one_revision_become_the_same_one(directory):
+def test_two_lists_with_one_revision_converge(directory):
     one = make_list(6, make_entry("engine"))
     two = make_list(6, make_entry("engine", state="leaving"))
     other = membership.Directory()
