--- a/sycamorefall/dispatch/tests/model.py
+++ b/sycamorefall/dispatch/tests/model.py
@@ -1,8 +1,8 @@
-"""Routers and sidecars joined by an unreliable network, for the machine.
+"""Simulated fleet: routers and sidecars connected by an unreliable network.
 
-Only what the shells do with sockets is modelled: everything that is decided
-is decided by the real cores. Each VM's clock has an offset of its own, so a
-decision that compared clocks of two VMs would go wrong at once.
+Only the I/O is simulated: all decisions are made by the real cores. The clock
+of each VM has a different offset, so a decision that compares the clocks of two
+VMs is wrong immediately.
 """
 
 import collections
@@ -18,11 +18,11 @@
 from sycamorefall.sidecar import state as sidecar_state
 
 SERVICE = "ledger"
-TEXT = "[service ledger]\nkind = plain\nconcurrency = 2\n"
+CONFIGURATION_TEXT = "[service ledger]\nkind = plain\nconcurrency = 2\n"
 ROUTERS = ("router-0", "router-1")
 SIDECARS = ("ledger-0", "ledger-1", "ledger-2")
 
-LIST = membership.VmList(
+VM_LIST = membership.VmList(
     1,
     tuple(
         membership.VmEntry(
@@ -42,10 +42,22 @@
 
 @dataclasses.dataclass(slots=True)
 class Process:
-    """A VM and the process that now runs there."""
+    """A VM and the process that runs on it.
+
+    Attributes:
+        name: VM name.
+        clock_offset: Seconds by which the VM's clock is ahead of the fleet's
+            time.
+        incarnation: Incarnation of the process.
+        frozen: Whether the process is suspended, so that it runs no timers and
+            receives nothing.
+        state: State of the router or sidecar.
+        callers: At a router, names of the requests of connected callers, by the
+            number of the request at this process.
+    """
 
     name: str
-    offset: float
+    clock_offset: float
     incarnation: int = 0
     frozen: bool = False
     state: router_state.RouterState | sidecar_state.SidecarState | None = None
@@ -53,57 +65,97 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Link:
-    """The connection of one attempt, and the run at its far end."""
+class Connection:
+    """Connection over which a router sends one attempt to a sidecar.
+
+    Attributes:
+        order: Metadata of the attempt.
+        request: Name of the request.
+        router: VM name and incarnation of the router.
+        open: Whether the router's end is open.
+        accepted_by: VM name and incarnation of the sidecar that accepted the
+            attempt; None if none has.
+    """
 
     order: messages.AttemptOrder
     request: str
     router: tuple[str, int]
     open: bool = True
-    at: tuple[str, int] | None = None
+    accepted_by: tuple[str, int] | None = None
 
 
 class Fleet:
-    """Two routers, three sidecars and everything between them."""
+    """Two routers, three sidecars and the network between them.
+
+    Attributes:
+        now: Time of the fleet, in seconds; see `clock`.
+        processes: VMs and their processes by VM name.
+        pending_messages: Control messages in transit, with the receiver's VM
+            name.
+        pending_attempts: Ids of the attempts whose requests are in transit to a
+            sidecar.
+        pending_replies: Attempts whose results are in transit to the router,
+            and the results.
+        connections: Connections by attempt id.
+        runs: Names of the requests that run at an upstream, by attempt id.
+        start_counts: How often each request was started at an upstream.
+        idempotent: Whether each request is idempotent, by its name.
+        final_answers: Error kind, empty for success, and the reported
+            `errors.Ran` of each answered request.
+        abandoned: Names of the requests whose callers disconnected.
+    """
 
     def __init__(self):
         self.now = 1000.0
         self.processes = {
-            name: Process(name, offset=index * 5000.0)
+            name: Process(name, clock_offset=index * 5000.0)
             for index, name in enumerate((*ROUTERS, *SIDECARS))
         }
-        self.mail: list[tuple[str, messages.Envelope]] = []
-        self.hand_outs: list[str] = []
-        self.replies: list[tuple[str, attempt_lifecycle.AttemptEnd]] = []
-        self.links: dict[str, Link] = {}
+        self.pending_messages: list[tuple[str, messages.Envelope]] = []
+        self.pending_attempts: list[str] = []
+        self.pending_replies: list[
+            tuple[str, attempt_lifecycle.AttemptEnd]
+        ] = []
+        self.connections: dict[str, Connection] = {}
         self.runs: dict[str, str] = {}
-        self.starts: collections.Counter[str] = collections.Counter()
+        self.start_counts: collections.Counter[str] = collections.Counter()
         self.idempotent: dict[str, bool] = {}
-        self.final: dict[str, tuple[str, errors.Ran]] = {}
-        self.gone: set[str] = set()
+        self.final_answers: dict[str, tuple[str, errors.Ran]] = {}
+        self.abandoned: set[str] = set()
         for name in self.processes:
             self.restart(name)
 
     def clock(self, name: str) -> float:
-        return self.now + self.processes[name].offset
+        """Computes the time by a VM's own clock, in seconds."""
+        return self.now + self.processes[name].clock_offset
 
     def restart(self, name: str) -> None:
-        """Replaces a process by one that remembers nothing."""
+        """Replaces a process by a new one without its state.
+
+        Its callers are disconnected, and the connections of its attempts break.
+        """
         process = self.processes[name]
         process.incarnation += 1
         process.frozen = False
         create = _create_router if name in ROUTERS else _create_sidecar
         process.state = create(name, process.incarnation)
-        self.gone.update(process.callers.values())
+        self.abandoned.update(process.callers.values())
         process.callers.clear()
-        for attempt_id, link in self.links.items():
-            if link.at and link.at[0] == name:
+        for attempt_id, connection in self.connections.items():
+            if connection.accepted_by and connection.accepted_by[0] == name:
                 self.runs.pop(attempt_id, None)
-                self.break_link(attempt_id)
-            elif link.router[0] == name:
-                link.open = False
+                self.break_connection(attempt_id)
+            elif connection.router[0] == name:
+                connection.open = False
 
     def submit(self, name: str, timeout: float, idempotent: bool) -> None:
+        """Sends a new request to a router.
+
+        Args:
+            name: VM name of the router.
+            timeout: Seconds until the request's deadline.
+            idempotent: Whether the request is idempotent.
+        """
         request = f"request-{len(self.idempotent)}"
         process = self.processes[name]
         new = router_state.NewRequest(
@@ -112,70 +164,97 @@
         self.idempotent[request] = idempotent
         number = process.state.last_request + 1
         process.callers[number] = request
-        _, outcome = intake.admit_request(process.state, self.clock(name), new)
-        self.perform(name, outcome)
+        _, effect_list = intake.admit_request(
+            process.state, self.clock(name), new
+        )
+        self.perform_effects(name, effect_list)
         self.run_timers(name)
 
-    def hang_up(self, name: str, number: int) -> None:
+    def disconnect_caller(self, name: str, number: int) -> None:
+        """Makes the caller of a request disconnect from its router."""
         process = self.processes[name]
-        self.gone.add(process.callers.pop(number))
-        outcome = intake.cancel_request(process.state, self.clock(name), number)
-        self.perform(name, outcome)
+        self.abandoned.add(process.callers.pop(number))
+        effect_list = intake.cancel_request(
+            process.state, self.clock(name), number
+        )
+        self.perform_effects(name, effect_list)
 
-    def perform(self, name: str, outcome) -> None:
+    def perform_effects(self, name: str, effect_list) -> None:
+        """Carries out the effects that a core returned."""
         process = self.processes[name]
-        for effect in outcome:
+        for effect in effect_list:
             match effect:
                 case effects.SendMessage():
                     envelope = messages.Envelope(
                         name, process.incarnation, 1, effect.message
                     )
-                    self.mail.append((effect.to, envelope))
+                    self.pending_messages.append((effect.to, envelope))
                 case router_effects.SendRequest():
                     attempt_id = effect.order.attempt_id
-                    self.links[attempt_id] = Link(
+                    self.connections[attempt_id] = Connection(
                         effect.order,
                         process.callers[effect.request],
                         (name, process.incarnation),
                     )
-                    self.hand_outs.append(attempt_id)
+                    self.pending_attempts.append(attempt_id)
                 case router_effects.AnswerError():
-                    self.answer(
+                    self.answer_caller(
                         name, effect.request, effect.kind.value, effect.ran
                     )
                 case router_effects.AbortAttempt():
-                    self.links[effect.attempt_id].open = False
+                    self.connections[effect.attempt_id].open = False
                 case _:
                     self.end_run(
                         effect.attempt_id, attempt_lifecycle.AttemptEnd.FAILED
                     )
 
-    def answer(
+    def answer_caller(
         self, name: str, number: int, kind: str, ran: errors.Ran
     ) -> None:
-        """Gives a caller its final answer, and judges it."""
+        """Records the final answer to a caller, and checks that it is true.
+
+        Args:
+            name: VM name of the router.
+            number: Number of the request at the router.
+            kind: Kind of the error; empty for success.
+            ran: Whether the request was run, as reported to the caller.
+        """
         request = self.processes[name].callers.pop(number, None)
         if request is None:
             return
-        assert request not in self.final, "a second final answer"
-        self.final[request] = (kind, ran)
+        assert request not in self.final_answers, (
+            "second final answer to a caller"
+        )
+        self.final_answers[request] = (kind, ran)
         if ran is errors.Ran.NO:
-            assert not self.starts[request], "told not run, but it ran"
+            assert not self.start_counts[request], (
+                "reported as not run, but it ran"
+            )
         if ran is errors.Ran.YES:
-            assert self.starts[request], "told run, but it never ran"
+            assert self.start_counts[request], (
+                "reported as run, but it never ran"
+            )
 
-    def deliver_mail(self, index: int) -> None:
-        name, envelope = self.mail[index]
+    def deliver_message(self, index: int) -> None:
+        """Delivers a pending control message, which stays pending."""
+        name, envelope = self.pending_messages[index]
         process = self.processes[name]
         core = router_core if name in ROUTERS else sidecar_core
         now = self.clock(name)
-        self.perform(name, core.receive_message(process.state, now, envelope))
+        self.perform_effects(
+            name, core.receive_message(process.state, now, envelope)
+        )
         self.run_timers(name)
 
-    def deliver_hand_out(self, attempt_id: str, reachable: bool) -> None:
-        """Lets a hand-out arrive at whichever process is there now."""
-        link = self.links[attempt_id]
-        order = link.order
+    def deliver_attempt(self, attempt_id: str, reachable: bool) -> None:
+        """Delivers an attempt to the process that now runs on the sidecar's VM.
+
+        Args:
+            attempt_id: The attempt; it stays in `pending_attempts`.
+            reachable: Whether the sidecar can connect to its upstream.
+        """
+        connection = self.connections[attempt_id]
+        order = connection.order
         sidecar = self.processes[order.sidecar]
         now = self.clock(order.sidecar)
         ends = {
@@ -184,123 +263,141 @@
         }
         accepted = running.accept_attempt(sidecar.state, now, order)
         if accepted in ends:
-            self.replies.append((attempt_id, ends[accepted]))
+            self.pending_replies.append((attempt_id, ends[accepted]))
             return
-        link.at = (order.sidecar, sidecar.incarnation)
-        self.runs[attempt_id] = link.request
+        connection.accepted_by = (order.sidecar, sidecar.incarnation)
+        self.runs[attempt_id] = connection.request
         if not reachable:
             self.end_run(attempt_id, attempt_lifecycle.AttemptEnd.NOT_RUN)
             return
-        self.starts[link.request] += 1
-        told = self.final.get(link.request)
-        assert not told or told[1] is not errors.Ran.NO, "ran after not run"
-        if not self.idempotent[link.request]:
-            assert self.starts[link.request] == 1, "ran twice"
+        self.start_counts[connection.request] += 1
+        answer = self.final_answers.get(connection.request)
+        assert not answer or answer[1] is not errors.Ran.NO, (
+            "started after it was reported as not run"
+        )
+        if not self.idempotent[connection.request]:
+            assert self.start_counts[connection.request] == 1, "started twice"
 
     def end_run(
         self, attempt_id: str, end: attempt_lifecycle.AttemptEnd
     ) -> None:
-        """Ends a run at the upstream; the answer begins its way back."""
+        """Ends a run at the upstream and queues its result for the router."""
         if self.runs.pop(attempt_id, None) is None:
             return
-        name, incarnation = self.links[attempt_id].at
+        name, incarnation = self.connections[attempt_id].accepted_by
         assert self.processes[name].incarnation == incarnation
         ran = end is not attempt_lifecycle.AttemptEnd.NOT_RUN
         state = self.processes[name].state
         running.finish_run(state, self.clock(name), attempt_id, ran)
-        self.replies.append((attempt_id, end))
+        self.pending_replies.append((attempt_id, end))
+
+    def detect_disconnect(self, attempt_id: str) -> None:
+        """Makes a sidecar detect that the router closed a connection.
 
-    def hear_hang_up(self, attempt_id: str) -> None:
-        """Lets a sidecar see that a router closed an attempt's connection."""
-        link = self.links[attempt_id]
-        if not link.open and link.order.idempotent:
+        The sidecar then cancels an idempotent run; others continue.
+        """
+        connection = self.connections[attempt_id]
+        if not connection.open and connection.order.idempotent:
             self.end_run(attempt_id, attempt_lifecycle.AttemptEnd.FAILED)
 
-    def break_link(self, attempt_id: str) -> None:
-        self.replies.append((attempt_id, attempt_lifecycle.AttemptEnd.BROKEN))
+    def break_connection(self, attempt_id: str) -> None:
+        """Breaks an attempt's connection, as seen by the router."""
+        self.pending_replies.append(
+            (attempt_id, attempt_lifecycle.AttemptEnd.BROKEN)
+        )
 
     def deliver_reply(
         self, attempt_id: str, end: attempt_lifecycle.AttemptEnd
     ) -> None:
-        link = self.links[attempt_id]
-        name, incarnation = link.router
+        """Delivers an attempt's result to its router.
+
+        It is ignored if the router has closed the connection or restarted.
+        """
+        connection = self.connections[attempt_id]
+        name, incarnation = connection.router
         process = self.processes[name]
-        if not link.open or process.incarnation != incarnation:
+        if not connection.open or process.incarnation != incarnation:
             return
-        link.open = False
+        connection.open = False
         number = process.state.request_by_attempt.get(attempt_id)
         if end is attempt_lifecycle.AttemptEnd.COMPLETE and number is not None:
-            assert process.callers.get(number) == link.request, "another's"
-            self.answer(name, number, "", errors.Ran.YES)
-        outcome = attempt_lifecycle.end_attempt(
+            assert process.callers.get(number) == connection.request, (
+                "response to another request"
+            )
+            self.answer_caller(name, number, "", errors.Ran.YES)
+        effect_list = attempt_lifecycle.end_attempt(
             process.state, self.clock(name), attempt_id, end, False
         )
-        self.perform(name, outcome)
+        self.perform_effects(name, effect_list)
 
     def advance(self, seconds: float) -> None:
-        """Lets time pass and runs the timers of all that are not frozen."""
+        """Advances the time, and runs the timers of processes not frozen."""
         self.now += seconds
         for name, process in self.processes.items():
             if not process.frozen:
                 self.run_timers(name)
 
     def run_timers(self, name: str) -> None:
-        """Runs what is due, as a process does before it sleeps again."""
+        """Runs the due timers, as a process does before it sleeps again."""
         state = self.processes[name].state
         core = router_core if name in ROUTERS else sidecar_core
         now = self.clock(name)
         for _ in range(4):
             if core.find_next_due(state) > now:
                 return
-            self.perform(name, core.run_timers(state, now))
-        assert core.find_next_due(state) > now, "a busy loop"
+            self.perform_effects(name, core.run_timers(state, now))
+        assert core.find_next_due(state) > now, (
+            "timers are always due: busy loop"
+        )
 
     def advance_connected(self, seconds: float) -> None:
-        """Lets time pass while control messages arrive."""
+        """Advances the time in steps, and delivers control messages at each."""
         steps = min(24, max(1, round(seconds / 0.5)))
         for _ in range(steps):
             self.advance(seconds / steps)
-            self.deliver_all_mail()
+            self.deliver_all_messages()
 
-    def deliver_all_mail(self) -> None:
-        """Delivers control messages and their answers, to all awake."""
+    def deliver_all_messages(self) -> None:
+        """Delivers control messages and responses to processes not frozen."""
         for _ in range(6):
-            mail, self.mail = self.mail, []
-            for name, envelope in mail:
-                self.mail.append((name, envelope))
+            pending, self.pending_messages = self.pending_messages, []
+            for name, envelope in pending:
+                self.pending_messages.append((name, envelope))
                 if not self.processes[name].frozen:
-                    self.deliver_mail(len(self.mail) - 1)
-                    self.mail.remove((name, envelope))
-
-    def deliver_all_hand_outs(self) -> None:
-        """Lets all hand-outs arrive whose sidecars are awake."""
-        hand_outs, self.hand_outs = self.hand_outs, []
-        for attempt_id in hand_outs:
-            if self.processes[self.links[attempt_id].order.sidecar].frozen:
-                self.hand_outs.append(attempt_id)
+                    self.deliver_message(len(self.pending_messages) - 1)
+                    self.pending_messages.remove((name, envelope))
+
+    def deliver_all_attempts(self) -> None:
+        """Delivers the pending attempts of sidecars that are not frozen."""
+        attempts, self.pending_attempts = self.pending_attempts, []
+        for attempt_id in attempts:
+            if self.processes[
+                self.connections[attempt_id].order.sidecar
+            ].frozen:
+                self.pending_attempts.append(attempt_id)
             else:
-                self.deliver_hand_out(attempt_id, reachable=True)
+                self.deliver_attempt(attempt_id, reachable=True)
 
     def deliver_all_replies(self) -> None:
-        """Lets all answers arrive whose routers are awake."""
-        replies, self.replies = self.replies, []
+        """Delivers the pending replies to routers that are not frozen."""
+        replies, self.pending_replies = self.pending_replies, []
         for reply in replies:
-            if self.processes[self.links[reply[0]].router[0]].frozen:
-                self.replies.append(reply)
+            if self.processes[self.connections[reply[0]].router[0]].frozen:
+                self.pending_replies.append(reply)
             else:
                 self.deliver_reply(*reply)
 
 
 def _create_router(name: str, incarnation: int) -> router_state.RouterState:
     state = router_state.RouterState(name, incarnation)
-    configuration.submit_text(state.versions, 1, TEXT)
-    membership.apply_vm_list(state.directory, LIST)
+    configuration.submit_text(state.versions, 1, CONFIGURATION_TEXT)
+    membership.apply_vm_list(state.directory, VM_LIST)
     return state
 
 
 def _create_sidecar(name: str, incarnation: int) -> sidecar_state.SidecarState:
     state = sidecar_state.create_state(name, incarnation, SERVICE)
-    configuration.submit_text(state.versions, 1, TEXT)
-    membership.apply_vm_list(state.directory, LIST)
+    configuration.submit_text(state.versions, 1, CONFIGURATION_TEXT)
+    membership.apply_vm_list(state.directory, VM_LIST)
     sidecar_core.apply_configuration(state)
     return state
--- a/sycamorefall/dispatch/tests/test_outcomes_scenarios.py
+++ b/sycamorefall/dispatch/tests/test_outcomes_scenarios.py
@@ -1,4 +1,4 @@
-"""Single orders of failures, each with the guard that it needs."""
+"""Tests of single sequences of failures between a router and a sidecar."""
 
 import pytest
 
@@ -10,181 +10,210 @@
 COMPLETE = attempt_lifecycle.AttemptEnd.COMPLETE
 
 
-def hand_out(idempotent=False, timeout=3000.0, offered=False):
-    """A fleet with one request on its way to a sidecar."""
+def start_attempt(idempotent=False, timeout=3000.0, offered=False):
+    """Creates a fleet with one request, sent to a sidecar but not received.
+
+    Args:
+        idempotent: Whether the request is idempotent.
+        timeout: Seconds until its deadline.
+        offered: Whether the router offers it to a sidecar by a hint at free
+            slots; otherwise a sidecar claims it.
+
+    Returns:
+        The fleet and the id of the attempt.
+    """
     fleet = model.Fleet()
     fleet.advance_connected(1.0)
     submit(fleet, timeout, idempotent, offered)
-    return fleet, fleet.hand_outs[0]
+    return fleet, fleet.pending_attempts[0]
 
 
 def submit(fleet, timeout, idempotent, offered=False):
-    """A request at router-0, claimed by a sidecar or offered to one."""
+    """Submits a request to router-0; see `start_attempt` for the arguments."""
     if not offered:
         fleet.processes["router-0"].state.hints.clear()
     fleet.submit("router-0", timeout, idempotent)
-    assert bool(fleet.hand_outs) == offered
+    assert bool(fleet.pending_attempts) == offered
     fleet.advance_connected(0.1)
 
 
-def test_hand_out_that_was_called_never_seen_is_refused():
-    """A link breaks with an order on its way; the order is handed out anew.
+def test_attempt_reported_as_never_seen_is_refused():
+    """A connection breaks while an attempt is in transit.
 
-    The sidecar, asked, has never seen it, and the router hands it out again.
-    Then the first hand-out arrives after all, its claim still in force.
+    The sidecar, when queried, reports that it has never seen the attempt, so
+    the router sends a second attempt. Then the first one arrives while its
+    claim is still open. Exactly one of the two may start.
     """
-    fleet, first = hand_out()
+    fleet, first = start_attempt()
     fleet.deliver_reply(first, attempt_lifecycle.AttemptEnd.BROKEN)
-    fleet.deliver_all_mail()
-    assert len(fleet.hand_outs) == 2
-    fleet.deliver_all_hand_outs()
-    assert fleet.starts["request-0"] == 1
+    fleet.deliver_all_messages()
+    assert len(fleet.pending_attempts) == 2
+    fleet.deliver_all_attempts()
+    assert fleet.start_counts["request-0"] == 1
     assert first not in fleet.runs
 
 
-def test_never_seen_is_not_believed_of_an_old_attempt():
-    """A router sleeps for longer than a sidecar remembers what it ran.
+def test_never_seen_is_not_trusted_for_an_old_attempt():
+    """A router is suspended for longer than the sidecar keeps a record.
 
-    It wakes up, finds the link broken and asks. The sidecar has dropped its
-    record of the finished order, and says that it has never seen it.
+    When it resumes, it finds the connection broken and queries the sidecar. The
+    sidecar has dropped its record of the finished attempt, and reports that it
+    has never seen the attempt. The router must not send the request again.
     """
-    fleet, first = hand_out()
-    fleet.deliver_all_hand_outs()
+    fleet, first = start_attempt()
+    fleet.deliver_all_attempts()
     fleet.end_run(first, COMPLETE)
     fleet.processes["router-0"].frozen = True
     fleet.advance_connected(700.0)
     fleet.processes["router-0"].frozen = False
     fleet.deliver_reply(first, attempt_lifecycle.AttemptEnd.BROKEN)
     fleet.advance_connected(1.0)
-    fleet.deliver_all_hand_outs()
-    assert fleet.final["request-0"] == UNKNOWN
-    assert fleet.starts["request-0"] == 1
+    fleet.deliver_all_attempts()
+    assert fleet.final_answers["request-0"] == UNKNOWN
+    assert fleet.start_counts["request-0"] == 1
 
 
 @pytest.mark.parametrize("restarted", ["router", "sidecar"])
-def test_hand_out_of_or_for_an_earlier_process_is_refused(restarted):
-    """A process restarts while an order is on its way to or from it.
+def test_attempt_of_or_for_an_earlier_process_is_refused(restarted):
+    """A router or sidecar restarts while an attempt is in transit.
 
-    Claim numbers begin anew, so the order names a claim that the new process
-    made or answers, for another request of the same team.
+    A new sidecar process numbers its claims from 1 again, so the attempt refers
+    to a claim of the new process. A new router process may answer the claim to
+    which the attempt of the old one refers. Either way the claim is now for
+    another request of the same team.
     """
-    fleet, first = hand_out()
-    link = fleet.links[first]
-    name = link.order.sidecar if restarted == "sidecar" else "router-0"
+    fleet, first = start_attempt()
+    connection = fleet.connections[first]
+    name = connection.order.sidecar if restarted == "sidecar" else "router-0"
     fleet.restart(name)
     fleet.advance_connected(0.5)
-    fleet.hand_outs.clear()
+    fleet.pending_attempts.clear()
     submit(fleet, 30.0, False)
-    fleet.deliver_hand_out(first, reachable=True)
+    fleet.deliver_attempt(first, reachable=True)
     assert first not in fleet.runs
 
 
-def test_order_whose_upstream_could_not_be_reached_runs_elsewhere():
-    """An upstream refuses connections, and the word of it is lost.
+def test_request_whose_upstream_is_unreachable_runs_at_another():
+    """An upstream refuses connections, and the sidecar's response is lost.
 
-    No byte reached the upstream, so the order may run at another one; its
-    caller gets a confirmation instead of "outcome unknown".
+    Nothing was sent to the upstream, so the request may run at another one. The
+    caller then gets its response instead of the error "outcome_unknown".
     """
-    fleet, first = hand_out()
-    fleet.deliver_hand_out(first, reachable=False)
+    fleet, first = start_attempt()
+    fleet.deliver_attempt(first, reachable=False)
     fleet.deliver_reply(first, attempt_lifecycle.AttemptEnd.BROKEN)
-    fleet.deliver_all_mail()
-    fleet.hand_outs.remove(first)
-    fleet.deliver_all_hand_outs()
+    fleet.deliver_all_messages()
+    fleet.pending_attempts.remove(first)
+    fleet.deliver_all_attempts()
     assert len(fleet.runs) == 1
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
 @pytest.mark.parametrize("frozen", [True, False])
-def test_caller_does_not_hang_on_a_link_that_holds_bytes_back(
-    idempotent, frozen
-):
-    """A run has ended, but its answer is held back and nothing is closed.
+def test_caller_does_not_wait_for_a_stalled_connection(idempotent, frozen):
+    """A run has ended, but no response arrives and no connection is closed.
 
-    Either only the answer's connection is dead, or the whole sidecar froze.
-    The caller would wait until its deadline, most of an hour away.
+    Either only the attempt's connection has stalled, or the sidecar's process
+    is suspended. Without a check the caller would wait until its deadline, 50
+    minutes later.
     """
-    fleet, first = hand_out(idempotent)
-    fleet.deliver_all_hand_outs()
+    fleet, first = start_attempt(idempotent)
+    fleet.deliver_all_attempts()
     if not frozen:
         fleet.end_run(first, COMPLETE)
-    fleet.processes[fleet.links[first].order.sidecar].frozen = frozen
+    fleet.processes[fleet.connections[first].order.sidecar].frozen = frozen
     fleet.advance_connected(stalls.FIRST_CHECK_DELAY + 12.0)
     if idempotent:
-        assert fleet.hand_outs, "not handed out again"
+        assert fleet.pending_attempts, "not sent again"
     else:
-        assert fleet.final["request-0"] == UNKNOWN
+        assert fleet.final_answers["request-0"] == UNKNOWN
+
 
+def test_attempt_at_a_sidecar_suspended_briefly_completes():
+    """A sidecar is suspended for 8 seconds during a run.
 
-def test_order_at_a_sidecar_that_thaws_in_time_is_confirmed():
-    """A sidecar freezes for a few seconds in the middle of a booking."""
-    fleet, first = hand_out()
-    fleet.deliver_all_hand_outs()
-    sidecar = fleet.processes[fleet.links[first].order.sidecar]
+    This is shorter than the limit for requests that aren't idempotent, so the
+    router keeps waiting and the caller gets the response.
+    """
+    fleet, first = start_attempt()
+    fleet.deliver_all_attempts()
+    sidecar = fleet.processes[fleet.connections[first].order.sidecar]
     sidecar.frozen = True
     fleet.advance_connected(8.0)
     sidecar.frozen = False
     fleet.advance_connected(20.0)
     fleet.end_run(first, COMPLETE)
     fleet.deliver_all_replies()
-    assert fleet.final["request-0"] == ("", errors.Ran.YES)
+    assert fleet.final_answers["request-0"] == ("", errors.Ran.YES)
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
-def test_run_of_a_vanished_router_gives_its_slot_back(idempotent):
-    """A router is cut off without a word; its run holds a slot for ever.
+def test_run_of_an_unreachable_router_releases_its_slot(idempotent):
+    """A router disappears without closing its connections.
 
-    The sidecar cancels it at its deadline. A booking goes on to its end.
+    Its run would occupy a slot forever. The sidecar cancels an idempotent run
+    at its deadline; other runs continue to their end.
     """
-    fleet, first = hand_out(idempotent, timeout=30.0)
-    fleet.deliver_all_hand_outs()
+    fleet, first = start_attempt(idempotent, timeout=30.0)
+    fleet.deliver_all_attempts()
     fleet.processes["router-0"].frozen = True
     fleet.advance_connected(31.0)
     assert (first in fleet.runs) == (not idempotent)
 
 
 @pytest.mark.parametrize("begun", [True, False])
-def test_deadline_tells_what_is_known_of_the_run(begun):
-    """A deadline passes while an answer streams, or before any of it."""
-    fleet, first = hand_out(idempotent=True, timeout=30.0)
-    fleet.deliver_all_hand_outs()
+def test_expired_request_reports_whether_it_was_run(begun):
+    """A deadline passes after part of a response was received, or before.
+
+    After the first part the router reports that the request was run, otherwise
+    that this is unknown.
+    """
+    fleet, first = start_attempt(idempotent=True, timeout=30.0)
+    fleet.deliver_all_attempts()
     state = fleet.processes["router-0"].state
     stalls.record_progress(state, fleet.clock("router-0"), first, 9, begun)
     fleet.advance(31.0)
     ran = errors.Ran.YES if begun else errors.Ran.UNKNOWN
-    assert fleet.final["request-0"] == ("deadline_exceeded", ran)
+    assert fleet.final_answers["request-0"] == ("deadline_exceeded", ran)
 
 
-def test_stalled_stream_is_broken_off():
-    """Part of an answer came, then the link holds the rest back.
+def test_stalled_stream_is_aborted():
+    """A connection stalls after part of a response.
 
-    The sidecar says twice that it sent more than came: the caller gets an
-    end-of-stream error rather than silence until its deadline.
+    The sidecar reports twice that it has sent more than the router received.
+    The caller then gets an error at the end of the stream, and doesn't wait
+    until its deadline. While the router itself pauses reading because the
+    caller is slow, the connection doesn't count as stalled.
     """
-    fleet, first = hand_out(idempotent=True)
-    fleet.deliver_all_hand_outs()
-    sidecar = fleet.processes[fleet.links[first].order.sidecar].state
+    fleet, first = start_attempt(idempotent=True)
+    fleet.deliver_all_attempts()
+    sidecar = fleet.processes[fleet.connections[first].order.sidecar].state
     router = fleet.processes["router-0"].state
     sidecar.runs[first].sent = 20
     stalls.record_progress(router, fleet.clock("router-0"), first, 9, True)
     stalls.record_pause(router, first, True)
     fleet.advance_connected(12.0)
-    assert not fleet.final, "a slow caller is no stalled link"
+    assert not fleet.final_answers, (
+        "a slow caller does not stall the connection"
+    )
     stalls.record_pause(router, first, False)
     fleet.advance_connected(30.0)
-    assert fleet.final["request-0"] == ("answer_incomplete", errors.Ran.YES)
+    assert fleet.final_answers["request-0"] == (
+        "answer_incomplete",
+        errors.Ran.YES,
+    )
 
 
 @pytest.mark.parametrize("offered", [True, False])
-def test_sidecar_thawed_past_its_lease_refuses_what_it_asked_for(offered):
-    """A sidecar claims or hints, freezes, and wakes up to the hand-out.
+def test_sidecar_resumed_after_its_lease_refuses_the_attempt(offered):
+    """A sidecar claims or hints, and is suspended until the attempt arrives.
 
-    Meanwhile the world has moved on: its slot may be taken, its router may
-    have given the order to another.
+    Its slot may be in use by then, and its router may have sent the request to
+    another sidecar.
     """
-    fleet, first = hand_out(offered=offered)
+    fleet, first = start_attempt(offered=offered)
     fleet.now += 20.0
-    fleet.deliver_hand_out(first, reachable=True)
-    assert not fleet.starts
+    fleet.deliver_attempt(first, reachable=True)
+    assert not fleet.start_counts
     fleet.deliver_all_replies()
-    assert not fleet.final, "the order waits again"
+    assert not fleet.final_answers, "the request is not queued again"
