--- a/sycamorefall/messages/loads.py
+++ b/sycamorefall/messages/loads.py
@@ -1,4 +1,7 @@
-"""What routers that send directly tell each other of their load."""
+"""Messages about load and crashes, between routers of `sycamorefall.direct`.
+
+These routers send requests to upstreams directly, without sidecars.
+"""
 
 __all__ = [
     "CrashReport",
@@ -22,12 +25,13 @@
 
 
 class LoadScope(enum.Enum):
-    """Whose load a message tells.
+    """Routers whose load a message reports, and its receivers.
 
-    ROUTER: the sender's own; to the routers of its failure domain.
-    DOMAIN: that of its failure domain, or of a part of it; to the delegates
-        of the others.
-    ELSEWHERE: that of all other failure domains; to routers of its own.
+    ROUTER: the sender; sent to the routers of its failure domain.
+    DOMAIN: the sender's failure domain, or a part of it; sent to the delegates
+        of the other failure domains.
+    ELSEWHERE: all other failure domains; sent to the routers of the sender's
+        failure domain.
     """
 
     ROUTER = 0
@@ -36,16 +40,18 @@
 
 
 class UpstreamLoad(msgspec.Struct, frozen=True, array_like=True):
-    """What one router, or several together, have at an upstream.
+    """Load of one or more routers at an upstream.
 
     Attributes:
-        upstream: The upstream's incarnation.
-        running: Requests sent and not ended.
-        unread: Prompt tokens of those that have not begun to answer.
-        memory: Tokens of all of them, output included.
-        floor: Least that a team received lately, of all routers, whose
-            request waits there for this upstream; -1 if none does.
-        short_floor: The same of teams that had a request refused lately.
+        upstream: Incarnation of the upstream.
+        running: Number of requests sent to it that have not ended.
+        unread: Prompt tokens of those requests whose response has not begun.
+        memory: Tokens of all those requests, including expected output.
+        floor: Least service, in cost units recently received from all routers,
+            of any team that waits at these routers for the upstream; -1 if no
+            team waits.
+        short_floor: Like `floor`, but only of teams that recently had a request
+            refused.
     """
 
     upstream: Name
@@ -57,18 +63,23 @@
 
 
 class TeamService(msgspec.Struct, frozen=True, array_like=True):
-    """What a team was given lately, in cost units."""
+    """Service that a team recently received.
+
+    Attributes:
+        team: Name of the team.
+        amount: The service in cost units.
+    """
 
     team: Name
     amount: int
 
 
 class ServiceDemand(msgspec.Struct, frozen=True, array_like=True):
-    """A service as those routers see it.
+    """Service that teams recently received from an upstream service.
 
     Attributes:
-        service: The service.
-        teams: What they gave its teams lately.
+        service: Name of the upstream service.
+        teams: What the reporting routers gave to each team.
     """
 
     service: Name
@@ -76,14 +87,14 @@
 
 
 class RouterAddress(msgspec.Struct, frozen=True, array_like=True):
-    """A router, and where it is reached.
+    """Address and failure domain of a router.
 
     Attributes:
-        vm: Its VM.
-        control: Where its control messages go.
-        failure_domain: Where it stands; empty if that isn't known.
-        delegate: Whether it tells other failure domains of the load of its
-            own.
+        vm: VM name of the router.
+        control: Address at which it receives control messages.
+        failure_domain: Its failure domain; empty if unknown.
+        delegate: Whether it is a delegate of its failure domain, which reports
+            the load of the domain to other failure domains.
     """
 
     vm: str
@@ -93,9 +104,13 @@
 
 
 class KnownRouters(msgspec.Struct, frozen=True, array_like=True, tag="o"):
-    """A router tells another one whom it is to speak to.
+    """A referral: names routers with which the receiver should exchange load.
 
-    Hearsay: it names addresses, and says nothing of who lives.
+    It provides only addresses. The receiver must not conclude that the named
+    routers are alive.
+
+    Attributes:
+        routers: The routers.
     """
 
     routers: tuple[RouterAddress, ...]
@@ -105,10 +120,10 @@
     """A prompt that a router sent to an engine.
 
     Attributes:
-        upstream: The engine's incarnation.
-        parts: Digests of the prompt's shared parts in order, with their
-            tokens.
-        own: Tokens that no other request shares.
+        upstream: Incarnation of the engine.
+        parts: Digest and token count of each of the prompt's shared parts, in
+            order.
+        own: Number of tokens that are not shared with other requests.
     """
 
     upstream: Name
@@ -117,32 +132,34 @@
 
 
 class RouterLoad(msgspec.Struct, frozen=True, array_like=True, tag="l"):
-    """What routers that send directly have at the upstreams.
+    """Load and team usage of one or more routers: a full update or a delta.
 
-    A later one replaces an earlier one, so loss and repetition do no harm;
-    `sequence` tells which is later.
+    A full update replaces earlier messages, so lost and repeated messages do no
+    lasting harm. Their order is determined by `sequence`.
 
     Attributes:
-        sequence: Grows with each message of the sender's incarnation.
-        control: Where the sender takes control messages.
-        routers: Other routers that it heard of.
-        upstreams: The load, and what waits for them; what is left out has
-            none.
-        services: What was given.
-        whole: Whether this is all; otherwise what is left out, but for the
-            sequence, is as it was told before.
+        sequence: Sequence number, which grows with each message of the sender's
+            process.
+        control: Address at which the sender receives control messages; empty in
+            a delta.
+        routers: Other routers that the sender knows.
+        upstreams: Load at upstreams, and floors of the teams that wait for
+            them. In a full update, an upstream that is missing has neither.
+        services: Service that teams recently received.
+        whole: Whether the message is a full update. In a delta, everything that
+            is missing, except `sequence`, is as reported before.
         prompts: Prompts sent since the last message whose shared parts are
-            worth copying from engine to engine, as many as the budget of
-            control traffic allows. Where a message is lost, the others know
-            less of what engines hold.
-        failure_domain: Where the sender stands; told in whole messages.
-        capacity: Tenths of a processor core that it has.
-        available: Whether it may do work for other routers: it is neither
-            stopping nor overloaded.
-        scope: Whose load this is.
-        part: Which part of a failure domain, from 0.
-        parts: In how many it is told.
-        covers: Routers whose load this is.
+            worth copying between engines, as many as the budget for control
+            traffic allows. If a message is lost, the receiver has a less
+            complete estimate of the engines' caches.
+        failure_domain: Failure domain of the sender; only in full updates.
+        capacity: Processor capacity of the sender, in tenths of a core.
+        available: Whether the sender can do work for other routers, that is, it
+            is neither stopping nor overloaded.
+        scope: Routers whose load is reported.
+        part: Number of the reported part of a failure domain, from 0.
+        parts: Number of parts in which the failure domain is reported.
+        covers: Number of routers whose load is included.
     """
 
     sequence: int
@@ -166,9 +183,9 @@
 
     Attributes:
         fingerprint: The request's fingerprint.
-        age: Seconds since its last crash, or its last arrival while
-            quarantined, rounded up.
-        cleared: Whether it has succeeded since.
+        age: Seconds since the last crash during which it was in progress, or
+            since its last arrival while quarantined, rounded up.
+        cleared: Whether it has succeeded since then.
     """
 
     fingerprint: bytes
@@ -180,9 +197,9 @@
     """A crashed process of an upstream, and the requests in progress there.
 
     Attributes:
-        upstream: The upstream's incarnation.
-        born: When its process started; 0 if unknown.
-        suspects: The requests.
+        upstream: Incarnation of the upstream.
+        born: When the crashed process started; 0 if unknown.
+        suspects: The requests in progress at the crash.
     """
 
     upstream: Name
@@ -191,10 +208,13 @@
 
 
 class CrashReports(msgspec.Struct, frozen=True, array_like=True, tag="x"):
-    """Crash evidence of a router.
+    """Crash reports of a router.
 
-    Applying it is idempotent and commutative, so repeated or reordered messages
-    have no effect. Later messages make up for lost ones.
+    Applying them is idempotent and commutative, so repeated or reordered
+    messages have no effect. Later messages make up for lost ones.
+
+    Attributes:
+        reports: The crash reports.
     """
 
     reports: tuple[CrashReport, ...]
