--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -148,7 +148,7 @@
     def start() -> None:
         del run.waiting[arrival.number]
         run.outcome.waits.append(
-            measures.Wait(arrival.team, arrival.at, run.events.now)
+            measures.WaitInterval(arrival.team, arrival.at, run.events.now)
         )
         begun = (arrival.team, run.events.now, arrival.cost)
         run.running[arrival.number] = begun
@@ -156,7 +156,7 @@
     def end() -> None:
         team, started, cost = run.running.pop(arrival.number)
         run.outcome.services.append(
-            measures.Service(team, started, run.events.now, cost)
+            measures.ServiceInterval(team, started, run.events.now, cost)
         )
         release()
 
@@ -173,11 +173,11 @@
 def _close_books(run: _Run) -> None:
     end = run.options.seconds
     run.outcome.waits += [
-        measures.Wait(arrival.team, arrival.at, end)
+        measures.WaitInterval(arrival.team, arrival.at, end)
         for arrival in run.waiting.values()
     ]
     run.outcome.services += [
-        measures.Service(
+        measures.ServiceInterval(
             team, at, end, (end - at) * upstream_module.UNITS_PER_SECOND
         )
         for team, at, _ in run.running.values()
--- a/benchmarks/capacity_control.py
+++ b/benchmarks/capacity_control.py
@@ -65,7 +65,7 @@
 
     def __init__(self):
         self.socket = pynng.Pull0(recv_buffer_size=8192)
-        port = fleet_module.find_ports(1)[0]
+        port = fleet_module.reserve_ports(1)[0]
         self.address = f"127.0.0.1:{port}"
         self.socket.listen(f"tcp://{self.address}")
 
@@ -150,7 +150,7 @@
         {f"team-{index}": 1.0 for index in range(16)},
         "[service assistant]\nkind = engine\nconcurrency = 4\n",
     )
-    engine = fleet_module.Upstreams("assistant", 1, "standins.engine", 4)
+    engine = fleet_module.UpstreamGroup("assistant", 1, "standins.engine", 4)
     # All watch: those chosen among the absent VMs could not.
     return fleet_module.start_fleet(
         folder, text, 1, [engine], platform_settings="watchers = 1000"
--- a/benchmarks/capacity_datapath.py
+++ b/benchmarks/capacity_datapath.py
@@ -201,7 +201,7 @@
         fleet_module.write_text({"mill-a": 1.0}, SERVICES),
         routers=1,
         upstreams=[
-            fleet_module.Upstreams(
+            fleet_module.UpstreamGroup(
                 "assistant",
                 sidecars,
                 "standins.engine",
--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -51,7 +51,7 @@
     __slots__ = ("_loop", "address", "seconds", "server")
 
     def __init__(self):
-        self.address = settings.Address("127.0.0.1", fleet.find_ports(1)[0])
+        self.address = settings.Address("127.0.0.1", fleet.reserve_ports(1)[0])
         self.seconds = 0.0
         self._loop = transport.create_loop(lambda: None)
         self.server = transport.HttpServer(
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -67,8 +67,10 @@
         sent_bytes: Their encoded size.
     """
 
-    services: list[measures.Service] = dataclasses.field(default_factory=list)
-    waits: list[measures.Wait] = dataclasses.field(default_factory=list)
+    services: list[measures.ServiceInterval] = dataclasses.field(
+        default_factory=list
+    )
+    waits: list[measures.WaitInterval] = dataclasses.field(default_factory=list)
     sent: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
@@ -313,7 +315,7 @@
     def end() -> None:
         now = fleet.events.now
         team, started, cost = fleet.running.pop(order.attempt_id)
-        service = measures.Service(team, started, now, cost)
+        service = measures.ServiceInterval(team, started, now, cost)
         fleet.outcome.services.append(service)
         running.finish_run(state, now, order.attempt_id)
         if not fleet.options.reserve:
@@ -330,7 +332,7 @@
     arrival = fleet.waiting.pop((router, number), None)
     if arrival is not None:
         began = WARM_UP + arrival.at
-        wait = measures.Wait(arrival.team, began, fleet.events.now)
+        wait = measures.WaitInterval(arrival.team, began, fleet.events.now)
         fleet.outcome.waits.append(wait)
 
 
@@ -341,5 +343,5 @@
     for team, started, _ in fleet.running.values():
         units = (end - started) * upstream_module.UNITS_PER_SECOND
         fleet.outcome.services.append(
-            measures.Service(team, started, end, units)
+            measures.ServiceInterval(team, started, end, units)
         )
--- a/benchmarks/results.py
+++ b/benchmarks/results.py
@@ -76,10 +76,12 @@
     return Figures(
         case=case.name,
         policy=policy,
-        gap=measures.measure_gap(outcome.services, outcome.waits, weights),
+        gap=measures.compute_fairness_gap(
+            outcome.services, outcome.waits, weights
+        ),
         bound=_compute_bound(options, weights, staleness),
         pause=max(measure_pause(outcome, team) for team in weights),
-        lost=measures.measure_lost_capacity(
+        lost=measures.compute_lost_capacity(
             outcome.services, outcome.waits, slots
         ),
         runs=len(outcome.services),
--- a/benchmarks/tests/test_generated_loads.py
+++ b/benchmarks/tests/test_generated_loads.py
@@ -57,7 +57,9 @@
     outcome = fleet.run_fleet(case, options)
     hypothesis.assume(outcome.services)
     weights = {sender.team: sender.weight for sender in case.senders}
-    gap = measures.measure_gap(outcome.services, outcome.waits, weights)
+    gap = measures.compute_fairness_gap(
+        outcome.services, outcome.waits, weights
+    )
     slots = options.upstreams * options.slots
     assert gap <= fairness_bound.compute_gap_bound(
         in_flight=slots + options.upstreams,
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -46,7 +46,7 @@
 """Requests per second for the ledger, by team."""
 
 
-def plan_load(routers: list[int], seed: int) -> list[load.Plan]:
+def plan_load(routers: list[int], seed: int) -> list[load.PlannedRequest]:
     """Plans the demo's requests.
 
     Args:
@@ -57,7 +57,7 @@
         The requests, in the order in which they are sent.
     """
     chance = random.Random(seed)
-    plans: list[load.Plan] = []
+    plans: list[load.PlannedRequest] = []
     rates = [("assistant", ENGINE_RATES), ("ledger", LEDGER_RATES)]
     for service, by_team in rates:
         for team, rate in by_team.items():
@@ -76,9 +76,9 @@
     team: str,
     at: float,
     routers: list[int],
-) -> load.Plan:
+) -> load.PlannedRequest:
     router = routers[0] if team == "large" else chance.choice(routers)
-    plan = load.Plan("", team, service, router, at, timeout=8.0)
+    plan = load.PlannedRequest("", team, service, router, at, timeout=8.0)
     if service == "assistant":
         plan.tokens = min(80, 5 + int(chance.expovariate(1 / 25)))
         plan.streamed = chance.random() < 0.5
@@ -95,14 +95,14 @@
         fleet_module.write_text(TEAMS, SERVICES),
         routers=2,
         upstreams=[
-            fleet_module.Upstreams(
+            fleet_module.UpstreamGroup(
                 "assistant",
                 ENGINES,
                 "standins.engine",
                 ENGINE_SLOTS,
                 (f"--token-ms={TOKEN_MS}",),
             ),
-            fleet_module.Upstreams(
+            fleet_module.UpstreamGroup(
                 "ledger", LEDGERS, "standins.ledger", LEDGER_SLOTS
             ),
         ],
@@ -129,11 +129,11 @@
 }
 
 
-def _make_progress(plans: list[load.Plan]):
+def _make_progress(plans: list[load.PlannedRequest]):
     """Makes a function that shows how many answers have come."""
     counts: collections.Counter[str] = collections.Counter()
 
-    def show(answer: load.Answer) -> None:
+    def show(answer: load.RequestResult) -> None:
         counts["answered" if answer.right else answer.kind] += 1
         done = counts.total()
         if done % 100 == 0 or done == len(plans):
--- a/standins/desk.py
+++ b/standins/dependent_service.py
@@ -15,7 +15,7 @@
 PARENT_HEADER = "Sycamorefall-Parent"
 
 
-class Desk:
+class DependentService:
     """State of the stand-in."""
 
     __slots__ = ("running", "runs", "slots")
@@ -43,7 +43,7 @@
         return web.json_response({"status": answer.status, "answer": body})
 
 
-async def _book(request: web.Request, desk: Desk) -> web.Response:
+async def _book(request: web.Request, desk: DependentService) -> web.Response:
     order = await request.json()
     run = runs_module.Run(
         order["id"], order["team"], arrived=runs_module.read_clock()
@@ -59,7 +59,7 @@
             desk.running -= 1
 
 
-def create_application(desk: Desk) -> web.Application:
+def create_application(desk: DependentService) -> web.Application:
     """Creates the desk's application."""
     application = web.Application()
     application.add_routes(
@@ -74,7 +74,7 @@
 def main() -> None:
     """Runs the stand-in."""
     runs_module.run_plain(
-        __doc__, lambda slots: create_application(Desk(slots))
+        __doc__, lambda slots: create_application(DependentService(slots))
     )
 
 
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Upstreams:
+class UpstreamGroup:
     """Upstreams of one service that the fleet is to have.
 
     Attributes:
@@ -99,7 +99,7 @@
         revision: Its revision.
         vms_revision: Revision of the VM list last published.
         platform_settings: Further lines of section `[platform]`.
-        helpers: Processes of the stand-ins that belong to no VM.
+        shared_processes: Processes of the stand-ins that belong to no VM.
         extra_settings: Further INI sections for all routers and sidecars.
     """
 
@@ -111,7 +111,9 @@
     revision: int = 0
     vms_revision: int = 0
     platform_settings: str = ""
-    helpers: list[subprocess.Popen] = dataclasses.field(default_factory=list)
+    shared_processes: list[subprocess.Popen] = dataclasses.field(
+        default_factory=list
+    )
     extra_settings: str = ""
 
 
@@ -158,7 +160,7 @@
 _ports = _Ports()
 
 
-def find_ports(count: int) -> list[int]:
+def reserve_ports(count: int) -> list[int]:
     """Finds free ports on loopback.
 
     They lie below those that the system gives to outgoing connections: such
@@ -215,7 +217,7 @@
     folder: pathlib.Path,
     text: str,
     routers: int,
-    upstreams: list[Upstreams],
+    upstreams: list[UpstreamGroup],
     extra_settings: str = "",
     platform_settings: str = "",
     relays_data: bool = False,
@@ -244,7 +246,7 @@
         publish_vms(fleet)
         for node in fleet.nodes.values():
             start_node(fleet, node)
-        wait_ready(fleet)
+        wait_until_ready(fleet)
     except BaseException:
         kill_fleet(fleet)
         raise
@@ -254,7 +256,7 @@
 def _plan_fleet(
     folder: pathlib.Path,
     routers: int,
-    upstreams: list[Upstreams],
+    upstreams: list[UpstreamGroup],
     relays_data: bool,
 ) -> Fleet:
     named = [(f"router-{index}", "router", "") for index in range(routers)]
@@ -263,7 +265,7 @@
         for group in upstreams
         for index in range(group.count)
     ]
-    ports = iter(find_ports(2 + 5 * len(named)))
+    ports = iter(reserve_ports(2 + 5 * len(named)))
     fleet = Fleet(folder, next(ports), next(ports), {})
     for name, role, service in named:
         node = Node(name, role, service, next(ports), next(ports), next(ports))
@@ -275,7 +277,7 @@
     return fleet
 
 
-def _start_surroundings(fleet: Fleet, upstreams: list[Upstreams]) -> None:
+def _start_surroundings(fleet: Fleet, upstreams: list[UpstreamGroup]) -> None:
     routes = [
         f"{node.relayed_control}:{node.control}"
         for node in fleet.nodes.values()
@@ -285,10 +287,10 @@
         for node in fleet.nodes.values()
         if node.relayed_data
     ]
-    fleet.helpers.append(
+    fleet.shared_processes.append(
         _spawn(fleet, "platform", "standins.platform", str(fleet.platform))
     )
-    fleet.helpers.append(
+    fleet.shared_processes.append(
         _spawn(fleet, "relay", "standins.relay", str(fleet.relay), *routes)
     )
     groups = {group.service: group for group in upstreams}
@@ -301,14 +303,14 @@
 
 def start_platform(fleet: Fleet, name: str) -> int:
     """Starts one more platform beside the fleet's; returns its port."""
-    port = find_ports(1)[0]
+    port = reserve_ports(1)[0]
     process = _spawn(fleet, name, "standins.platform", str(port))
-    fleet.helpers.append(process)
+    fleet.shared_processes.append(process)
     wait_until(lambda: call(port, "/test/reads"), name)
     return port
 
 
-def start_upstream(fleet: Fleet, node: Node, group: Upstreams) -> None:
+def start_upstream(fleet: Fleet, node: Node, group: UpstreamGroup) -> None:
     """Starts the upstream beside a sidecar and waits until it answers."""
     node.upstream_process = _spawn(
         fleet,
@@ -399,7 +401,7 @@
     call(fleet.platform, "/test/vms", body)
 
 
-def wait_ready(fleet: Fleet) -> None:
+def wait_until_ready(fleet: Fleet) -> None:
     """Waits until every router reaches an upstream of every service."""
     services = {node.service for node in fleet.nodes.values()} - {""}
     for node in fleet.nodes.values():
@@ -441,7 +443,7 @@
 
 def kill_fleet(fleet: Fleet) -> None:
     """Ends whatever still runs."""
-    processes = list(fleet.helpers)
+    processes = list(fleet.shared_processes)
     for node in fleet.nodes.values():
         processes += [node.process, node.upstream_process]
     for process in filter(None, processes):
--- a/standins/load.py
+++ b/standins/load.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Plan:
+class PlannedRequest:
     """A request to be sent.
 
     Attributes:
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Answer:
+class RequestResult:
     """What became of a request, as its caller saw it.
 
     Attributes:
@@ -58,7 +58,7 @@
         right: Whether the whole and only this request's answer came.
     """
 
-    plan: Plan
+    plan: PlannedRequest
     sent: float
     first: float = 0.0
     ended: float = 0.0
@@ -69,12 +69,12 @@
     right: bool = False
 
 
-def expect_text(plan: Plan) -> str:
+def build_expected_text(plan: PlannedRequest) -> str:
     """Gives the text that an engine answers to a request."""
     return "".join(f"{plan.request}:{i} " for i in range(plan.tokens))
 
 
-def _make_headers(plan: Plan) -> dict[str, str]:
+def _make_headers(plan: PlannedRequest) -> dict[str, str]:
     return {
         "Authorization": f"Bearer {fleet_module.make_key(plan.team)}",
         "Content-Type": "application/json",
@@ -83,7 +83,7 @@
     }
 
 
-def _make_request(plan: Plan) -> tuple[str, dict]:
+def _make_request(plan: PlannedRequest) -> tuple[str, dict]:
     if plan.tokens:
         content = {
             "id": plan.request,
@@ -106,10 +106,12 @@
     return f"/v1/services/{plan.service}/orders", order
 
 
-async def send_request(session: aiohttp.ClientSession, plan: Plan) -> Answer:
+async def send_request(
+    session: aiohttp.ClientSession, plan: PlannedRequest
+) -> RequestResult:
     """Sends one request and checks its answer."""
     path, body = _make_request(plan)
-    answer = Answer(plan, sent=runs_module.read_clock())
+    answer = RequestResult(plan, sent=runs_module.read_clock())
     try:
         async with session.post(
             f"http://127.0.0.1:{plan.router}{path}",
@@ -126,7 +128,9 @@
 
 
 async def _read_answer(
-    response: aiohttp.ClientResponse, plan: Plan, answer: Answer
+    response: aiohttp.ClientResponse,
+    plan: PlannedRequest,
+    answer: RequestResult,
 ) -> None:
     if response.status != 200:
         error = json.loads(await response.read())["error"]
@@ -134,19 +138,19 @@
         return
     if plan.streamed:
         text = await _read_stream(response, answer)
-        answer.right = text == expect_text(plan)
+        answer.right = text == build_expected_text(plan)
         return
     body = json.loads(await response.read())
     answer.first = runs_module.read_clock()
     if plan.tokens:
         text = body["choices"][0]["message"]["content"]
-        answer.right = text == expect_text(plan)
+        answer.right = text == build_expected_text(plan)
     else:
         answer.right = body == {"id": plan.request, "state": "confirmed"}
 
 
 async def _read_stream(
-    response: aiohttp.ClientResponse, answer: Answer
+    response: aiohttp.ClientResponse, answer: RequestResult
 ) -> str | None:
     """Reads a streamed answer; None unless it came whole."""
     parts: list[str] = []
@@ -169,7 +173,9 @@
     return None
 
 
-async def send_all(plans: list[Plan], on_answer=None) -> list[Answer]:
+async def send_all(
+    plans: list[PlannedRequest], on_answer=None
+) -> list[RequestResult]:
     """Sends all requests, each at its time, whatever the others do.
 
     Args:
@@ -187,7 +193,7 @@
         connector=connector, timeout=timeout
     ) as session:
 
-        async def send_at(plan: Plan) -> Answer:
+        async def send_at(plan: PlannedRequest) -> RequestResult:
             delay = start + plan.at - runs_module.read_clock()
             await asyncio.sleep(max(0.0, delay))
             answer = await send_request(session, plan)
--- a/standins/measures.py
+++ b/standins/measures.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Service:
+class ServiceInterval:
     """Service that a team received, in time.
 
     Attributes:
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Wait:
+class WaitInterval:
     """A request's time from being sent to being started or given up."""
 
     team: str
@@ -41,7 +41,7 @@
 
     __slots__ = ("rates", "times", "totals")
 
-    def __init__(self, services: Iterable[Service]):
+    def __init__(self, services: Iterable[ServiceInterval]):
         steps: dict[float, float] = {}
         for service in services:
             length = max(service.finished - service.started, 1e-9)
@@ -106,9 +106,9 @@
     return common
 
 
-def measure_gap(
-    services: list[Service],
-    waits: list[Wait],
+def compute_fairness_gap(
+    services: list[ServiceInterval],
+    waits: list[WaitInterval],
     weights: dict[str, float],
 ) -> float:
     """Measures the fairness gap.
@@ -152,8 +152,8 @@
     return gap
 
 
-def measure_lost_capacity(
-    services: list[Service], waits: list[Wait], slots: int
+def compute_lost_capacity(
+    services: list[ServiceInterval], waits: list[WaitInterval], slots: int
 ) -> float:
     """Measures the share of slot time that was idle while work waited.
 
--- a/standins/report.py
+++ b/standins/report.py
@@ -31,7 +31,7 @@
         exit_statuses: Exit status by node, after the graceful stop.
     """
 
-    answers: list[load.Answer]
+    answers: list[load.RequestResult]
     runs: dict[str, list[runs_module.Run]]
     seconds: float
     weights: dict[str, float]
@@ -46,7 +46,7 @@
 
 def collect_report(
     fleet: fleet_module.Fleet,
-    answers: list[load.Answer],
+    answers: list[load.RequestResult],
     seconds: float,
     weights: dict[str, float],
     slots: dict[str, int],
@@ -80,7 +80,7 @@
     )
 
 
-def find_wrong(report: Report) -> list[load.Answer]:
+def find_wrong(report: Report) -> list[load.RequestResult]:
     """Finds false answers: another's, not whole, or untruly "not run"."""
     counts = count_runs(report)
     return [
@@ -91,7 +91,7 @@
     ]
 
 
-def find_lost(report: Report) -> list[load.Answer]:
+def find_lost(report: Report) -> list[load.RequestResult]:
     """Finds requests whose callers got no final answer at all."""
     return [
         answer
@@ -112,16 +112,18 @@
 
 def list_services(
     report: Report, service: str, end: float
-) -> list[measures.Service]:
+) -> list[measures.ServiceInterval]:
     """Lists the service given, runs in progress counted up to `end`."""
     return [
-        measures.Service(run.team, run.started, run.finished or end, run.cost)
+        measures.ServiceInterval(
+            run.team, run.started, run.finished or end, run.cost
+        )
         for run in report.runs.get(service, ())
         if run.started
     ]
 
 
-def list_waits(report: Report, service: str) -> list[measures.Wait]:
+def list_waits(report: Report, service: str) -> list[measures.WaitInterval]:
     """Lists how long each request waited for its start or its refusal."""
     started = {
         run.request: run.started
@@ -129,7 +131,7 @@
         if run.started
     }
     return [
-        measures.Wait(
+        measures.WaitInterval(
             answer.plan.team,
             answer.sent,
             max(answer.sent, started.get(answer.plan.request, answer.ended)),
@@ -145,7 +147,7 @@
     services = list_services(report, "assistant", end)
     waits = list_waits(report, "assistant")
     lost = sum(
-        measures.measure_lost_capacity(
+        measures.compute_lost_capacity(
             list_services(report, service, end),
             list_waits(report, service),
             slots,
@@ -161,7 +163,7 @@
         "doubled": len(find_doubled(report)),
         "not_run": sum(answer.ran == "no" for answer in report.answers),
         "fairness_gap": round(
-            measures.measure_gap(services, waits, report.weights), 1
+            measures.compute_fairness_gap(services, waits, report.weights), 1
         ),
         "fairness_bound": round(_compute_bound(report, services), 1),
         "utilisation": round(1 - lost, 4),
@@ -171,7 +173,9 @@
     }
 
 
-def _compute_bound(report: Report, services: list[measures.Service]) -> float:
+def _compute_bound(
+    report: Report, services: list[measures.ServiceInterval]
+) -> float:
     in_flight = (
         report.slots["assistant"] + CLAIMS_AHEAD * report.upstreams["assistant"]
     )
--- a/standins/site.py
+++ b/standins/site.py
@@ -31,7 +31,7 @@
 
     process: subprocess.Popen
     data: int
-    ready: int
+    operators: int
     control: int
     settings: pathlib.Path
 
@@ -42,7 +42,7 @@
     def __init__(self, folder: pathlib.Path):
         self.folder = folder
         self.store = wire_store.Store()
-        (self.store_port,) = fleet.find_ports(1)
+        (self.store_port,) = fleet.reserve_ports(1)
         self.upstreams: dict[str, wire_upstream.Upstream] = {}
         self.routers: list[Router] = []
         self._runner: web.AppRunner | None = None
@@ -98,10 +98,10 @@
 
         upstream.port = self._await(listen())
         self.upstreams[name] = upstream
-        self.list_upstream(name, service, slots)
+        self.register_upstream(name, service, slots)
         return upstream
 
-    def list_upstream(
+    def register_upstream(
         self,
         name: str,
         service: str,
@@ -126,29 +126,33 @@
         )
 
     def add_router(
-        self, name: str = "front-a-1", wait: bool = True, more: str = ""
+        self,
+        name: str = "front-a-1",
+        wait: bool = True,
+        extra_settings: str = "",
     ) -> Router:
         """Starts a router and waits until it is ready.
 
         Args:
             name: The name of its VM.
             wait: Whether to wait.
-            more: Further sections of its settings.
+            extra_settings: Further sections of its settings.
         """
-        data, ready, control = fleet.find_ports(3)
+        data, operators, control = fleet.reserve_ports(3)
         path = self.folder / f"{name}.ini"
         path.write_text(
             f"[vm]\nname = {name}\nfailure_domain = a\n"
             f"[listen]\ndata = 127.0.0.1:{data}\n"
-            f"operators = 127.0.0.1:{ready}\ncontrol = 127.0.0.1:{control}\n"
+            f"operators = 127.0.0.1:{operators}\n"
+            f"control = 127.0.0.1:{control}\n"
             f"[platform]\naddress = 127.0.0.1:{self.store_port}\n"
-            f"[log]\ndestination = {self.folder / name}.log\n{more}"
+            f"[log]\ndestination = {self.folder / name}.log\n{extra_settings}"
         )
         process = subprocess.Popen(
             [sys.executable, "-m", "sycamorefall.platform"],
             env=os.environ | {"SYCAMOREFALL_SETTINGS": str(path)},
         )
-        router = Router(process, data, ready, control, path)
+        router = Router(process, data, operators, control, path)
         self.routers.append(router)
         if wait:
             wait_until(lambda: is_ready(router), START_TIMEOUT)
@@ -157,7 +161,7 @@
 
 def is_ready(router: Router) -> bool:
     """Asks a router whether it takes connections."""
-    url = f"http://127.0.0.1:{router.ready}/ready"
+    url = f"http://127.0.0.1:{router.operators}/ready"
     try:
         with urllib.request.urlopen(url, timeout=1) as answer:
             return answer.status == 200
@@ -191,7 +195,9 @@
         return answer.status, found, answer.read()
 
 
-def describe_route(name: str, kind: str, service: str, **more: object) -> dict:
+def build_route(
+    name: str, kind: str, service: str, **extra_settings: object
+) -> dict:
     """Describes a route below `/NAME/` as the store holds it."""
     return {
         "Name": name,
@@ -204,10 +210,10 @@
         "Service": service,
         "MaxAttempts": 2,
         "Public": False,
-    } | more
+    } | extra_settings
 
 
-def describe_configuration(
+def build_configuration(
     version: int, routes: list[dict], keys: dict[str, list[str]]
 ) -> dict:
     """Describes a configuration with an engine and a ledger service."""
@@ -233,10 +239,10 @@
 
 
 STANDARD_ROUTES = (
-    describe_route("draft", "streaming", "engine", MaxAttempts=1),
-    describe_route("answer", "streaming", "engine", StreamResume=True),
-    describe_route("book", "unsafe", "ledger", Public=True, MaxAttempts=1),
-    describe_route("look", "safe", "ledger", Public=True),
-    describe_route("order", "unsafe", "ledger", MaxAttempts=1),
+    build_route("draft", "streaming", "engine", MaxAttempts=1),
+    build_route("answer", "streaming", "engine", StreamResume=True),
+    build_route("book", "unsafe", "ledger", Public=True, MaxAttempts=1),
+    build_route("look", "safe", "ledger", Public=True),
+    build_route("order", "unsafe", "ledger", MaxAttempts=1),
 )
 """One route of each kind, and one of a plain service that needs a key."""
--- a/standins/wire_store.py
+++ b/standins/wire_store.py
@@ -10,7 +10,7 @@
 
 from aiohttp import web
 
-PAGE = 50
+PAGE_SIZE = 50
 """Items of one answer."""
 
 
@@ -18,19 +18,19 @@
     """The platform's store, with switches for its troubles.
 
     Attributes:
-        away: Answers 503 to everything.
-        deaf: Watches hear nothing.
-        calls: Reads served, by path.
+        unavailable: Answers 503 to everything.
+        suppress_events: Watches hear nothing.
+        read_counts: Reads served, by path.
     """
 
     def __init__(self):
         self.items: dict[str, tuple[str, int, int]] = {}
         self.changes: list[tuple[int, str]] = []
         self.revision = 1
-        self.first_kept = 0
-        self.away = False
-        self.deaf = False
-        self.calls: collections.Counter = collections.Counter()
+        self.oldest_revision = 0
+        self.unavailable = False
+        self.suppress_events = False
+        self.read_counts: collections.Counter = collections.Counter()
 
     def put(self, key: str, value: object) -> None:
         """Writes a key."""
@@ -46,9 +46,9 @@
         self.items.pop(key, None)
         self.changes.append((self.revision, key))
 
-    def forget_history(self) -> None:
+    def discard_history(self) -> None:
         """Answers 410 to watches from before now."""
-        self.first_kept = self.revision
+        self.oldest_revision = self.revision
 
     def _describe(self, key: str) -> dict:
         value, revision, made = self.items[key]
@@ -61,8 +61,8 @@
 
     async def answer(self, request: web.Request) -> web.Response:
         """Answers a read."""
-        self.calls[request.path] += 1
-        if self.away:
+        self.read_counts[request.path] += 1
+        if self.unavailable:
             return web.Response(status=503)
         query = request.query
         match request.path:
@@ -78,7 +78,7 @@
                     if key.startswith(query["Prefix"])
                     and key > query.get("After", "")
                 )
-                page = [self._describe(key) for key in keys[:PAGE]]
+                page = [self._describe(key) for key in keys[:PAGE_SIZE]]
                 more = len(keys) > len(page)
                 answer = {"Items": page, "MorePages": more}
                 answer["CurrentRev"] = self.revision
@@ -89,10 +89,14 @@
         after, end = int(query["After"]), int(query["WaitMs"]) / 1000
         end += time.monotonic()
         while time.monotonic() < end:
-            if after < self.first_kept:
+            if after < self.oldest_revision:
                 return web.Response(status=410)
-            news = [c for c in self.changes if c[0] > after and not self.deaf]
-            if news or self.away:
+            news = [
+                c
+                for c in self.changes
+                if c[0] > after and not self.suppress_events
+            ]
+            if news or self.unavailable:
                 break
             await asyncio.sleep(0.02)
         else:
--- a/standins/wire_upstream.py
+++ b/standins/wire_upstream.py
@@ -17,17 +17,19 @@
         runs: What it ran: request id and the headers that came with it.
         refuse: Answers 503 and says that it did not run the request.
         fail: Answers 500 after running the request.
-        cut_after: Breaks a stream off, inside an event, after so many.
+        truncate_after: Breaks a stream off, inside an event, after so many.
         hang: Runs requests and never answers.
         extra: Sends the answer to a request twice.
-        repeat: Sends it again before the next answer on its connection.
-        repeated: How often it did.
-        pause: Seconds between two events.
-        crash_on: Body of the requests that crash it.
+        repeat_previous: Sends it again before the next answer on its
+            connection.
+        repeat_count: How often it did.
+        event_interval: Seconds between two events.
+        crash_on_body: Body of the requests that crash it.
         crashed: Whether it has crashed.
         server: The server that listens for its connections.
         leaving: Sends Server-Leaving in its responses, except in a 421.
-        rest: Retry-After value of its 503 responses; None omits the header.
+        retry_after: Retry-After value of its 503 responses; None omits the
+            header.
         refused: Ids of the requests that it refused.
     """
 
@@ -36,20 +38,20 @@
     runs: list[tuple[str, dict[str, str]]] = dataclasses.field(
         default_factory=list
     )
-    gone: list[str] = dataclasses.field(default_factory=list)
+    cancelled: list[str] = dataclasses.field(default_factory=list)
     refuse: bool = False
     fail: bool = False
-    cut_after: int | None = None
+    truncate_after: int | None = None
     hang: bool = False
     extra: bool = False
-    repeat: bool = False
-    repeated: int = 0
-    pause: float = 0.01
-    crash_on: bytes | None = None
+    repeat_previous: bool = False
+    repeat_count: int = 0
+    event_interval: float = 0.01
+    crash_on_body: bytes | None = None
     crashed: bool = False
     server: asyncio.Server | None = None
     leaving: bool = False
-    rest: str | None = None
+    retry_after: str | None = None
     refused: list[str] = dataclasses.field(default_factory=list)
     _last: dict[asyncio.StreamWriter, bytes] = dataclasses.field(
         default_factory=dict
@@ -94,21 +96,21 @@
         extra_headers = "Server-Leaving: 1\r\n" if self.leaving else ""
         if self.refuse:
             self.refused.append(request)
-            if self.rest is not None:
-                extra_headers += f"Retry-After: {self.rest}\r\n"
+            if self.retry_after is not None:
+                extra_headers += f"Retry-After: {self.retry_after}\r\n"
             writer.write(
                 f"HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\n{extra_headers}"
                 "Content-Length: 0\r\n\r\n".encode()
             )
             return
         self.runs.append((request, headers))
-        if self.crash_on is not None and body == self.crash_on:
-            await asyncio.sleep(self.pause)
+        if self.crash_on_body is not None and body == self.crash_on_body:
+            await asyncio.sleep(self.event_interval)
             self.crash()
             raise ConnectionResetError
         if self.hang:
             if not await reader.read(1):
-                self.gone.append(request)
+                self.cancelled.append(request)
             return
         stamp = (
             f"Attempt-Id: {request}\r\nServer-Stamp: s.{self.name}\r\n"
@@ -122,8 +124,8 @@
         answer = (
             f"HTTP/1.1 {status}\r\n{stamp}Content-Length: {len(text)}\r\n\r\n"
         ).encode() + text
-        if self.repeat and self._last[writer]:
-            self.repeated += 1
+        if self.repeat_previous and self._last[writer]:
+            self.repeat_count += 1
             writer.write(self._last[writer])
             await writer.drain()
             await asyncio.sleep(0.01)
@@ -142,11 +144,11 @@
         request = headers["attempt-id"]
         for number in range(first, count + 1):
             event = f"id: {number}\ndata: {request}/{number}\n\n".encode()
-            if self.cut_after is not None and number > self.cut_after:
+            if self.truncate_after is not None and number > self.truncate_after:
                 writer.write(b"%x\r\n%b" % (len(event), event[:7]))
                 await writer.drain()
                 raise ConnectionResetError
             writer.write(b"%x\r\n%b\r\n" % (len(event), event))
             await writer.drain()
-            await asyncio.sleep(self.pause)
+            await asyncio.sleep(self.event_interval)
         writer.write(b"0\r\n\r\n")
--- a/sycamorefall/command.py
+++ b/sycamorefall/command.py
@@ -11,10 +11,10 @@
 import sycamorefall
 from sycamorefall import checking, errors, settings
 from sycamorefall.observation import (
-    explaining,
-    fetching,
     report,
+    request_explanation,
     snapshots,
+    status_client,
     tables,
 )
 from sycamorefall.router import daemon as router_daemon
@@ -292,7 +292,7 @@
 ) -> None:
     for number, address in enumerate(addresses):
         try:
-            data, status = fetching.fetch_status(address)
+            data, status = status_client.fetch_status(address)
         except errors.SettingsRefused as fault:
             if options.repeat == 1:
                 raise
@@ -306,8 +306,8 @@
 
 
 def _explain_request(options: argparse.Namespace) -> None:
-    found = explaining.explain_request(options.request, options.logs)
-    print(explaining.format_explanation(found))
+    found = request_explanation.explain_request(options.request, options.logs)
+    print(request_explanation.format_explanation(found))
 
 
 def _write_report(options: argparse.Namespace) -> None:
--- a/sycamorefall/configuration/schema.py
+++ b/sycamorefall/configuration/schema.py
@@ -16,7 +16,7 @@
 import msgspec
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
-NotNegative = Annotated[float, msgspec.Meta(ge=0)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 Count = Annotated[int, msgspec.Meta(ge=1)]
 
 
@@ -70,8 +70,8 @@
     depends_on: tuple[str, ...] = ()
     concurrency: Count = 8
     idempotent: bool | None = None
-    prompt_weight: NotNegative = 1.0
-    output_weight: NotNegative = 4.0
+    prompt_weight: NonNegative = 1.0
+    output_weight: NonNegative = 4.0
     upstreams_check_orders: bool = False
 
 
--- a/sycamorefall/configuration/text.py
+++ b/sycamorefall/configuration/text.py
@@ -88,7 +88,7 @@
     teams: dict[str, schema.Team]
     services: dict[str, schema.Service]
     limits: schema.FleetLimits | None
-    lines: ini.Lines
+    lines: ini.LineIndex
     line_count: int
 
 
@@ -127,7 +127,7 @@
 
 def _parse_sections(text: str) -> _ParsedBlock:
     ini_reader.check_unicode(text)
-    lines = ini.Lines(text)
+    lines = ini.LineIndex(text)
     parser = ini_reader.read_ini(text)
     teams = {
         name: _parse_team(name, dict(parser[section]), lines)
@@ -169,15 +169,15 @@
 
 def _merge_line_numbers(
     parsed: list[tuple[int, _ParsedBlock]],
-) -> ini.Lines:
-    lines = ini.Lines("")
+) -> ini.LineIndex:
+    lines = ini.LineIndex("")
     for offset, block in parsed:
         lines.add(block.lines, offset)
     return lines
 
 
 def _merge_sections(
-    maps: list[dict[str, Named]], kind: str, lines: ini.Lines
+    maps: list[dict[str, Named]], kind: str, lines: ini.LineIndex
 ) -> dict[str, Named]:
     merged: dict[str, Named] = {}
     for named in maps:
@@ -194,7 +194,7 @@
 
 
 def _select_sections(
-    parser: configparser.ConfigParser, kind: str, lines: ini.Lines
+    parser: configparser.ConfigParser, kind: str, lines: ini.LineIndex
 ) -> list[tuple[str, str]]:
     selected = [
         (section, section[len(kind) :].strip())
@@ -215,7 +215,7 @@
 
 
 def _refuse_unknown_sections(
-    parser: configparser.ConfigParser, lines: ini.Lines
+    parser: configparser.ConfigParser, lines: ini.LineIndex
 ) -> None:
     for section in parser.sections():
         known = section.startswith(("team ", "service ")) or section == "limits"
@@ -226,7 +226,7 @@
 
 
 def _parse_team(
-    name: str, options: dict[str, str], lines: ini.Lines
+    name: str, options: dict[str, str], lines: ini.LineIndex
 ) -> schema.Team:
     section = f"team {name}"
     keys = _split_list(options.pop("keys_sha256", ""))
@@ -245,7 +245,7 @@
 
 
 def _parse_service(
-    name: str, options: dict[str, str], lines: ini.Lines
+    name: str, options: dict[str, str], lines: ini.LineIndex
 ) -> schema.Service:
     section = f"service {name}"
     if "name" in options:
@@ -266,7 +266,7 @@
 
 
 def _convert_options(
-    fields: dict[str, object], kind: type, section: str, lines: ini.Lines
+    fields: dict[str, object], kind: type, section: str, lines: ini.LineIndex
 ) -> object:
     booleans = {"idempotent", "upstreams_check_orders"} & fields.keys()
     converted = {
@@ -294,7 +294,7 @@
 
 
 def _index_keys(
-    teams: dict[str, schema.Team], lines: ini.Lines
+    teams: dict[str, schema.Team], lines: ini.LineIndex
 ) -> dict[str, str]:
     index: dict[str, str] = {}
     for team in teams.values():
@@ -308,7 +308,7 @@
 
 
 def _check_dependencies(
-    services: dict[str, schema.Service], lines: ini.Lines
+    services: dict[str, schema.Service], lines: ini.LineIndex
 ) -> None:
     for service in services.values():
         for dependency in service.depends_on:
--- a/sycamorefall/direct/daemon.py
+++ b/sycamorefall/direct/daemon.py
@@ -293,7 +293,7 @@
     outbound = exchange_module.build_due_messages(
         daemon.exchange, daemon.state, now
     )
-    daemon.control.keep_only(exchange_module.list_addresses(daemon.exchange))
+    daemon.control.retain_peers(exchange_module.list_addresses(daemon.exchange))
     _send_messages(daemon, outbound)
 
 
@@ -442,12 +442,12 @@
     daemon.next_stop_check_at = now + STOP_CHECK_INTERVAL
     data, stop = daemon.servers[0], daemon.state.stop
     if data.listening:
-        if not stopping.may_end_listening(stop, now, data.asked_at):
+        if not stopping.may_end_listening(stop, now, data.last_request_at):
             return
         # A late event loop has not read the requests that arrived meanwhile,
         # and would conclude that no more callers come.
-        data.take_arrived()
-        if not stopping.may_end_listening(stop, now, data.asked_at):
+        data.read_pending_input()
+        if not stopping.may_end_listening(stop, now, data.last_request_at):
             return
         observation.write_record(
             observation.Level.INFO,
@@ -461,6 +461,6 @@
         for server in daemon.servers:
             server.begin_stop()
             server.end_listening()
-    quiet = all(server.is_quiet() for server in daemon.servers)
+    quiet = all(server.is_drained() for server in daemon.servers)
     if stopping.may_exit(stop, now, quiet):
         daemon.loop.stop()
--- a/sycamorefall/direct/dispatching.py
+++ b/sycamorefall/direct/dispatching.py
@@ -263,8 +263,9 @@
         # transit, which leaves unknown whether the request ran. A request that
         # must not be repeated would then be lost. A new connection takes a
         # millisecond.
-        fresh=request.route.kind is catalog.RouteKind.AT_MOST_ONCE,
-        keep=_limit_idle_connections(service, state.routers),
+        requires_new_connection=request.route.kind
+        is catalog.RouteKind.AT_MOST_ONCE,
+        max_idle_connections=_limit_idle_connections(service, state.routers),
         running=chosen.running,
         reads=attempt.unread,
         unread=chosen.unread,
--- a/sycamorefall/direct/effects.py
+++ b/sycamorefall/direct/effects.py
@@ -32,8 +32,9 @@
         address: Address of the upstream.
         time_left: Seconds that the upstream may take.
         team: Name of the caller's team; empty if the route needs no key.
-        fresh: Whether to use a new connection.
-        keep: Most idle connections to the upstream that may stay open after
+        requires_new_connection: Whether to use a new connection.
+        max_idle_connections: Most idle connections to the upstream that may
+            stay open after
             the request; None if the service states no connection limit.
         running: Requests that the upstream runs, including this one.
         reads: Prompt tokens that the engine has to process for this request.
@@ -59,8 +60,8 @@
     address: settings.Address
     time_left: float
     team: str
-    fresh: bool
-    keep: int | None = None
+    requires_new_connection: bool
+    max_idle_connections: int | None = None
     running: int = 0
     reads: int = 0
     unread: int = 0
--- a/sycamorefall/direct/metrics.py
+++ b/sycamorefall/direct/metrics.py
@@ -27,8 +27,8 @@
         The metrics.
     """
     state, control = daemon.state, daemon.control
-    gauge, count = metrics.gauge_metric, metrics.count_metric
-    yield from metrics.describe_recorder(daemon.proxy.recorder)
+    gauge, count = metrics.create_gauge, metrics.create_counter
+    yield from metrics.list_recorder_metrics(daemon.proxy.recorder)
     yield gauge("open", "In progress.", (), {(): len(state.requests)})
     yield gauge(
         "revision",
@@ -70,7 +70,7 @@
         "control_sent_bytes",
         "Messages to other routers, by failure domain and kind.",
         ("place", "kind"),
-        dict(control.sent_by),
+        dict(control.bytes_sent_by_kind),
     )
     yield count(
         "platform_reads",
--- a/sycamorefall/direct/relay.py
+++ b/sycamorefall/direct/relay.py
@@ -58,7 +58,7 @@
         first_head: Head of the first successful response, which the caller
             gets.
         buffered: Parts of a response that is forwarded only when complete.
-        track: Log and metric data of the request.
+        trace: Log and metric data of the request.
     """
 
     __slots__ = (
@@ -76,7 +76,7 @@
         self,
         call: transport.IncomingCall,
         streamed: bool,
-        track: observation.Track,
+        trace: observation.RequestTrace,
     ):
         self.call = call
         self.exchange: transport.Exchange | None = None
@@ -85,7 +85,7 @@
         self.buffered: list[bytes] = []
         self.splitter = streams.EventSplitter()
         self.streamed = streamed
-        self.track = track
+        self.trace = trace
 
 
 @dataclasses.dataclass(slots=True)
@@ -124,14 +124,14 @@
 def record_dropped_call(proxy: Proxy, call: transport.IncomingCall) -> None:
     """Records a request that is not handled because its caller disconnected."""
     now = transport.read_clock()
-    track = observation.begin_request(
+    trace = observation.record_request_start(
         proxy.recorder,
         now,
         "",
         "",
         request_id=proxy.dialect.read_request_id(call),
     )
-    observation.end_request(proxy.recorder, track, now, "dropped")
+    observation.record_request_end(proxy.recorder, trace, now, "dropped")
 
 
 def _handle_request(
@@ -140,7 +140,7 @@
     now = transport.read_clock()
     number, pending = core.handle_request(proxy.state, now, new)
     request = proxy.state.requests.get(number)
-    track = observation.begin_request(
+    trace = observation.record_request_start(
         proxy.recorder,
         now,
         request.service if request else "",
@@ -150,7 +150,7 @@
         target=round(request.target_at - now, 3) if request else None,
     )
     streamed = request is not None and request.route.kind.streamed
-    proxy.in_flight[number] = _ProxiedRequest(call, streamed, track)
+    proxy.in_flight[number] = _ProxiedRequest(call, streamed, trace)
     call.on_hangup = lambda: _cancel(proxy, number)
     perform_effects(proxy, pending)
 
@@ -168,8 +168,8 @@
     proxied = proxy.in_flight.pop(number, None)
     if proxied is not None:
         now = transport.read_clock()
-        observation.end_request(
-            proxy.recorder, proxied.track, now, end, **fields
+        observation.record_request_end(
+            proxy.recorder, proxied.trace, now, end, **fields
         )
 
 
@@ -286,9 +286,9 @@
     if remaining < dispatching.MIN_TIME_LEFT:
         return  # The expiry timer answers the request.
     send = dataclasses.replace(send, time_left=remaining)
-    observation.note_hand_out(
+    observation.record_attempt_start(
         proxy.recorder,
-        proxied.track,
+        proxied.trace,
         now,
         str(send.attempt),
         send.upstream,
@@ -313,9 +313,9 @@
         call.target,
         proxy.dialect.write_headers(call, send, last_event_id),
         call.body,
-        fresh=send.fresh,
+        requires_new_connection=send.requires_new_connection,
         host=call.headers.get("host", ""),
-        keep=send.keep,
+        max_idle_connections=send.max_idle_connections,
     )
     proxied.exchange = proxy.client.send(
         request,
@@ -397,7 +397,7 @@
     now = transport.read_clock()
     outcomes.record_response(proxy.state, now, number, first=bool(events))
     if events:
-        observation.note_piece(proxy.recorder, proxied.track, now)
+        observation.record_piece(proxy.recorder, proxied.trace, now)
         _forward_events(proxy, proxied, events)
 
 
@@ -409,7 +409,7 @@
         call.begin(proxied.first_head.status, proxied.first_head.headers)
         call.on_drained = lambda: _resume_reading(proxy, proxied)
     call.write(data)
-    if call.backlog > MAX_UNSENT_BYTES and proxied.exchange is not None:
+    if call.unsent_bytes > MAX_UNSENT_BYTES and proxied.exchange is not None:
         proxy.client.pause(proxied.exchange, True)
 
 
@@ -439,10 +439,13 @@
 
 
 def _handle_failure(
-    proxy: Proxy, proxied: _ProxiedRequest, number: int, stage: transport.Stage
+    proxy: Proxy,
+    proxied: _ProxiedRequest,
+    number: int,
+    stage: transport.SendStage,
 ) -> None:
     proxied.exchange = None
-    unsent = stage is transport.Stage.NOT_SENT
+    unsent = stage is transport.SendStage.NOT_SENT
     end = outcomes.AttemptEnd.NOT_SENT if unsent else outcomes.AttemptEnd.BROKEN
     if not unsent:
         now = transport.read_clock()
@@ -466,8 +469,8 @@
         if lost_after_send:
             fingerprint = fingerprints.get_fingerprint(request)
             fields["fingerprint"] = fingerprint.hex()
-    observation.note_attempt_end(
-        proxy.recorder, proxied.track, end.value, **fields
+    observation.record_attempt_end(
+        proxy.recorder, proxied.trace, end.value, **fields
     )
     now = transport.read_clock()
     perform_effects(proxy, outcomes.end_attempt(proxy.state, now, number, end))
--- a/sycamorefall/direct/tests/test_links.py
+++ b/sycamorefall/direct/tests/test_links.py
@@ -49,7 +49,7 @@
     poller = next(
         part for part in loop.components if isinstance(part, pollers.BasePoller)
     )
-    first, second = fleet.find_ports(2)
+    first, second = fleet.reserve_ports(2)
     seeds = (f"127.0.0.1:{second}",)
     early = Router(loop, "front-2", second, ())
     late = Router(loop, "front-1", first, seeds)
@@ -81,10 +81,10 @@
     # bookings had an unknown outcome.
     state = fakes.create_state()
     _, sent = fakes.submit_request(state, 0.0, "book", team="")
-    assert sent.keep == 50
+    assert sent.max_idle_connections == 50
     state.routers = 28
     _, sent = fakes.submit_request(state, 0.0, "book", team="")
-    assert sent.keep == 1
+    assert sent.max_idle_connections == 1
     state.routers = 370
     _, sent = fakes.submit_request(state, 0.0, "look", team="")
-    assert sent.keep == 0
+    assert sent.max_idle_connections == 0
--- a/sycamorefall/errors.py
+++ b/sycamorefall/errors.py
@@ -7,18 +7,18 @@
 
 __all__ = [
     "ANSWERS",
+    "MEANINGS",
     "AddressInUse",
     "ConfigurationRefused",
     "ErrorAnswer",
     "ErrorBody",
     "ErrorDetail",
     "ErrorKind",
-    "MEANINGS",
     "MessageRefused",
     "Ran",
     "SettingsRefused",
     "SycamorefallError",
-    "describe_error",
+    "create_error_body",
 ]
 
 import enum
@@ -188,7 +188,7 @@
     error: ErrorDetail
 
 
-def describe_error(
+def create_error_body(
     kind: ErrorKind, message: str = "", ran: Ran | None = None
 ) -> ErrorBody:
     """Builds the JSON body for an error kind.
@@ -202,7 +202,7 @@
         The body, ready to be encoded.
 
     Example:
-        >>> describe_error(ErrorKind.UNKNOWN_TEAM).error.ran
+        >>> create_error_body(ErrorKind.UNKNOWN_TEAM).error.ran
         'no'
     """
     return ErrorBody(
--- a/sycamorefall/ini.py
+++ b/sycamorefall/ini.py
@@ -1,6 +1,9 @@
 """Line numbers of INI texts, and where in one a fault lies."""
 
-__all__ = ["Lines", "locate_fault"]
+__all__ = [
+    "LineIndex",
+    "format_validation_error",
+]
 
 import re
 
@@ -11,7 +14,7 @@
 _MISSING = re.compile(r"missing required field `(?P<key>[^`]*)`")
 
 
-class Lines:
+class LineIndex:
     """Line numbers of sections and options of an INI text.
 
     They are wanted only where a text is refused, so they are counted then;
@@ -23,9 +26,9 @@
     def __init__(self, text: str):
         self._text = text
         self._numbers: dict[tuple[str, str], int] | None = None
-        self._parts: list[tuple[int, Lines]] = []
+        self._parts: list[tuple[int, LineIndex]] = []
 
-    def add(self, other: "Lines", before: int) -> None:
+    def add(self, other: "LineIndex", before: int) -> None:
         """Adds those of a block that has this many lines before it."""
         self._parts.append((before, other))
 
@@ -52,7 +55,7 @@
     return numbers
 
 
-def locate_fault(text: str, fault: str) -> str:
+def format_validation_error(text: str, fault: str) -> str:
     r"""Says in terms of an INI text what msgspec says in terms of structs.
 
     Args:
@@ -63,7 +66,8 @@
         One line with the text's line, section and key, and what is wrong.
 
     Example:
-        >>> locate_fault("[vm]\nsize = 3", "unknown field `size` - at `$.vm`")
+        >>> error = "unknown field `size` - at `$.vm`"
+        >>> format_validation_error("[vm]\nsize = 3", error)
         'line 2: [vm] size: unknown key'
     """
     path = _PATH.search(fault)
@@ -79,7 +83,7 @@
     if not section:
         section, key = key, ""
     where = " ".join(filter(None, [_bracket(section), key]))
-    line = Lines(text).find(section, key)
+    line = LineIndex(text).find(section, key)
     return f"line {line}: {where}: {reason}"
 
 
--- a/sycamorefall/node.py
+++ b/sycamorefall/node.py
@@ -328,7 +328,7 @@
     servers = _list_servers(node)
     for server in servers:
         server.end_listening()
-    if not all(server.is_quiet() for server in servers):
+    if not all(server.is_drained() for server in servers):
         node.exit_at = None
     elif node.exit_at is None:
         node.exit_at = now + QUIET_PERIOD
@@ -343,7 +343,7 @@
     node.exchanger.run(now)
     _handle_events(node, replication.try_settle(node.replica, now))
     if membership.drop_departed(directory, now):
-        node.control.keep_only(set(directory.vms))
+        node.control.retain_peers(set(directory.vms))
 
 
 def _update_watching(node: Node, now: float) -> None:
@@ -417,7 +417,7 @@
         in_force = node.core.versions.configuration
         node.control.update_digests(in_force.teams)
     if listed:
-        node.control.keep_only(set(node.core.directory.vms))
+        node.control.retain_peers(set(node.core.directory.vms))
     if replication.EventKind.PLATFORM_OLDER in kinds:
         # Either the platform is stale, which the status has to show, or its
         # value changed between this process's read and the peer's response.
--- a/sycamorefall/observation/histograms.py
+++ b/sycamorefall/observation/histograms.py
@@ -6,12 +6,12 @@
 """
 
 __all__ = [
-    "REST",
+    "OTHER_TEAMS",
     "TeamHistograms",
     "TimeHistogram",
     "TimeKind",
     "list_histograms",
-    "note_request",
+    "record_request",
     "record_time",
 ]
 
@@ -23,24 +23,24 @@
 
 from hdrh import histogram
 
-from sycamorefall.observation import busiest as busiest_module
+from sycamorefall.observation import heavy_hitters as heavy_hitters_module
 
-MOST_TEAMS = 20
+MAX_TEAMS = 20
 """Teams, each at one service, that have histograms of their own."""
 
-REST = ""
+OTHER_TEAMS = ""
 """In place of a team's name: all teams that have no histograms."""
 
 UNITS_PER_SECOND = 10_000
 """Times are recorded in units of 0.1 ms."""
 
-LONGEST = 3600 * UNITS_PER_SECOND
+MAX_TIME_UNITS = 3600 * UNITS_PER_SECOND
 """Longest time recorded, in units; longer ones count as this."""
 
-DIGITS = 2
+SIGNIFICANT_DIGITS = 2
 """Significant digits of a recorded time."""
 
-MOST_NEW = 256
+MAX_PENDING_VALUES = 256
 """Different times that are counted before they go into the histogram."""
 
 COUNT_BYTES = 4
@@ -98,26 +98,26 @@
 
     def __init__(self):
         self._counts = histogram.HdrHistogram(
-            1, LONGEST, DIGITS, word_size=COUNT_BYTES
+            1, MAX_TIME_UNITS, SIGNIFICANT_DIGITS, word_size=COUNT_BYTES
         )
-        self._new: dict[int, int] = {}
+        self._pending: dict[int, int] = {}
         self.seconds = 0.0
 
     @property
     def counts(self) -> histogram.HdrHistogram:
         """The histogram, in units of 0.1 ms."""
-        for units, count in self._new.items():
+        for units, count in self._pending.items():
             if not self._counts.record_value(units, count):
-                self._counts.record_value(LONGEST, count)
-        self._new.clear()
+                self._counts.record_value(MAX_TIME_UNITS, count)
+        self._pending.clear()
         return self._counts
 
     def record(self, seconds: float) -> None:
         """Records one time."""
         units = int(seconds * UNITS_PER_SECOND) or 1
-        self._new[units] = self._new.get(units, 0) + 1
+        self._pending[units] = self._pending.get(units, 0) + 1
         self.seconds += seconds
-        if len(self._new) >= MOST_NEW:
+        if len(self._pending) >= MAX_PENDING_VALUES:
             _ = self.counts
 
     def merge(self, other: "TimeHistogram") -> None:
@@ -127,7 +127,7 @@
 
     def clear(self) -> None:
         """Forgets what was recorded."""
-        self._new.clear()
+        self._pending.clear()
         self._counts.reset()
         self.seconds = 0.0
 
@@ -140,7 +140,7 @@
         """Encodes the counts as HdrHistogram's V2 format in Base64."""
         return self.counts.encode().decode("ascii")
 
-    def find_quantiles(self, quantiles: tuple[float, ...]) -> list[float]:
+    def compute_quantiles(self, quantiles: tuple[float, ...]) -> list[float]:
         """Finds the times, in seconds, below which shares of all lie.
 
         The library's own function reads one count after the other, which
@@ -167,7 +167,7 @@
         return [value / UNITS_PER_SECOND for value in values]
 
 
-_Sets = dict[tuple[str, str], dict[TimeKind, TimeHistogram]]
+_HistogramsByTeam = dict[tuple[str, str], dict[TimeKind, TimeHistogram]]
 
 
 @dataclasses.dataclass(slots=True)
@@ -175,22 +175,23 @@
     """Histograms by service, team and kind of time.
 
     Attributes:
-        sets: Histograms by (service, team); the team `REST` has those of all
+        by_team: Histograms by (service, team); the team `OTHER_TEAMS` has those
+            of all
             teams that are not among the busiest.
         busiest: The (service, team) pairs that have their own.
-        spare: Histograms of teams that lost their place, to be used again:
+        reusable: Histograms of teams that lost their place, to be used again:
             an HdrHistogram refers to itself, so one that is dropped stays in
             memory until the next run of the garbage collector.
     """
 
-    sets: _Sets = dataclasses.field(default_factory=dict)
-    busiest: busiest_module.BusiestKeys = dataclasses.field(
-        default_factory=lambda: busiest_module.BusiestKeys(MOST_TEAMS)
+    by_team: _HistogramsByTeam = dataclasses.field(default_factory=dict)
+    busiest: heavy_hitters_module.HeavyHitters = dataclasses.field(
+        default_factory=lambda: heavy_hitters_module.HeavyHitters(MAX_TEAMS)
     )
-    spare: list[TimeHistogram] = dataclasses.field(default_factory=list)
+    reusable: list[TimeHistogram] = dataclasses.field(default_factory=list)
 
 
-def note_request(histograms: TeamHistograms, service: str, team: str) -> None:
+def record_request(histograms: TeamHistograms, service: str, team: str) -> None:
     """Counts a team's request; the team may become one of the busiest.
 
     A team that loses its place has its histograms added to the rest's, so
@@ -201,23 +202,27 @@
         service: The service asked for.
         team: The team.
     """
-    displaced = busiest_module.note_key(histograms.busiest, (service, team))
+    displaced = heavy_hitters_module.record_key(
+        histograms.busiest, (service, team)
+    )
     if displaced is None:
         return
-    for kind, own in histograms.sets.pop(displaced, {}).items():
-        _find(histograms, (displaced[0], REST), kind).merge(own)
+    for kind, own in histograms.by_team.pop(displaced, {}).items():
+        _get_or_create_histogram(
+            histograms, (displaced[0], OTHER_TEAMS), kind
+        ).merge(own)
         own.clear()
-        histograms.spare.append(own)
+        histograms.reusable.append(own)
 
 
-def _find(
+def _get_or_create_histogram(
     histograms: TeamHistograms, key: tuple[str, str], kind: TimeKind
 ) -> TimeHistogram:
-    own = histograms.sets.setdefault(key, {})
+    own = histograms.by_team.setdefault(key, {})
     found = own.get(kind)
     if found is None:
-        spare = histograms.spare
-        found = own[kind] = spare.pop() if spare else TimeHistogram()
+        reusable = histograms.reusable
+        found = own[kind] = reusable.pop() if reusable else TimeHistogram()
     return found
 
 
@@ -238,15 +243,15 @@
         seconds: The time.
     """
     key = (service, team)
-    if key not in histograms.busiest.chosen:
-        key = (service, REST)
-    _find(histograms, key, kind).record(seconds)
+    if key not in histograms.busiest.selected:
+        key = (service, OTHER_TEAMS)
+    _get_or_create_histogram(histograms, key, kind).record(seconds)
 
 
 def list_histograms(
     histograms: TeamHistograms,
 ) -> Iterator[tuple[str, str, TimeKind, TimeHistogram]]:
     """Lists all histograms with service, team and kind."""
-    for (service, team), own in sorted(histograms.sets.items()):
+    for (service, team), own in sorted(histograms.by_team.items()):
         for kind, recorded in own.items():
             yield service, team, kind, recorded
--- a/sycamorefall/observation/log.py
+++ b/sycamorefall/observation/log.py
@@ -11,7 +11,7 @@
     "end_action",
     "open_log",
     "start_action",
-    "write_limited",
+    "write_rate_limited",
     "write_record",
 ]
 
@@ -23,7 +23,7 @@
 import msgspec
 
 from sycamorefall import settings
-from sycamorefall.observation import descriptor
+from sycamorefall.observation import nonblocking_output
 
 BUFFER_BYTES = 1 << 18
 """Most bytes that wait for a slow reader; further records are dropped."""
@@ -57,7 +57,7 @@
 
     __slots__ = ("_buffer", "_reported", "_size", "_write", "dropped")
 
-    def __init__(self, write: descriptor.Write):
+    def __init__(self, write: nonblocking_output.NonBlockingWrite):
         self._write = write
         self._buffer: collections.deque[bytes] = collections.deque()
         self._size = 0
@@ -122,7 +122,7 @@
         errors.SettingsRefused: The destination can't be opened.
     """
     global _threshold
-    writer = LogWriter(descriptor.open_destination(config.destination))
+    writer = LogWriter(nonblocking_output.open_destination(config.destination))
     _threshold = Level[config.level.upper()]
     eliot.add_destinations(writer)
     return writer
@@ -140,11 +140,11 @@
         eliot.log_message(kind, level=level.name.lower(), **fields)
 
 
-_limited: dict[str, tuple[float, int]] = {}
+_rate_limits: dict[str, tuple[float, int]] = {}
 """When a limited kind was last written, and how many were left out since."""
 
 
-def write_limited(level: Level, kind: str, **fields: object) -> None:
+def write_rate_limited(level: Level, kind: str, **fields: object) -> None:
     """Writes at most one record of a kind a second.
 
     Guards against a stranger who sends what is refused as fast as he can:
@@ -156,11 +156,11 @@
         fields: Details that JSON can show.
     """
     now = time.monotonic()
-    last, left_out = _limited.get(kind, (-LIMIT_INTERVAL, 0))
+    last, left_out = _rate_limits.get(kind, (-LIMIT_INTERVAL, 0))
     if now - last < LIMIT_INTERVAL:
-        _limited[kind] = (last, left_out + 1)
+        _rate_limits[kind] = (last, left_out + 1)
         return
-    _limited[kind] = (now, 0)
+    _rate_limits[kind] = (now, 0)
     write_record(level, kind, left_out=left_out, **fields)
 
 
--- a/sycamorefall/observation/metrics.py
+++ b/sycamorefall/observation/metrics.py
@@ -3,10 +3,10 @@
 __all__ = [
     "CONTENT_TYPE",
     "PREFIX",
-    "count_metric",
-    "describe_recorder",
+    "create_counter",
+    "create_gauge",
     "format_metrics",
-    "gauge_metric",
+    "list_recorder_metrics",
 ]
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -25,11 +25,11 @@
 QUANTILES = (0.5, 0.9, 0.95, 0.99, 1.0)
 """Shares of all requests whose longest time is shown."""
 
-Values = Mapping[tuple[str, ...], float]
+ValuesByLabels = Mapping[tuple[str, ...], float]
 """Values by those of the labels."""
 
 
-class _Collected:
+class _MetricCollector:
     """Metrics in the shape of a registry."""
 
     __slots__ = ("_metrics",)
@@ -52,15 +52,15 @@
         The text, encoded.
 
     Example:
-        >>> held = gauge_metric("held", "Held.", (), {(): 2.0})
+        >>> held = create_gauge("held", "Held.", (), {(): 2.0})
         >>> format_metrics([held]).splitlines()[-1]
         b'sycamorefall_held 2.0'
     """
-    return prometheus_client.generate_latest(_Collected(metrics))
+    return prometheus_client.generate_latest(_MetricCollector(metrics))
 
 
-def gauge_metric(
-    name: str, text: str, labels: tuple[str, ...], values: Values
+def create_gauge(
+    name: str, text: str, labels: tuple[str, ...], values: ValuesByLabels
 ) -> metrics_core.Metric:
     """Builds a metric that can go down.
 
@@ -79,10 +79,10 @@
     return metric
 
 
-def count_metric(
-    name: str, text: str, labels: tuple[str, ...], values: Values
+def create_counter(
+    name: str, text: str, labels: tuple[str, ...], values: ValuesByLabels
 ) -> metrics_core.Metric:
-    """Builds a metric that only grows; as `gauge_metric`."""
+    """Builds a metric that only grows; as `create_gauge`."""
     metric = metrics_core.CounterMetricFamily(
         PREFIX + name, text, labels=labels
     )
@@ -91,17 +91,17 @@
     return metric
 
 
-def describe_recorder(
+def list_recorder_metrics(
     recorder: recorder_module.Recorder,
 ) -> Iterator[metrics_core.Metric]:
     """Lists the metrics of a process's records."""
-    yield count_metric(
+    yield create_counter(
         "requests",
         "Requests that ended, by result.",
         ("service", "result"),
         recorder.requests,
     )
-    yield count_metric(
+    yield create_counter(
         "events",
         "Other events, by kind.",
         ("event", "detail"),
@@ -109,10 +109,10 @@
     )
     recorded = list(histograms_module.list_histograms(recorder.histograms))
     for kind in histograms_module.TimeKind:
-        yield _summarise(kind, recorded)
+        yield _create_summary(kind, recorded)
 
 
-def _summarise(
+def _create_summary(
     kind: histograms_module.TimeKind, recorded: list
 ) -> metrics_core.Metric:
     name = f"{PREFIX}{kind.label}_seconds"
@@ -124,7 +124,7 @@
         if own_kind is not kind:
             continue
         labels = {"service": service, "team": team}
-        values = histogram.find_quantiles(QUANTILES)
+        values = histogram.compute_quantiles(QUANTILES)
         for quantile, value in zip(QUANTILES, values, strict=True):
             by_quantile = labels | {"quantile": str(quantile)}
             metric.add_sample(name, by_quantile, value)
--- a/sycamorefall/observation/descriptor.py
+++ b/sycamorefall/observation/nonblocking_output.py
@@ -1,6 +1,9 @@
 """Writes to a file descriptor that never wait for its reader."""
 
-__all__ = ["Write", "open_destination"]
+__all__ = [
+    "NonBlockingWrite",
+    "open_destination",
+]
 
 from collections.abc import Callable
 import os
@@ -10,16 +13,16 @@
 
 from sycamorefall import errors
 
-Write = Callable[[bytes], int]
+NonBlockingWrite = Callable[[bytes], int]
 """Writes what goes at once; returns its size, raises `OSError` if nothing."""
 
-STANDARD = {"stdout": 1, "stderr": 2}
+STANDARD_STREAMS = {"stdout": 1, "stderr": 2}
 """Destinations that are open already."""
 
 _FLAGS = os.O_WRONLY | os.O_APPEND | os.O_NONBLOCK | os.O_NOCTTY | os.O_CLOEXEC
 
 
-def open_destination(destination: str) -> Write:
+def open_destination(destination: str) -> NonBlockingWrite:
     """Opens where log records go.
 
     Args:
@@ -31,8 +34,8 @@
     Raises:
         errors.SettingsRefused: The file can't be opened.
     """
-    if destination in STANDARD:
-        return reopen_descriptor(STANDARD[destination])
+    if destination in STANDARD_STREAMS:
+        return reopen_nonblocking(STANDARD_STREAMS[destination])
     try:
         descriptor = os.open(destination, _FLAGS | os.O_CREAT, 0o640)
     except (OSError, ValueError) as fault:
@@ -40,7 +43,7 @@
     return lambda data: os.write(descriptor, data)
 
 
-def reopen_descriptor(descriptor: int) -> Write:
+def reopen_nonblocking(descriptor: int) -> NonBlockingWrite:
     """Makes a non-blocking writer for an open descriptor.
 
     Setting the flag on the descriptor itself would set it for every process
@@ -55,14 +58,14 @@
     return lambda data: os.write(own, data)
 
 
-def _write_socket(descriptor: int) -> Write:
+def _write_socket(descriptor: int) -> NonBlockingWrite:
     """Writes to a socket, which can't be opened by path (journald's)."""
     shared = socket.socket(fileno=os.dup(descriptor))
     flags = socket.MSG_DONTWAIT | socket.MSG_NOSIGNAL
     return lambda data: shared.send(data, flags)
 
 
-def _write_when_ready(descriptor: int) -> Write:
+def _write_when_ready(descriptor: int) -> NonBlockingWrite:
     """Writes to what another user opened and this one may not open anew.
 
     A pipe that polls as writable has room for this much, so the write does
--- a/sycamorefall/observation/recorder.py
+++ b/sycamorefall/observation/recorder.py
@@ -6,13 +6,13 @@
 
 __all__ = [
     "Recorder",
-    "Track",
-    "begin_request",
+    "RequestTrace",
     "count_event",
-    "end_request",
-    "note_attempt_end",
-    "note_hand_out",
-    "note_piece",
+    "record_attempt_end",
+    "record_attempt_start",
+    "record_piece",
+    "record_request_end",
+    "record_request_start",
 ]
 
 import collections
@@ -48,41 +48,41 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Track:
+class RequestTrace:
     """One request in progress.
 
     Attributes:
         service: Its service.
         team: Its team.
-        begun_at: When it arrived, by this process's clock.
+        arrived_at: When it arrived, by this process's clock.
         action: Its log action; None if the log's level leaves it out.
         attempt_id: Its last attempt.
-        handed_at: When that was handed out.
-        first_at: When the first piece of its answer came.
-        piece_at: When the last one came.
+        sent_at: When that was handed out.
+        first_piece_at: When the first piece of its answer came.
+        last_piece_at: When the last one came.
         pieces: Pieces of its answer so far.
         ended: Whether its end is recorded.
     """
 
     service: str
     team: str
-    begun_at: float
+    arrived_at: float
     action: eliot.Action | None = None
     attempt_id: str = ""
-    handed_at: float | None = None
-    first_at: float | None = None
-    piece_at: float | None = None
+    sent_at: float | None = None
+    first_piece_at: float | None = None
+    last_piece_at: float | None = None
     pieces: int = 0
     ended: bool = False
 
 
-def begin_request(
+def record_request_start(
     recorder: Recorder,
     now: float,
     service: str,
     team: str,
     **fields: object,
-) -> Track:
+) -> RequestTrace:
     """Records that a request, or an attempt at a sidecar, begins.
 
     Args:
@@ -95,26 +95,26 @@
     Returns:
         The request's track, for the other functions.
     """
-    histograms_module.note_request(recorder.histograms, service, team)
+    histograms_module.record_request(recorder.histograms, service, team)
     recorder.open += 1
     action = log.start_action("request", service=service, team=team, **fields)
-    return Track(service, team, now, action)
+    return RequestTrace(service, team, now, action)
 
 
-def _record(
+def _record_time(
     recorder: Recorder,
-    track: Track,
+    trace: RequestTrace,
     kind: histograms_module.TimeKind,
     seconds: float,
 ) -> None:
     histograms_module.record_time(
-        recorder.histograms, track.service, track.team, kind, seconds
+        recorder.histograms, trace.service, trace.team, kind, seconds
     )
 
 
-def note_hand_out(
+def record_attempt_start(
     recorder: Recorder,
-    track: Track,
+    trace: RequestTrace,
     now: float,
     attempt_id: str,
     sidecar: str,
@@ -124,19 +124,19 @@
 
     Args:
         recorder: The process's records; changed.
-        track: The request.
+        trace: The request.
         now: This process's time.
         attempt_id: The attempt.
         sidecar: VM name of the sidecar, or the upstream that gets it.
         fields: What decided it, for the log.
     """
-    first = track.handed_at is None
-    track.handed_at, track.attempt_id = now, attempt_id
+    first = trace.sent_at is None
+    trace.sent_at, trace.attempt_id = now, attempt_id
     if first:
         kind = histograms_module.TimeKind.WAIT
-        _record(recorder, track, kind, now - track.begun_at)
-    if track.action is not None:
-        track.action.log(
+        _record_time(recorder, trace, kind, now - trace.arrived_at)
+    if trace.action is not None:
+        trace.action.log(
             "request.handed_out",
             level="info",
             attempt=attempt_id,
@@ -145,49 +145,52 @@
         )
 
 
-def note_attempt_end(
-    recorder: Recorder, track: Track, end: str, **fields: object
+def record_attempt_end(
+    recorder: Recorder, trace: RequestTrace, end: str, **fields: object
 ) -> None:
     """Counts the end of an attempt and logs it unless the attempt succeeded.
 
     Args:
         recorder: The process's records; changed.
-        track: The request.
+        trace: The request.
         end: How the attempt ended; one of a fixed set of values.
         fields: Additional fields for the log record.
     """
     count_event(recorder, "attempt", end)
-    if track.action is not None and end != "complete":
-        track.action.log(
+    if trace.action is not None and end != "complete":
+        trace.action.log(
             "request.attempt_ended",
             level="info",
-            attempt=track.attempt_id,
+            attempt=trace.attempt_id,
             end=end,
             **fields,
         )
 
 
-def note_piece(recorder: Recorder, track: Track, now: float) -> None:
+def record_piece(recorder: Recorder, trace: RequestTrace, now: float) -> None:
     """Records that a piece of a streamed answer came.
 
     Args:
         recorder: The process's records; changed.
-        track: The request.
+        trace: The request.
         now: This process's time.
     """
-    track.pieces += 1
-    if track.piece_at is None:
-        track.first_at = now
-        kind, since = histograms_module.TimeKind.FIRST_TOKEN, track.begun_at
+    trace.pieces += 1
+    if trace.last_piece_at is None:
+        trace.first_piece_at = now
+        kind, since = histograms_module.TimeKind.FIRST_TOKEN, trace.arrived_at
     else:
-        kind, since = histograms_module.TimeKind.BETWEEN_TOKENS, track.piece_at
-    track.piece_at = now
-    _record(recorder, track, kind, now - since)
+        kind, since = (
+            histograms_module.TimeKind.BETWEEN_TOKENS,
+            trace.last_piece_at,
+        )
+    trace.last_piece_at = now
+    _record_time(recorder, trace, kind, now - since)
 
 
-def end_request(
+def record_request_end(
     recorder: Recorder,
-    track: Track,
+    trace: RequestTrace,
     now: float,
     result: str,
     **fields: object,
@@ -196,35 +199,35 @@
 
     Args:
         recorder: The process's records; changed.
-        track: The request.
+        trace: The request.
         now: This process's time.
         result: `answered`, `cancelled` or the value of an error kind.
         fields: Further details for the log.
     """
-    if track.ended:
+    if trace.ended:
         return
-    track.ended = True
+    trace.ended = True
     recorder.open -= 1
-    recorder.requests[track.service, result] += 1
+    recorder.requests[trace.service, result] += 1
     if result == "answered":
         kind = histograms_module.TimeKind.TOTAL
-        _record(recorder, track, kind, now - track.begun_at)
-    if track.action is not None:
+        _record_time(recorder, trace, kind, now - trace.arrived_at)
+    if trace.action is not None:
         log.end_action(
-            track.action,
+            trace.action,
             result=result,
-            attempt=track.attempt_id,
-            seconds=round(now - track.begun_at, 6),
-            pieces=track.pieces,
-            first_seconds=_measure_first(track),
+            attempt=trace.attempt_id,
+            seconds=round(now - trace.arrived_at, 6),
+            pieces=trace.pieces,
+            first_seconds=_compute_first_piece_delay(trace),
             **fields,
         )
 
 
-def _measure_first(track: Track) -> float | None:
-    if track.first_at is None:
+def _compute_first_piece_delay(trace: RequestTrace) -> float | None:
+    if trace.first_piece_at is None:
         return None
-    return round(track.first_at - track.begun_at, 6)
+    return round(trace.first_piece_at - trace.arrived_at, 6)
 
 
 def count_event(recorder: Recorder, event: str, detail: str = "") -> None:
--- a/sycamorefall/observation/report.py
+++ b/sycamorefall/observation/report.py
@@ -15,7 +15,7 @@
 from sycamorefall.observation import snapshots as snapshots_module
 from sycamorefall.observation import tables
 
-MOST_CURVES = 8
+MAX_CURVES = 8
 """Teams drawn in one panel: those with the most requests."""
 
 POINTS = 64
@@ -104,13 +104,13 @@
     colours: dict[str, str],
 ) -> None:
     busiest = sorted(teams, key=lambda team: -teams[team].get_total_count())
-    for team in busiest[:MOST_CURVES]:
+    for team in busiest[:MAX_CURVES]:
         counts = teams[team]
         seconds, shares = _list_curve(counts)
-        name = team or tables.ALL_OTHERS
+        name = team or tables.OTHER_TEAMS_LABEL
         label = f"{name}: {counts.get_total_count()}"
         axis.plot(seconds, shares, label=label, color=colours[team])
-    left_out = len(busiest) - MOST_CURVES
+    left_out = len(busiest) - MAX_CURVES
     more = f", {left_out} more teams not drawn" if left_out > 0 else ""
     axis.set_title(f"{service}: {time.replace('_', ' ')}{more}")
     axis.set_xscale("log")
--- a/sycamorefall/observation/explaining.py
+++ b/sycamorefall/observation/request_explanation.py
@@ -1,6 +1,11 @@
 """What several processes' logs tell of one request, in order."""
 
-__all__ = ["Explanation", "Line", "explain_request", "format_explanation"]
+__all__ = [
+    "Explanation",
+    "LogRecord",
+    "explain_request",
+    "format_explanation",
+]
 
 from collections.abc import Iterator, Sequence
 import dataclasses
@@ -11,7 +16,7 @@
 
 from sycamorefall import errors
 
-BEFORE = 3.0
+CONTEXT_SECONDS = 3.0
 """Seconds before a request whose process-wide records are shown with it: the
 longest time after which a lost dependency still decides over it."""
 
@@ -40,7 +45,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Line:
+class LogRecord:
     """One record of a log.
 
     Attributes:
@@ -72,7 +77,7 @@
     """
 
     request_id: str
-    lines: tuple[Line, ...]
+    lines: tuple[LogRecord, ...]
     causes: tuple[str, ...]
     missing: tuple[str, ...]
 
@@ -92,7 +97,7 @@
     Raises:
         errors.SettingsRefused: A log can't be read, or none has the request.
     """
-    found: list[Line] = []
+    found: list[LogRecord] = []
     missing: list[str] = []
     causes: list[str] = []
     for path in paths:
@@ -117,7 +122,7 @@
     return Explanation(request_id, tuple(found), tuple(causes), tuple(missing))
 
 
-def _read_lines(path: str) -> Iterator[Line]:
+def _read_lines(path: str) -> Iterator[LogRecord]:
     """Reads a log; what stands before a record, and other text, is skipped."""
     try:
         data = pathlib.Path(path).read_bytes()
@@ -139,7 +144,7 @@
             for name, value in fields.items()
             if name not in _HIDDEN
         }
-        yield Line(
+        yield LogRecord(
             pathlib.Path(path).name,
             record.timestamp,
             kind,
@@ -154,10 +159,12 @@
     return msgspec.json.encode(value).decode()
 
 
-def _select_lines(lines: Sequence[Line], tasks: set[str]) -> list[Line]:
+def _select_lines(
+    lines: Sequence[LogRecord], tasks: set[str]
+) -> list[LogRecord]:
     """Selects the lines of tasks, and of the process around them."""
     own = [line for line in lines if line.task in tasks]
-    first, last = own[0].at - BEFORE, own[-1].at
+    first, last = own[0].at - CONTEXT_SECONDS, own[-1].at
     around = [
         line
         for line in lines
@@ -168,7 +175,7 @@
     return [dataclasses.replace(line, of_request=True) for line in own] + around
 
 
-def _find_gaps(lines: Sequence[Line], tasks: set[str]) -> Iterator[str]:
+def _find_gaps(lines: Sequence[LogRecord], tasks: set[str]) -> Iterator[str]:
     name = lines[0].log
     for task in sorted(tasks):
         kinds = [line.kind for line in lines if line.task == task]
@@ -208,7 +215,7 @@
 }
 
 
-def _explain_task(lines: Sequence[Line], task: str) -> str:
+def _explain_task(lines: Sequence[LogRecord], task: str) -> str:
     own = [line for line in lines if line.task == task]
     sends = [line for line in own if line.kind == "request.handed_out"]
     merged: dict[str, str] = dict(
@@ -270,7 +277,7 @@
     return "\n".join(parts)
 
 
-def _format_line(line: Line, first: float, of_request: bool) -> str:
+def _format_line(line: LogRecord, first: float, of_request: bool) -> str:
     details = " ".join(f"{name}={text}" for name, text in line.fields.items())
     mark = "*" if of_request else " "
     return f"{mark} {line.at - first:8.3f} s {line.log} {line.kind} {details}"
--- a/sycamorefall/observation/snapshots.py
+++ b/sycamorefall/observation/snapshots.py
@@ -111,7 +111,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Lead:
+class _LeadRange:
     """How far one team is ahead of another while both have work waiting.
 
     Attributes:
@@ -159,7 +159,7 @@
 def _compute_series(
     series: list[status_module.SidecarStatus],
 ) -> list[GapPoint]:
-    leads: dict[tuple[str, str], _Lead] = {}
+    leads: dict[tuple[str, str], _LeadRange] = {}
     points: list[GapPoint] = []
     for status in series:
         received = {
@@ -173,7 +173,7 @@
             for one, other in pairs
         }
         leads = {
-            pair: _extend(leads.get(pair), lead)
+            pair: _extend_range(leads.get(pair), lead)
             for pair, lead in current.items()
         }
         gaps = [
@@ -184,7 +184,7 @@
     return points
 
 
-def _extend(known: _Lead | None, lead: float) -> _Lead:
+def _extend_range(known: _LeadRange | None, lead: float) -> _LeadRange:
     if known is None:
-        return _Lead(lead, lead, lead)
-    return _Lead(lead, min(known.least, lead), max(known.most, lead))
+        return _LeadRange(lead, lead, lead)
+    return _LeadRange(lead, min(known.least, lead), max(known.most, lead))
--- a/sycamorefall/observation/status.py
+++ b/sycamorefall/observation/status.py
@@ -11,8 +11,8 @@
     "SidecarStatus",
     "TeamStatus",
     "TimeStatus",
-    "describe_peers",
-    "describe_times",
+    "summarize_peers",
+    "summarize_times",
 ]
 
 from collections.abc import Collection
@@ -23,10 +23,10 @@
 from sycamorefall import membership
 from sycamorefall.observation import histograms as histograms_module
 
-MOST_TEAMS_SHOWN = 200
+MAX_TEAMS_SHOWN = 200
 """Teams listed in a status, those with the most waiting first."""
 
-_SHARES = (0.5, 0.95, 0.99, 1.0)
+_QUANTILES = (0.5, 0.95, 0.99, 1.0)
 
 
 class PeerState(enum.Enum):
@@ -228,7 +228,7 @@
     limit: int
 
 
-def describe_peers(
+def summarize_peers(
     directory: membership.Directory, now: float, linked: Collection[str]
 ) -> tuple[PeerStatus, ...]:
     """Describes the processes that this one should hear from.
@@ -248,13 +248,13 @@
     }
     names = heard.union(linked)
     return tuple(
-        _describe_peer(directory, now, vm)
+        _summarize_peer(directory, now, vm)
         for vm in directory.vms.values()
         if vm.name in names
     )
 
 
-def _describe_peer(
+def _summarize_peer(
     directory: membership.Directory, now: float, vm: membership.VmEntry
 ) -> PeerStatus:
     peer = directory.peers.get(vm.name)
@@ -272,14 +272,14 @@
     )
 
 
-def describe_times(
-    histograms: histograms_module.TeamHistograms, whole: bool
+def summarize_times(
+    histograms: histograms_module.TeamHistograms, full_histograms: bool
 ) -> tuple[TimeStatus, ...]:
     """Describes all histograms.
 
     Args:
         histograms: The histograms.
-        whole: Whether to encode each whole, and not only in short.
+        full_histograms: Whether to encode each whole, and not only in short.
 
     Returns:
         One entry for each service, team and kind of time.
@@ -290,8 +290,8 @@
             team,
             kind.label,
             recorded.count,
-            *recorded.find_quantiles(_SHARES),
-            recorded.encode() if whole else "",
+            *recorded.compute_quantiles(_QUANTILES),
+            recorded.encode() if full_histograms else "",
         )
         for service, team, kind, recorded in histograms_module.list_histograms(
             histograms
--- a/sycamorefall/observation/tables.py
+++ b/sycamorefall/observation/tables.py
@@ -6,7 +6,7 @@
 
 from sycamorefall.observation import status as status_module
 
-ALL_OTHERS = "(all others)"
+OTHER_TEAMS_LABEL = "(all others)"
 """Shown in place of a team for those without histograms of their own."""
 
 Rows = Iterable[Sequence[object]]
@@ -112,7 +112,7 @@
     return [
         (
             entry.service,
-            entry.team or ALL_OTHERS,
+            entry.team or OTHER_TEAMS_LABEL,
             entry.time.replace("_", " "),
             entry.count,
             *map(
--- a/sycamorefall/observation/tests/test_log.py
+++ b/sycamorefall/observation/tests/test_log.py
@@ -8,7 +8,7 @@
 import pytest
 
 from sycamorefall import errors, observation, settings
-from sycamorefall.observation import descriptor, log
+from sycamorefall.observation import log, nonblocking_output
 
 
 @pytest.fixture
@@ -77,7 +77,7 @@
 
 def test_shared_descriptor_keeps_its_flags():
     reader, writer = os.pipe()
-    write = descriptor.reopen_descriptor(writer)
+    write = nonblocking_output.reopen_nonblocking(writer)
     assert write(b"a line\n") == 7
     assert os.get_blocking(writer)
     assert os.read(reader, 100) == b"a line\n"
@@ -87,13 +87,13 @@
     """Refusals that anybody can provoke leave room for other records."""
     now = 100.0
     monkeypatch.setattr(log.time, "monotonic", lambda: now)
-    log._limited.clear()
+    log._rate_limits.clear()
     path = tmp_path / "log"
     opened(str(path))
     for _ in range(50):
-        observation.write_limited(observation.Level.WARNING, "refused")
+        observation.write_rate_limited(observation.Level.WARNING, "refused")
     now += 1.0
-    observation.write_limited(observation.Level.WARNING, "refused")
+    observation.write_rate_limited(observation.Level.WARNING, "refused")
     records = [json.loads(line) for line in path.read_text().splitlines()]
     assert [record["left_out"] for record in records] == [0, 49]
 
--- a/sycamorefall/observation/tests/test_recorder.py
+++ b/sycamorefall/observation/tests/test_recorder.py
@@ -18,16 +18,18 @@
 
 
 def run_request(recorder, now, service, team, pieces=3):
-    track = observation.begin_request(recorder, now, service, team)
-    observation.note_hand_out(recorder, track, now + 0.1, "a/1", "engine-1")
+    trace = observation.record_request_start(recorder, now, service, team)
+    observation.record_attempt_start(
+        recorder, trace, now + 0.1, "a/1", "engine-1"
+    )
     for piece in range(pieces):
-        observation.note_piece(recorder, track, now + 0.2 + piece * 0.05)
-    observation.end_request(recorder, track, now + 1.0, "answered")
-    observation.end_request(recorder, track, now + 9.0, "cancelled")
+        observation.record_piece(recorder, trace, now + 0.2 + piece * 0.05)
+    observation.record_request_end(recorder, trace, now + 1.0, "answered")
+    observation.record_request_end(recorder, trace, now + 9.0, "cancelled")
 
 
 def read_samples(recorder):
-    text = metrics.format_metrics(metrics.describe_recorder(recorder))
+    text = metrics.format_metrics(metrics.list_recorder_metrics(recorder))
     return {
         (sample.name, *sorted(sample.labels.items())): sample.value
         for family in parser.text_string_to_metric_families(text.decode())
@@ -64,15 +66,15 @@
     busy team, and its times must go on counting among the rest.
     """
     recorder = observation.Recorder()
-    for index in range(histograms.MOST_TEAMS):
+    for index in range(histograms.MAX_TEAMS):
         run_request(recorder, 1.0, "assistant", f"quiet-{index}")
     for _ in range(5):
         run_request(recorder, 1.0, "assistant", "busy")
-    sets = recorder.histograms.sets
-    assert ("assistant", "busy") in sets
-    assert len(sets) == histograms.MOST_TEAMS + 1
-    kinds = [own[histograms.TimeKind.TOTAL] for own in sets.values()]
-    assert sum(own.count for own in kinds) == histograms.MOST_TEAMS + 5
+    by_team = recorder.histograms.by_team
+    assert ("assistant", "busy") in by_team
+    assert len(by_team) == histograms.MAX_TEAMS + 1
+    kinds = [own[histograms.TimeKind.TOTAL] for own in by_team.values()]
+    assert sum(own.count for own in kinds) == histograms.MAX_TEAMS + 5
 
 
 def test_memory_is_bounded_at_the_size_of_two_years():
@@ -86,7 +88,7 @@
         run_request(recorder, 1.0, service, rng.choice(names), pieces=2)
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    assert len(recorder.histograms.sets) <= histograms.MOST_TEAMS + SERVICES
+    assert len(recorder.histograms.by_team) <= histograms.MAX_TEAMS + SERVICES
     assert held < MOST_MEMORY
 
 
@@ -101,7 +103,7 @@
         / histograms.UNITS_PER_SECOND
         for share in shares
     ]
-    assert recorded.find_quantiles(shares) == expected
+    assert recorded.compute_quantiles(shares) == expected
 
 
 def test_times_out_of_range_are_kept_at_its_ends():
@@ -114,7 +116,7 @@
             histograms.TimeKind.TOTAL,
             seconds,
         )
-    (shown,) = recorder.histograms.sets.values()
+    (shown,) = recorder.histograms.by_team.values()
     total = shown[histograms.TimeKind.TOTAL]
     assert total.count == 2
-    assert total.find_quantiles((1.0,))[0] == pytest.approx(3600, rel=0.01)
+    assert total.compute_quantiles((1.0,))[0] == pytest.approx(3600, rel=0.01)
--- a/sycamorefall/observation/tests/test_explaining.py
+++ b/sycamorefall/observation/tests/test_request_explanation.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sycamorefall import errors
-from sycamorefall.observation import explaining
+from sycamorefall.observation import request_explanation
 
 
 def write_log(path, *records):
@@ -34,7 +34,7 @@
 def test_request_whose_process_was_killed_is_told_as_such(tmp_path):
     # A router is killed while it streams an answer: no line tells the end.
     log = write_log(tmp_path / "front-1.log", START, SENT)
-    found = explaining.explain_request("r1", [log])
+    found = request_explanation.explain_request("r1", [log])
     assert "no end is recorded" in found.causes[0]
     assert "the process ended" in found.missing[0]
 
@@ -44,7 +44,7 @@
     # must not take their absence for proof that nothing happened.
     lost = {"message_type": "log.dropped", "records": 7, "task_uuid": "x"}
     log = write_log(tmp_path / "a.log", START, lost, end(result="cancelled"))
-    found = explaining.explain_request("r1", [log])
+    found = request_explanation.explain_request("r1", [log])
     assert "7 records" in found.missing[0]
 
 
@@ -58,13 +58,13 @@
     second = write_log(
         tmp_path / "b.log", {"task_uuid": "y"}, START, SENT, late
     )
-    found = explaining.explain_request("r1", [second, first])
+    found = request_explanation.explain_request("r1", [second, first])
     kinds = [(line.log, line.kind) for line in found.lines if line.kind]
     assert kinds[0] == ("a.log", "platform.lost")
     assert [line.at for line in found.lines] == sorted(
         line.at for line in found.lines
     )
-    text = explaining.format_explanation(found)
+    text = request_explanation.format_explanation(found)
     assert "late: it began after 0.9 s, 0.5 s were allowed" in text
 
 
@@ -76,7 +76,7 @@
     path.write_text(
         f"12.5 front-1 {lines[0]}\n{{broken\nTraceback\n\xff\n{lines[1]}\n"
     )
-    found = explaining.explain_request("r1", [log])
+    found = request_explanation.explain_request("r1", [log])
     assert found.causes == ("a.log: answered with status 200",)
     assert not found.missing
 
@@ -85,4 +85,4 @@
     # A mistyped id must not give an empty explanation.
     log = write_log(tmp_path / "a.log", START)
     with pytest.raises(errors.SettingsRefused):
-        explaining.explain_request("r2", [log])
+        request_explanation.explain_request("r2", [log])
--- a/sycamorefall/observation/tests/test_snapshots.py
+++ b/sycamorefall/observation/tests/test_snapshots.py
@@ -63,7 +63,7 @@
         histograms.record_time(
             recorder.histograms, "a", "x", histograms.TimeKind.TOTAL, seconds
         )
-    times = status.describe_times(recorder.histograms, whole=True)
+    times = status.summarize_times(recorder.histograms, full_histograms=True)
     one = make_sidecar(1.0, {}, times)
     other = msgspec.structs.replace(one, vm="engine-2", taken_at=0.5)
     again = msgspec.structs.replace(one, taken_at=2.0)
@@ -73,7 +73,7 @@
     )
     found = snapshots.read_snapshots([str(path)])
     assert [s.taken_at for s in found] == [0.5, 1.0, 2.0]
-    merged = snapshots.merge_times(found)["a", "total"][histograms.REST]
+    merged = snapshots.merge_times(found)["a", "total"][histograms.OTHER_TEAMS]
     assert merged.get_total_count() == 6
     longest = merged.get_max_value() / histograms.UNITS_PER_SECOND
     assert longest == pytest.approx(0.3, rel=0.01)
--- a/sycamorefall/pages.py
+++ b/sycamorefall/pages.py
@@ -1,6 +1,11 @@
 """The operators' pages of a process: live, ready, status, metrics."""
 
-__all__ = ["Pages", "answer_page", "describe_process", "list_metrics"]
+__all__ = [
+    "Pages",
+    "collect_common_status",
+    "handle_page_call",
+    "list_metrics",
+]
 
 from collections.abc import Callable, Collection, Iterable, Iterator
 import dataclasses
@@ -27,7 +32,7 @@
 STATUS_PATH = "/status"
 METRICS_PATH = "/metrics"
 
-WHOLE_HISTOGRAMS = "histograms"
+FULL_HISTOGRAMS_QUERY = "histograms"
 """Query of `/status` that asks for whole histograms."""
 
 _JSON = (("Content-Type", "application/json"),)
@@ -47,18 +52,18 @@
 
     Attributes:
         listen: The process's addresses.
-        find_unready: Lists why the process can't be used.
-        describe: Builds the status, with whole histograms if told so.
+        list_unready_reasons: Lists why the process can't be used.
+        build_status: Builds the status, with whole histograms if told so.
         list_metrics: Lists the metrics.
     """
 
     listen: settings.ListenSettings
-    find_unready: Callable[[], tuple[str, ...]]
-    describe: Callable[[bool], status_module.ProcessStatus]
+    list_unready_reasons: Callable[[], tuple[str, ...]]
+    build_status: Callable[[bool], status_module.ProcessStatus]
     list_metrics: Callable[[], Iterable[metrics_core.Metric]]
 
 
-def answer_page(
+def handle_page_call(
     pages: Pages, call: transport.IncomingCall, for_operators: bool
 ) -> bool:
     """Answers a call if it asks for one of the pages.
@@ -79,7 +84,7 @@
     if call.path == LIVE_PATH:
         call.respond(200, b"{}", _JSON)
     elif call.path == READY_PATH:
-        reasons = pages.find_unready()
+        reasons = pages.list_unready_reasons()
         body = msgspec.json.encode(Readiness(not reasons, reasons))
         call.respond(503 if reasons else 200, body, _JSON)
     elif call.path not in (STATUS_PATH, METRICS_PATH):
@@ -87,7 +92,7 @@
     elif not (for_operators or _is_trusted(pages.listen, call)):
         call.fail(errors.ErrorKind.UNKNOWN_SERVICE)
     elif call.path == STATUS_PATH:
-        shown = pages.describe(call.query == WHOLE_HISTOGRAMS)
+        shown = pages.build_status(call.query == FULL_HISTOGRAMS_QUERY)
         call.respond(200, msgspec.json.encode(shown), _JSON)
     else:
         text = metrics_module.format_metrics(pages.list_metrics())
@@ -103,12 +108,12 @@
     return ipaddress.ip_address(call.remote).is_loopback
 
 
-def describe_process(
+def collect_common_status(
     node: node_module.Node,
     recorder: observation.Recorder,
     now: float,
     linked: Collection[str],
-    whole: bool,
+    full_histograms: bool,
 ) -> dict[str, object]:
     """Collects the fields of a status that all processes have.
 
@@ -117,7 +122,7 @@
         recorder: Its records.
         now: This process's time.
         linked: VMs that the process has a link to.
-        whole: Whether to include whole histograms.
+        full_histograms: Whether to include whole histograms.
 
     Returns:
         Arguments of a `status.ProcessStatus`, but for teams and readiness.
@@ -134,7 +139,7 @@
         "older_seen": versions.older_seen,
         "vms_revision": core.directory.revision,
         "stopping": node.stopping,
-        "peers": status_module.describe_peers(core.directory, now, linked),
+        "peers": status_module.summarize_peers(core.directory, now, linked),
         "control": status_module.ControlStatus(
             node.control.bytes_sent,
             node.control.bytes_received,
@@ -145,7 +150,9 @@
             node.reader.reads, node.reader.failures, node.reader.bytes_read
         ),
         "replication": _describe_replication(node),
-        "times": status_module.describe_times(recorder.histograms, whole),
+        "times": status_module.summarize_times(
+            recorder.histograms, full_histograms
+        ),
         "log_dropped": node.log.dropped,
         "shared_key": node.authenticator.enabled,
     }
@@ -171,7 +178,7 @@
     )
 
 
-def find_common_unready(node: node_module.Node) -> tuple[str, ...]:
+def list_common_unready_reasons(node: node_module.Node) -> tuple[str, ...]:
     """Lists why a process of either role can't be used."""
     core = node.core
     own = core.directory.vms.get(core.vm)
@@ -203,11 +210,11 @@
         The metrics.
     """
     core, control = node.core, node.control
-    peers = status_module.describe_peers(core.directory, now, linked)
+    peers = status_module.summarize_peers(core.directory, now, linked)
     states = [peer.state.value for peer in peers]
     versions = core.versions
-    gauge, count = metrics_module.gauge_metric, metrics_module.count_metric
-    yield from metrics_module.describe_recorder(recorder)
+    gauge, count = metrics_module.create_gauge, metrics_module.create_counter
+    yield from metrics_module.list_recorder_metrics(recorder)
     yield gauge("open", "In progress.", (), {(): recorder.open})
     yield gauge(
         "revision", "Configuration in force.", (), {(): versions.in_force}
--- a/sycamorefall/platform/headers.py
+++ b/sycamorefall/platform/headers.py
@@ -190,7 +190,7 @@
         seconds = math.nan
     if math.isfinite(seconds) and seconds >= 0:
         return seconds
-    observation.write_limited(
+    observation.write_rate_limited(
         observation.Level.WARNING, "upstream.malformed_rest", value=text[:64]
     )
     return None
--- a/sycamorefall/platform/store.py
+++ b/sycamorefall/platform/store.py
@@ -25,7 +25,7 @@
 """A key after all others: what lies behind it is nothing, and the answer
 still tells the store's revision."""
 
-LARGEST_ANSWER = 1 << 24
+MAX_RESPONSE_BYTES = 1 << 24
 """Bytes of an answer that are taken at most: ten values of the largest size."""
 
 _OK = 200
@@ -104,7 +104,7 @@
     def _take_data(self, call: _Call, data: bytes) -> None:
         call.parts.append(data)
         call.size += len(data)
-        if call.size > LARGEST_ANSWER:
+        if call.size > MAX_RESPONSE_BYTES:
             self._daemon.client.abort(call.exchange)
             self._fail("answer too large")
 
--- a/sycamorefall/platform/tests/callers.py
+++ b/sycamorefall/platform/tests/callers.py
@@ -5,16 +5,16 @@
 import enum
 import time
 
-WAIT_LIMIT = 8.0
+WAIT_TIMEOUT = 8.0
 """Seconds until a condition is taken for one that doesn't come."""
 
 
-class End(enum.Enum):
+class EndKind(enum.Enum):
     """What became of a request that was wholly sent."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
-    CUT = "cut"
+    INVALID = "cut"
     CLOSED = "closed"
 
 
@@ -25,14 +25,14 @@
     Attributes:
         request: Its id.
         end: What became of it.
-        waited: Seconds from its last byte to its end.
+        duration: Seconds from its last byte to its end.
         sent_at: Seconds from the caller's reference time to its last byte.
         status: Status of its answer; 0 if there was none.
     """
 
     request: str
-    end: End
-    waited: float
+    end: EndKind
+    duration: float
     sent_at: float
     status: int
 
@@ -57,7 +57,7 @@
             return False
         return True
 
-    async def ask(self, path, number):
+    async def send_request(self, path, number):
         """Sends a request on the open connection and notes its end."""
         request = f"{number:016x}"
         self.writer.write(
@@ -77,20 +77,24 @@
     async def read_end(self, right):
         try:
             head = await self.reader.readuntil(b"\r\n\r\n")
-            size = find_header(head, b"content-length")
+            size = get_header(head, b"content-length")
             body = await self.reader.readexactly(int(size))
         except asyncio.IncompleteReadError as broken:
             self.close()
-            return (End.CUT if broken.partial else End.CLOSED), 0
+            return (EndKind.INVALID if broken.partial else EndKind.CLOSED), 0
         except OSError:
             self.close()
-            return End.CLOSED, 0
-        if find_header(head, b"connection") == b"close":
+            return EndKind.CLOSED, 0
+        if get_header(head, b"connection") == b"close":
             self.close()
         status = int(head.split()[1])
         if status == 200:
-            return (End.ANSWERED if body == right else End.CUT), status
-        return (End.REFUSED if status in (429, 503) else End.CUT), status
+            return (
+                EndKind.ANSWERED if body == right else EndKind.INVALID
+            ), status
+        return (
+            EndKind.REFUSED if status in (429, 503) else EndKind.INVALID
+        ), status
 
     def close(self):
         if self.writer is not None:
@@ -98,7 +102,7 @@
         self.reader = self.writer = None
 
 
-def find_header(head, name):
+def get_header(head, name):
     lines = head.lower().split(b"\r\n")
     values = [
         line.partition(b":")[2]
@@ -109,6 +113,6 @@
 
 
 async def wait_for(condition):
-    async with asyncio.timeout(WAIT_LIMIT):
+    async with asyncio.timeout(WAIT_TIMEOUT):
         while not condition():
             await asyncio.sleep(0.01)
--- a/sycamorefall/platform/tests/conftest.py
+++ b/sycamorefall/platform/tests/conftest.py
@@ -3,11 +3,11 @@
 import pytest
 
 from standins import site as site_module
-from sycamorefall.platform.tests import asking
+from sycamorefall.platform.tests import router_client
 
 
 @pytest.fixture
 def site(tmp_path):
     with site_module.Site(tmp_path) as made:
-        asking.put_configuration(made, 3)
+        router_client.store_configuration(made, 3)
         yield made
--- a/sycamorefall/platform/tests/asking.py
+++ b/sycamorefall/platform/tests/router_client.py
@@ -9,10 +9,10 @@
 _numbers = itertools.count(1)
 
 
-def put_configuration(site, version, keys=None, routes=None):
+def store_configuration(site, version, keys=None, routes=None):
     site.store.put(
         "op/config",
-        site_module.describe_configuration(
+        site_module.build_configuration(
             version,
             routes or list(site_module.STANDARD_ROUTES),
             keys or {"mill": ["k-mill"], "trader": ["k-trader"]},
@@ -20,7 +20,9 @@
     )
 
 
-def ask(router, path, key="k-mill", prompt=False, left=3000, body=b"", **more):
+def send_request(
+    router, path, key="k-mill", prompt=False, left=3000, body=b"", **more
+):
     """Sends a request; gives its id, status, headers and body."""
     request = f"{next(_numbers):016x}"
     headers = {"Attempt-Id": request, "Request-Deadline-Ms": str(left)}
@@ -30,5 +32,5 @@
     return request, status, found, answer
 
 
-def list_events(answer):
+def parse_event_data(answer):
     return re.findall(rb"data: (\S+)", answer)
--- a/sycamorefall/platform/tests/test_crashing.py
+++ b/sycamorefall/platform/tests/test_crashing.py
@@ -10,7 +10,7 @@
 from standins import site as site_module
 from sycamorefall import command
 from sycamorefall.platform.tests import test_whole_path
-from sycamorefall.platform.tests.asking import ask
+from sycamorefall.platform.tests.router_client import send_request
 
 CRASHING = b"crashes the engine"
 
@@ -20,14 +20,15 @@
     """Three connected routers and eight engines."""
     for number in range(8):
         engine = site.add_upstream(f"e{number}", "engine")
-        engine.crash_on = CRASHING
+        engine.crash_on_body = CRASHING
     first = site.add_router("front-a-1")
     seeds = f"[peers]\naddresses = 127.0.0.1:{first.control}\n"
     routers = [first] + [
-        site.add_router(f"front-a-{number}", more=seeds) for number in (2, 3)
+        site.add_router(f"front-a-{number}", extra_settings=seeds)
+        for number in (2, 3)
     ]
     site_module.wait_until(
-        lambda: test_whole_path.count_routers(routers) == {3}
+        lambda: test_whole_path.read_router_counts(routers) == {3}
     )
     return routers
 
@@ -42,26 +43,28 @@
     # its repetitions reach other routers, or because a router retries it.
     for number in range(9):
         router = fleet[number % len(fleet)]
-        _, status, found, _ = ask(router, path, prompt=True, body=CRASHING)
+        _, status, found, _ = send_request(
+            router, path, prompt=True, body=CRASHING
+        )
         assert status in (502, 503)
         time.sleep(0.2)
     assert count_crashed(site) == 3
     assert (status, found.get("retry-after")) == (503, None)
     for router in fleet:
-        assert ask(router, path, prompt=True, body=b"sound")[1] == 200
+        assert send_request(router, path, prompt=True, body=b"sound")[1] == 200
 
 
 def test_reset_connections_are_no_crash(site):
     # Guards against quarantining harmless requests because a live engine breaks
     # off its answers to them.
     engine = site.add_upstream("e1", "engine")
-    engine.cut_after = 2
+    engine.truncate_after = 2
     router = site.add_router()
     for _ in range(4):
         with pytest.raises(http.client.IncompleteRead):
-            ask(router, "/draft/x", prompt=True)
-    engine.cut_after = None
-    assert ask(router, "/draft/x", prompt=True)[1] == 200
+            send_request(router, "/draft/x", prompt=True)
+    engine.truncate_after = None
+    assert send_request(router, "/draft/x", prompt=True)[1] == 200
 
 
 def test_quarantined_request_is_explained_by_its_fingerprint(
@@ -71,7 +74,7 @@
     # of which crashes.
     for number in range(4):
         router = fleet[number % len(fleet)]
-        ask(router, "/draft/x", prompt=True, body=CRASHING)
+        send_request(router, "/draft/x", prompt=True, body=CRASHING)
         time.sleep(0.2)
     logs = [str(path) for path in sorted(site.folder.glob("front-*.log"))]
     texts = [pathlib.Path(path).read_text() for path in logs]
--- a/sycamorefall/platform/tests/test_explaining.py
+++ b/sycamorefall/platform/tests/test_explaining.py
@@ -10,7 +10,7 @@
 
 from standins import site as site_module
 from sycamorefall import command
-from sycamorefall.platform.tests.asking import ask
+from sycamorefall.platform.tests.router_client import send_request
 
 
 def explain(site, request, capsys):
@@ -30,7 +30,7 @@
 def ask_until_cut(router, path):
     """Asks for a stream that may be broken off; gives the request's id."""
     try:
-        return ask(router, path, prompt=True)[0]
+        return send_request(router, path, prompt=True)[0]
     except http.client.IncompleteRead:
         return None
 
@@ -54,7 +54,7 @@
     router = site.add_router()
 
     engine.refuse = True
-    refused, status, _, _ = ask(router, "/draft/x", prompt=True)
+    refused, status, _, _ = send_request(router, "/draft/x", prompt=True)
     assert status == 503
     text = explain(site, refused, capsys)
     assert "cause: front-a-1.log: refused, it has not run" in text
@@ -62,13 +62,15 @@
     assert "last to e1" in text
 
     engine.refuse, ledger.hang = False, True
-    unknown, status, _, _ = ask(router, "/book/x", "", left=400, body=b"b")
+    unknown, status, _, _ = send_request(
+        router, "/book/x", "", left=400, body=b"b"
+    )
     assert status == 504
     text = explain(site, unknown, capsys)
     assert "its time was over before an answer came" in text
     assert "sent 1 times, last to l1" in text
 
-    engine.cut_after = 2
+    engine.truncate_after = 2
     site_module.wait_until(lambda: ask_until_cut(router, "/draft/x") is None)
     broken = engine.runs[-1][0]
     text = explain(site, broken, capsys)
@@ -94,11 +96,13 @@
     # refusal must be shown beside the loss of the store.
     site.add_upstream("e1", "engine")
     router = site.add_router()
-    site.store.away = True
+    site.store.unavailable = True
     status = 200
     with contextlib.suppress(AssertionError):
         while status == 200:
-            request, status, _, _ = ask(router, "/draft/x", prompt=True)
+            request, status, _, _ = send_request(
+                router, "/draft/x", prompt=True
+            )
     assert status == 503
     text = explain(site, request, capsys)
     assert "could not prove that its configuration is the newest" in text
@@ -124,7 +128,7 @@
     # Guards against logs that can't correlate crashes with a repeated request:
     # each attempt of a caller has a different id.
     engine = site.add_upstream("e1", "engine")
-    engine.cut_after = 2
+    engine.truncate_after = 2
     router = site.add_router()
     for path in ("/draft/x", "/draft/x", "/draft/y"):
         assert ask_until_cut(router, path) is None
--- a/sycamorefall/platform/tests/test_freezing.py
+++ b/sycamorefall/platform/tests/test_freezing.py
@@ -7,7 +7,7 @@
 import time
 
 from standins import site as site_module
-from sycamorefall.platform.tests import asking, callers
+from sycamorefall.platform.tests import callers, router_client
 
 CALLERS = 30
 FREEZES = 6
@@ -28,7 +28,7 @@
 EVENTS = 20
 
 
-class Crowd:
+class ConcurrentCallers:
     """Callers that ask without pause while their router is frozen."""
 
     def __init__(self, router):
@@ -37,22 +37,23 @@
         self.last_number = 0
         self.done = False
 
-    async def ask_steadily(self):
+    async def send_continuously(self):
         caller = callers.Caller(self.router.data, self.outcomes, lambda: 0.0)
         while not self.done:
             if caller.writer is None:
                 assert await caller.connect()
             self.last_number += 1
-            await caller.ask("/look/x", self.last_number)
+            await caller.send_request("/look/x", self.last_number)
         caller.close()
 
     async def wait_for_answers(self):
         enough = len(self.outcomes) + BETWEEN
         await callers.wait_for(lambda: len(self.outcomes) >= enough)
 
-    async def play(self):
+    async def run_scenario(self):
         tasks = [
-            asyncio.create_task(self.ask_steadily()) for _ in range(CALLERS)
+            asyncio.create_task(self.send_continuously())
+            for _ in range(CALLERS)
         ]
         for _ in range(FREEZES):
             await self.wait_for_answers()
@@ -71,22 +72,22 @@
     # that these ran twice, and some callers got an error in the end.
     ledgers = [site.add_upstream(f"l{n}", "ledger", 40) for n in (1, 2)]
     router = site.add_router()
-    crowd = Crowd(router)
-    asyncio.run(crowd.play())
+    concurrent_callers = ConcurrentCallers(router)
+    asyncio.run(concurrent_callers.run_scenario())
     runs = collections.Counter(
         request for ledger in ledgers for request, _ in ledger.runs
     )
     assert [request for request, count in runs.items() if count > 1] == []
-    ends = {outcome.end for outcome in crowd.outcomes}
-    assert ends <= {callers.End.ANSWERED, callers.End.REFUSED}
+    ends = {outcome.end for outcome in concurrent_callers.outcomes}
+    assert ends <= {callers.EndKind.ANSWERED, callers.EndKind.REFUSED}
     # A busy machine's router may refuse some unread; it must be true.
     refused = {
         outcome.request
-        for outcome in crowd.outcomes
-        if outcome.end is callers.End.REFUSED
+        for outcome in concurrent_callers.outcomes
+        if outcome.end is callers.EndKind.REFUSED
     }
     assert not refused & runs.keys()
-    assert len(refused) < len(crowd.outcomes) / 20
+    assert len(refused) < len(concurrent_callers.outcomes) / 20
 
 
 class Readers:
@@ -100,17 +101,17 @@
     def read_steadily(self, path):
         usage = {"Token-Usage": f"1100,{EVENTS}"}
         while not self.done:
-            request, status, _, answer = asking.ask(
+            request, status, _, answer = router_client.send_request(
                 self.router, path, prompt=True, **usage
             )
-            events = len(asking.list_events(answer))
+            events = len(router_client.parse_event_data(answer))
             self.answers.append((request, status, events))
 
     def wait_for_answers(self):
         enough = len(self.answers) + STREAMS_BETWEEN
         site_module.wait_until(lambda: len(self.answers) >= enough)
 
-    def play(self):
+    def run_scenario(self):
         paths = ["/answer/x", "/draft/x"] * (STREAM_CALLERS // 2)
         with concurrent.futures.ThreadPoolExecutor(STREAM_CALLERS) as pool:
             reading = [pool.submit(self.read_steadily, path) for path in paths]
@@ -135,6 +136,6 @@
         site.add_upstream(name, "engine", slots=32)
     router = site.add_router()
     readers = Readers(router)
-    readers.play()
+    readers.run_scenario()
     wrong = [one for one in readers.answers if one[1:] != (200, EVENTS)]
     assert wrong == []
--- a/sycamorefall/platform/tests/test_leaving.py
+++ b/sycamorefall/platform/tests/test_leaving.py
@@ -3,7 +3,7 @@
 import time
 
 from standins import site as site_module
-from sycamorefall.platform.tests.asking import ask
+from sycamorefall.platform.tests.router_client import send_request
 
 DRAIN_TIME = 2.0
 """Seconds after a shutdown notice by which new sends must have stopped."""
@@ -15,14 +15,14 @@
     leaving = site.add_upstream("e1", "engine")
     leaving.leaving = True
     router = site.add_router()
-    assert ask(router, "/draft/x", prompt=True)[1] == 200
+    assert send_request(router, "/draft/x", prompt=True)[1] == 200
     site.add_upstream("e2", "engine")
     log = site.folder / "front-a-1.log"
     site_module.wait_until(lambda: '"new":["e2"]' in log.read_text())
     time.sleep(DRAIN_TIME)
     before = len(leaving.runs)
     for _ in range(20):
-        assert ask(router, "/draft/x", prompt=True)[1] == 200
+        assert send_request(router, "/draft/x", prompt=True)[1] == 200
     assert len(leaving.runs) == before
 
 
@@ -30,15 +30,15 @@
     # Guards against requests sent to an upstream before its Retry-After delay
     # has elapsed, and against callers that wait for it until their deadline.
     resting = site.add_upstream("e1", "engine")
-    resting.refuse, resting.rest = True, "3"
+    resting.refuse, resting.retry_after = True, "3"
     router = site.add_router()
-    assert ask(router, "/draft/x", prompt=True)[1] == 503
+    assert send_request(router, "/draft/x", prompt=True)[1] == 503
     refused_at = time.monotonic()
     time.sleep(0.5)
     before = len(resting.refused)
     for _ in range(10):
         started = time.monotonic()
-        _, status, headers, _ = ask(router, "/draft/x", prompt=True)
+        _, status, headers, _ = send_request(router, "/draft/x", prompt=True)
         remaining = refused_at + 3 - started
         assert status == 503
         assert remaining - 0.5 < float(headers["retry-after"]) < remaining + 1.0
@@ -46,4 +46,4 @@
     assert len(resting.refused) - before <= 2
     resting.refuse = False
     time.sleep(max(0.0, refused_at + 3.1 - time.monotonic()))
-    assert ask(router, "/draft/x", prompt=True)[1] == 200
+    assert send_request(router, "/draft/x", prompt=True)[1] == 200
--- a/sycamorefall/platform/tests/test_stopping.py
+++ b/sycamorefall/platform/tests/test_stopping.py
@@ -9,7 +9,7 @@
 import pytest
 
 from standins import site as site_module
-from sycamorefall.platform.tests import asking, callers
+from sycamorefall.platform.tests import callers, router_client
 
 CROSSING = 0.2
 """Seconds within which a request and a close may cross each other."""
@@ -32,7 +32,7 @@
 """Seconds after SIGTERM between which a router is frozen."""
 
 
-class Crowd:
+class ConcurrentCallers:
     """All callers of one router, before and after its SIGTERM."""
 
     def __init__(self, router, seed):
@@ -42,7 +42,7 @@
         self.stopped_at = float("inf")
         self.last_number = seed << 32
 
-    def make_caller(self):
+    def create_caller(self):
         return callers.Caller(
             self.router.data, self.outcomes, lambda: self.stopped_at
         )
@@ -54,22 +54,22 @@
     def is_gone(self):
         return self.router.process.poll() is not None
 
-    async def ask_steadily(self):
+    async def send_continuously(self):
         """Asks without pause until the process is gone."""
-        caller = self.make_caller()
+        caller = self.create_caller()
         while not self.is_gone():
             if caller.writer is None and not await caller.connect():
                 await asyncio.sleep(0.01)
                 continue
             path = self.random.choice(("/look/x", "/book/x"))
-            await caller.ask(path, self.next_number())
+            await caller.send_request(path, self.next_number())
         caller.close()
 
     async def open_kept(self):
         """Opens a connection on which a request was answered."""
-        caller = self.make_caller()
+        caller = self.create_caller()
         await caller.connect()
-        await caller.ask("/look/x", self.next_number())
+        await caller.send_request("/look/x", self.next_number())
         return caller
 
     async def open_some(self):
@@ -81,7 +81,7 @@
         """Uses a kept connection a while after SIGTERM, if it is open."""
         await asyncio.sleep(self.stopped_at + after - time.monotonic())
         if caller.writer is not None and not caller.reader.at_eof():
-            await caller.ask("/book/x", self.next_number())
+            await caller.send_request("/book/x", self.next_number())
         caller.close()
 
     async def freeze(self):
@@ -92,7 +92,7 @@
         await asyncio.sleep(self.stopped_at + end - time.monotonic())
         self.router.process.send_signal(signal.SIGCONT)
 
-    async def play(self, frozen):
+    async def run_scenario(self, frozen):
         """Stops the router among its callers; returns its exit status."""
         kept = [
             caller
@@ -100,7 +100,7 @@
             for caller in await self.open_some()
         ]
         steady = [
-            asyncio.create_task(self.ask_steadily())
+            asyncio.create_task(self.send_continuously())
             for _ in range(STEADY_CALLERS)
         ]
         await callers.wait_for(
@@ -123,13 +123,13 @@
 def is_lost(outcome, run):
     """Tells whether a request got an end that no caller may be given."""
     match outcome.end:
-        case callers.End.ANSWERED:
+        case callers.EndKind.ANSWERED:
             return False
-        case callers.End.REFUSED:
+        case callers.EndKind.REFUSED:
             return outcome.request in run
-        case callers.End.CLOSED:
-            return outcome.waited > CROSSING or outcome.request in run
-        case callers.End.CUT:
+        case callers.EndKind.CLOSED:
+            return outcome.duration > CROSSING or outcome.request in run
+        case callers.EndKind.INVALID:
             return True
 
 
@@ -139,14 +139,16 @@
 
 def ask_stream(router):
     usage = {"Token-Usage": f"1100,{STREAM_EVENTS}"}
-    return asking.ask(router, "/draft/x", prompt=True, left=9000, **usage)
+    return router_client.send_request(
+        router, "/draft/x", prompt=True, left=9000, **usage
+    )
 
 
 def check_streams(streams):
     for stream in streams:
         request, status, _, answer = stream.result()
         right = [f"{request}/{n}".encode() for n in range(1, STREAM_EVENTS + 1)]
-        assert (status, asking.list_events(answer)) == (200, right)
+        assert (status, router_client.parse_event_data(answer)) == (200, right)
 
 
 @pytest.mark.parametrize(("seed", "frozen"), [(1, False), (2, True)])
@@ -155,7 +157,7 @@
     # until it is gone. It is late as it ends listening: many requests come at
     # once, or its VM is frozen. Some callers got neither an answer nor a
     # refusal: what had arrived and wasn't handled yet was closed as idle.
-    draft = site_module.describe_route(
+    draft = site_module.build_route(
         "draft", "streaming", "engine", MaxAttempts=1, TimeoutMs=9000
     )
     plain = [
@@ -163,17 +165,17 @@
         for route in site_module.STANDARD_ROUTES
         if route["Service"] == "ledger"
     ]
-    asking.put_configuration(site, 4, routes=[draft, *plain])
+    router_client.store_configuration(site, 4, routes=[draft, *plain])
     engine = site.add_upstream("e1", "engine")
-    engine.pause = STREAM_PAUSE
+    engine.event_interval = STREAM_PAUSE
     ledgers = [site.add_upstream(f"l{n}", "ledger", 40) for n in (1, 2)]
     router = site.add_router()
-    crowd = Crowd(router, seed)
+    concurrent_callers = ConcurrentCallers(router, seed)
     with concurrent.futures.ThreadPoolExecutor(STREAMS) as pool:
         streams = [pool.submit(ask_stream, router) for _ in range(STREAMS)]
         site_module.wait_until(lambda: len(engine.runs) == STREAMS)
-        status, took = asyncio.run(crowd.play(frozen))
+        status, took = asyncio.run(concurrent_callers.run_scenario(frozen))
     run = {request for ledger in ledgers for request, _ in ledger.runs}
-    assert find_lost(crowd.outcomes, run) == []
+    assert find_lost(concurrent_callers.outcomes, run) == []
     assert (status, took < STOP_LIMIT) == (0, True)
     check_streams(streams)
--- a/sycamorefall/platform/tests/test_whole_path.py
+++ b/sycamorefall/platform/tests/test_whole_path.py
@@ -12,10 +12,10 @@
 import pytest
 
 from standins import site as site_module
-from sycamorefall.platform.tests.asking import (
-    ask,
-    list_events,
-    put_configuration,
+from sycamorefall.platform.tests.router_client import (
+    parse_event_data,
+    send_request,
+    store_configuration,
 )
 
 
@@ -30,12 +30,21 @@
     def call_once(number):
         if number % 2:
             path = ("/draft/x?y=1", "/answer/x")[number % 4 // 2]
-            request, status, found, answer = ask(router, path, prompt=True)
+            request, status, found, answer = send_request(
+                router, path, prompt=True
+            )
             events = [f"{request}/{n}".encode() for n in range(1, 6)]
-            return status, "server-stamp" in found, list_events(answer), events
+            return (
+                status,
+                "server-stamp" in found,
+                parse_event_data(answer),
+                events,
+            )
         path = ("/look/a%2Fb?c=d", "/book/z")[number % 4 // 2]
         body = b"x" * number if "book" in path else b""
-        request, status, found, answer = ask(router, path, "", body=body)
+        request, status, found, answer = send_request(
+            router, path, "", body=body
+        )
         right = f"{path} {request} {len(body)}".encode()
         return status, "server-stamp" in found, answer, right
 
@@ -61,7 +70,9 @@
         "X-Secret": "s",
         "X-Kept": "k",
     }
-    request, status, _, _ = ask(router, "/draft/x", prompt=True, **forged)
+    request, status, _, _ = send_request(
+        router, "/draft/x", prompt=True, **forged
+    )
     assert status == 200
     ((ran, headers),) = engine.runs
     assert ran == request
@@ -81,7 +92,7 @@
     router = site.add_router()
     usage = {"Token-Usage": "1000,5", "Prompt-Prefix": "a:900,b:100"}
     for _ in range(2):
-        assert ask(router, "/draft/x", prompt=True, **usage)[1] == 200
+        assert send_request(router, "/draft/x", prompt=True, **usage)[1] == 200
     sends = [headers for engine in engines for _, headers in engine.runs]
     addresses = {f"127.0.0.1:{engine.port}" for engine in engines}
     assert sends[0]["kv-fetch"] in addresses
@@ -93,17 +104,22 @@
     # within two seconds, without any process being restarted.
     site.add_upstream("e1", "engine")
     router = site.add_router()
-    assert ask(router, "/draft/x", prompt=True)[1] == 200
-    assert ask(router, "/draft/x", key="unknown", prompt=True)[1] == 401
-    assert ask(router, "/nowhere/x", prompt=True)[1] == 404
-    extra = site_module.describe_route("nowhere", "streaming", "engine")
+    assert send_request(router, "/draft/x", prompt=True)[1] == 200
+    assert (
+        send_request(router, "/draft/x", key="unknown", prompt=True)[1] == 401
+    )
+    assert send_request(router, "/nowhere/x", prompt=True)[1] == 404
+    extra = site_module.build_route("nowhere", "streaming", "engine")
     routes = [*site_module.STANDARD_ROUTES, extra]
-    put_configuration(site, 9, {"trader": ["k-trader"]}, routes)
+    store_configuration(site, 9, {"trader": ["k-trader"]}, routes)
     asked = time.monotonic()
     site_module.wait_until(
-        lambda: ask(router, "/draft/x", prompt=True)[1] == 401, 2.0
+        lambda: send_request(router, "/draft/x", prompt=True)[1] == 401, 2.0
+    )
+    assert (
+        send_request(router, "/nowhere/x", key="k-trader", prompt=True)[1]
+        == 200
     )
-    assert ask(router, "/nowhere/x", key="k-trader", prompt=True)[1] == 200
     assert time.monotonic() - asked < 2.0
 
 
@@ -112,11 +128,11 @@
     # history is dropped. Cause guarded against: trust in the watch alone.
     site.add_upstream("e1", "engine")
     router = site.add_router()
-    site.store.deaf = True
-    put_configuration(site, 9, {"trader": ["k-trader"]})
-    site.store.forget_history()
+    site.store.suppress_events = True
+    store_configuration(site, 9, {"trader": ["k-trader"]})
+    site.store.discard_history()
     site_module.wait_until(
-        lambda: ask(router, "/draft/x", prompt=True)[1] == 401, 2.0
+        lambda: send_request(router, "/draft/x", prompt=True)[1] == 401, 2.0
     )
 
 
@@ -125,10 +141,10 @@
     # was taken away. Its holder must not go on for as long as a watch waits.
     site.add_upstream("e1", "engine")
     router = site.add_router()
-    site.store.deaf = True
-    put_configuration(site, 9, {"trader": ["k-trader"]})
+    site.store.suppress_events = True
+    store_configuration(site, 9, {"trader": ["k-trader"]})
     site_module.wait_until(
-        lambda: ask(router, "/draft/x", prompt=True)[1] == 401, 2.0
+        lambda: send_request(router, "/draft/x", prompt=True)[1] == 401, 2.0
     )
 
 
@@ -140,29 +156,31 @@
     first = site.add_router("front-a-1")
     seeds = f"[peers]\naddresses = 127.0.0.1:{first.control}\n"
     routers = [first] + [
-        site.add_router(f"front-a-{n}", more=seeds) for n in (2, 3, 4)
+        site.add_router(f"front-a-{n}", extra_settings=seeds) for n in (2, 3, 4)
     ]
-    site_module.wait_until(lambda: count_routers(routers) == {4})
+    site_module.wait_until(lambda: read_router_counts(routers) == {4})
     time.sleep(1.0)  # Until the readers are settled.
-    before = sum(site.store.calls.values())
+    before = sum(site.store.read_counts.values())
     time.sleep(3.0)
-    assert sum(site.store.calls.values()) - before <= 9
+    assert sum(site.store.read_counts.values()) - before <= 9
     for router in routers[:2]:
         router.process.kill()
-    put_configuration(site, 9, {"trader": ["k-trader"]})
+    store_configuration(site, 9, {"trader": ["k-trader"]})
     changed_at = time.monotonic()
     for router in routers[2:]:
         site_module.wait_until(
-            lambda router=router: ask(router, "/draft/x", prompt=True)[1] == 401
+            lambda router=router: (
+                send_request(router, "/draft/x", prompt=True)[1] == 401
+            )
         )
     assert time.monotonic() - changed_at < 2.0
 
 
-def count_routers(routers):
+def read_router_counts(routers):
     """Counts the routers that each router hears, itself included."""
     counts = set()
     for router in routers:
-        url = f"http://127.0.0.1:{router.ready}/metrics"
+        url = f"http://127.0.0.1:{router.operators}/metrics"
         with urllib.request.urlopen(url, timeout=2) as answer:
             text = answer.read().decode()
         found = re.search(r"^sycamorefall_routers (\S+)$", text, re.M)
@@ -182,7 +200,7 @@
         lambda: log.read_text().count("platform.refused") == 2
     )
     assert "op/config" in log.read_text()
-    assert ask(router, "/draft/x", prompt=True)[1] == 200
+    assert send_request(router, "/draft/x", prompt=True)[1] == 200
 
 
 def test_keys_end_while_the_platform_is_away_and_open_routes_stay(site):
@@ -191,18 +209,18 @@
     site.add_upstream("e1", "engine")
     site.add_upstream("l1", "ledger")
     router = site.add_router()
-    site.store.away = True
-    away = time.monotonic()
-    assert ask(router, "/draft/x", prompt=True)[1] == 200
+    site.store.unavailable = True
+    unavailable = time.monotonic()
+    assert send_request(router, "/draft/x", prompt=True)[1] == 200
     site_module.wait_until(
-        lambda: ask(router, "/draft/x", prompt=True)[1] == 503, 5.0
+        lambda: send_request(router, "/draft/x", prompt=True)[1] == 503, 5.0
     )
-    assert time.monotonic() - away < 5.0
+    assert time.monotonic() - unavailable < 5.0
     assert not site_module.is_ready(router)
-    assert ask(router, "/book/x", "", body=b"b")[1] == 200
-    site.store.away = False
+    assert send_request(router, "/book/x", "", body=b"b")[1] == 200
+    site.store.unavailable = False
     site_module.wait_until(
-        lambda: ask(router, "/draft/x", prompt=True)[1] == 200
+        lambda: send_request(router, "/draft/x", prompt=True)[1] == 200
     )
 
 
@@ -212,7 +230,9 @@
     other = site.add_upstream("l2", "ledger")
     refusing.refuse = True
     router = site.add_router()
-    answers = [ask(router, "/book/x", "", body=b"b") for _ in range(12)]
+    answers = [
+        send_request(router, "/book/x", "", body=b"b") for _ in range(12)
+    ]
     assert {status for _, status, _, _ in answers} == {200}
     assert not refusing.runs
     assert sorted(ran for ran, _ in other.runs) == sorted(
@@ -227,7 +247,7 @@
     other = site.add_upstream("l2", "ledger")
     router = site.add_router()
     old.name = "l1-restarted"
-    answers = [ask(router, "/book/x", "", body=b"b") for _ in range(8)]
+    answers = [send_request(router, "/book/x", "", body=b"b") for _ in range(8)]
     assert {status for _, status, _, _ in answers} == {200}
     assert not old.runs
     assert len(other.runs) == 8
@@ -239,18 +259,18 @@
     # so that no client takes it for whole.
     engines = [site.add_upstream(f"e{n}", "engine") for n in (1, 2)]
     router = site.add_router()
-    used = ask(router, "/answer/x", prompt=True)
+    used = send_request(router, "/answer/x", prompt=True)
     assert used[1] == 200
     (crashing,) = [engine for engine in engines if engine.runs]
-    crashing.cut_after = 2
-    request, status, _, answer = ask(router, "/answer/x", prompt=True)
+    crashing.truncate_after = 2
+    request, status, _, answer = send_request(router, "/answer/x", prompt=True)
     assert status == 200
     right = [f"{request}/{n}".encode() for n in range(1, 6)]
-    assert list_events(answer) == right
+    assert parse_event_data(answer) == right
     for engine in engines:
-        engine.cut_after = 2
+        engine.truncate_after = 2
     with pytest.raises(http.client.IncompleteRead) as broken:
-        ask(router, "/draft/x", prompt=True)
+        send_request(router, "/draft/x", prompt=True)
     assert broken.value.partial.endswith(b"\n\n")
 
 
@@ -261,7 +281,7 @@
     ledger.extra = True
     router = site.add_router()
     for _ in range(20):
-        request, status, _, answer = ask(router, "/look/x", "")
+        request, status, _, answer = send_request(router, "/look/x", "")
         assert (status, answer) == (200, f"/look/x {request} 0".encode())
 
 
@@ -269,12 +289,12 @@
     # A ledger sends an answer again where the answer to the next request is
     # expected. The next caller must get its own, not the earlier one's.
     ledger = site.add_upstream("l1", "ledger")
-    ledger.repeat = True
+    ledger.repeat_previous = True
     router = site.add_router()
     for _ in range(5):
-        request, status, _, answer = ask(router, "/look/x", "")
+        request, status, _, answer = send_request(router, "/look/x", "")
         assert (status, answer) == (200, f"/look/x {request} 0".encode())
-    assert ledger.repeated
+    assert ledger.repeat_count
 
 
 def test_caller_that_leaves_ends_its_run(site):
@@ -290,7 +310,7 @@
             b"Content-Length: 0\r\n\r\n"
         )
         site_module.wait_until(lambda: ledger.runs)
-    site_module.wait_until(lambda: ledger.gone == ["77"], 0.5)
+    site_module.wait_until(lambda: ledger.cancelled == ["77"], 0.5)
 
 
 def test_hanging_upstream_is_answered_at_the_route_s_timeout(site):
@@ -299,13 +319,13 @@
     ledgers = [site.add_upstream(f"l{n}", "ledger") for n in (1, 2)]
     for ledger in ledgers:
         ledger.hang = True
-    slow = site_module.describe_route(
+    slow = site_module.build_route(
         "book", "unsafe", "ledger", Public=True, TimeoutMs=600
     )
-    put_configuration(site, 9, routes=[slow])
+    store_configuration(site, 9, routes=[slow])
     router = site.add_router()
     asked = time.monotonic()
-    _, status, _, _ = ask(router, "/book/x", "", body=b"b")
+    _, status, _, _ = send_request(router, "/book/x", "", body=b"b")
     assert status == 504
     assert 0.5 < time.monotonic() - asked < 1.1
     assert sum(len(ledger.runs) for ledger in ledgers) == 1
@@ -316,17 +336,17 @@
     # whole; callers that the balancer still sends are served; and the
     # process ends by itself.
     engine = site.add_upstream("e1", "engine")
-    engine.pause = 0.3
+    engine.event_interval = 0.3
     router = site.add_router()
     with concurrent.futures.ThreadPoolExecutor(2) as pool:
-        running = pool.submit(ask, router, "/draft/x", prompt=True)
+        running = pool.submit(send_request, router, "/draft/x", prompt=True)
         site_module.wait_until(lambda: engine.runs)
         router.process.send_signal(signal.SIGTERM)
         site_module.wait_until(lambda: not site_module.is_ready(router), 1.0)
-        engine.pause = 0.0
-        assert ask(router, "/draft/x", prompt=True)[1] == 200
+        engine.event_interval = 0.0
+        assert send_request(router, "/draft/x", prompt=True)[1] == 200
         request, status, _, answer = running.result()
-    assert (status, len(list_events(answer))) == (200, 5)
+    assert (status, len(parse_event_data(answer))) == (200, 5)
     assert router.process.wait(8) == 0
 
 
@@ -337,13 +357,13 @@
     # and else told at once that it has not run and when to come back.
     for name, service in (("e1", "engine"), ("l1", "ledger")):
         site.add_upstream(name, service)
-    router = site.add_router(more="[bounds]\ngrace = 6\n")
+    router = site.add_router(extra_settings="[bounds]\ngrace = 6\n")
     router.process.send_signal(signal.SIGTERM)
     began, answers = time.monotonic(), []
     with contextlib.suppress(ConnectionError):
         while True:
-            long = ask(router, "/draft/x", prompt=True)
-            short = ask(router, "/book/x", "", left=500, body=b"b")
+            long = send_request(router, "/draft/x", prompt=True)
+            short = send_request(router, "/book/x", "", left=500, body=b"b")
             answers.append((time.monotonic() - began, long, short))
     assert answers[-1][0] > 3.8
     refused = [long for _, long, _ in answers if long[1] != 200]
@@ -357,17 +377,17 @@
     # Settings change and SIGHUP comes, with a bad file too. Callers must
     # notice nothing; the log must say what is wrong with the file.
     engine = site.add_upstream("e1", "engine")
-    engine.pause = 0.1
+    engine.event_interval = 0.1
     router = site.add_router()
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
-        running = pool.submit(ask, router, "/draft/x", prompt=True)
+        running = pool.submit(send_request, router, "/draft/x", prompt=True)
         site_module.wait_until(lambda: engine.runs)
         router.settings.write_text("[vm]\nname = ?\n")
         router.process.send_signal(signal.SIGHUP)
         assert running.result()[1] == 200
     log = site.folder / "front-a-1.log"
     site_module.wait_until(lambda: "settings.refused" in log.read_text())
-    assert ask(router, "/draft/x", prompt=True)[1] == 200
+    assert send_request(router, "/draft/x", prompt=True)[1] == 200
 
 
 def test_killed_router_is_ready_again_at_once(site):
@@ -379,7 +399,7 @@
     began = time.monotonic()
     again = site.add_router("front-a-1")
     assert time.monotonic() - began < 3.0
-    assert ask(again, "/draft/x", prompt=True)[1] == 200
+    assert send_request(again, "/draft/x", prompt=True)[1] == 200
 
 
 def test_metrics_show_requests_by_team(site):
@@ -387,9 +407,9 @@
     # how old the configuration is.
     site.add_upstream("e1", "engine")
     router = site.add_router()
-    ask(router, "/draft/x", prompt=True)
-    ask(router, "/draft/x", key="unknown", prompt=True)
-    url = f"http://127.0.0.1:{router.ready}/metrics"
+    send_request(router, "/draft/x", prompt=True)
+    send_request(router, "/draft/x", key="unknown", prompt=True)
+    url = f"http://127.0.0.1:{router.operators}/metrics"
     with urllib.request.urlopen(url, timeout=2) as answer:
         text = answer.read().decode()
     assert re.search(
@@ -409,7 +429,7 @@
     # those that may use a kept connection reach the upstream at once.
     ledger = site.add_upstream("l1", "ledger")
     router = site.add_router()
-    kept, _, _, _ = ask(router, "/look/x", "")
+    kept, _, _, _ = send_request(router, "/look/x", "")
     router.process.send_signal(signal.SIGSTOP)
     for number, line in enumerate(("GET /look/x", "POST /book/x") * 2):
         with socket.create_connection(("127.0.0.1", router.data)) as caller:
@@ -419,6 +439,6 @@
                 "Content-Length: 0\r\n\r\n".encode()
             )
     router.process.send_signal(signal.SIGCONT)
-    request, status, _, _ = ask(router, "/book/x", "", body=b"b")
+    request, status, _, _ = send_request(router, "/book/x", "", body=b"b")
     assert status == 200
     assert [ran for ran, _ in ledger.runs] == [kept, request]
--- a/sycamorefall/router/daemon.py
+++ b/sycamorefall/router/daemon.py
@@ -72,14 +72,14 @@
     status_pages: pages.Pages,
     call: transport.IncomingCall,
 ) -> None:
-    if not pages.answer_page(status_pages, call, for_operators=False):
+    if not pages.handle_page_call(status_pages, call, for_operators=False):
         _handle_request(node, config, proxy, call)
 
 
 def _handle_operator_call(
     status_pages: pages.Pages, call: transport.IncomingCall
 ) -> None:
-    if not pages.answer_page(status_pages, call, for_operators=True):
+    if not pages.handle_page_call(status_pages, call, for_operators=True):
         call.fail(errors.ErrorKind.UNKNOWN_SERVICE)
 
 
--- a/sycamorefall/router/relay.py
+++ b/sycamorefall/router/relay.py
@@ -64,7 +64,7 @@
         state: State of the router's decisions.
         calls: Calls by request number.
         deliveries: Answers in progress by attempt identifier.
-        tracks: Log actions and times of the calls, by request number.
+        traces: Log actions and times of the calls, by request number.
         recorder: Counters and histograms of the process.
     """
 
@@ -73,7 +73,7 @@
         default_factory=dict
     )
     deliveries: dict[str, _Delivery] = dataclasses.field(default_factory=dict)
-    tracks: dict[int, observation.Track] = dataclasses.field(
+    traces: dict[int, observation.RequestTrace] = dataclasses.field(
         default_factory=dict
     )
     recorder: observation.Recorder = dataclasses.field(
@@ -91,7 +91,7 @@
     now = transport.read_clock()
     number, outcome = intake.admit_request(proxy.state, now, new)
     proxy.calls[number] = call
-    proxy.tracks[number] = observation.begin_request(
+    proxy.traces[number] = observation.record_request_start(
         proxy.recorder,
         now,
         new.service,
@@ -107,10 +107,12 @@
 def _end_track(
     proxy: Proxy, number: int, result: str, **fields: object
 ) -> None:
-    track = proxy.tracks.pop(number, None)
-    if track is not None:
+    trace = proxy.traces.pop(number, None)
+    if trace is not None:
         now = transport.read_clock()
-        observation.end_request(proxy.recorder, track, now, result, **fields)
+        observation.record_request_end(
+            proxy.recorder, trace, now, result, **fields
+        )
 
 
 def _cancel(node: node_module.Node, proxy: Proxy, number: int) -> None:
@@ -148,7 +150,7 @@
     # The caller already has part of a streamed answer. It gets a final error
     # event; then the connection is aborted, so that a client that ignores the
     # event can't mistake the incomplete answer for a complete one.
-    body = errors.describe_error(effect.kind, ran=effect.ran)
+    body = errors.create_error_body(effect.kind, ran=effect.ran)
     call.write(b"event: error\ndata: " + msgspec.json.encode(body) + b"\n\n")
     call.abort()
 
@@ -159,10 +161,10 @@
     attempt_id = effect.order.attempt_id
     call = proxy.calls[effect.request]
     sidecar = proxy.state.directory.vms[effect.sidecar]
-    track = proxy.tracks[effect.request]
-    observation.note_hand_out(
+    trace = proxy.traces[effect.request]
+    observation.record_attempt_start(
         proxy.recorder,
-        track,
+        trace,
         transport.read_clock(),
         attempt_id,
         effect.sidecar,
@@ -188,7 +190,7 @@
                 node, proxy, call, delivery, status, headers
             ),
             on_data=lambda data: _handle_data(
-                node, proxy, track, call, delivery, data
+                node, proxy, trace, call, delivery, data
             ),
             on_end=lambda: _handle_end(node, proxy, call, delivery),
             on_failure=lambda stage: _handle_failure(
@@ -258,7 +260,7 @@
 def _handle_data(
     node: node_module.Node,
     proxy: Proxy,
-    track: observation.Track,
+    trace: observation.RequestTrace,
     call: transport.IncomingCall,
     delivery: _Delivery,
     data: bytes,
@@ -267,9 +269,9 @@
     if not delivery.streamed:
         delivery.buffered_body.append(data)
         return
-    observation.note_piece(proxy.recorder, track, transport.read_clock())
+    observation.record_piece(proxy.recorder, trace, transport.read_clock())
     call.write(data)
-    if call.backlog > MAX_UNSENT_BYTES:
+    if call.unsent_bytes > MAX_UNSENT_BYTES:
         _pause(node, proxy, delivery, True)
 
 
@@ -299,9 +301,9 @@
     proxy: Proxy,
     call: transport.IncomingCall,
     delivery: _Delivery,
-    stage: transport.Stage,
+    stage: transport.SendStage,
 ) -> None:
-    not_sent = stage is transport.Stage.NOT_SENT
+    not_sent = stage is transport.SendStage.NOT_SENT
     end = (
         attempt_lifecycle.AttemptEnd.REFUSED
         if not_sent
--- a/sycamorefall/router/status.py
+++ b/sycamorefall/router/status.py
@@ -35,8 +35,10 @@
     """
     return pages.Pages(
         listen=listen,
-        find_unready=lambda: _list_unready_reasons(node, state),
-        describe=lambda whole: _describe(node, state, recorder, whole),
+        list_unready_reasons=lambda: _list_unready_reasons(node, state),
+        build_status=lambda full_histograms: _describe(
+            node, state, recorder, full_histograms
+        ),
         list_metrics=lambda: _list_metrics(node, state, recorder),
     )
 
@@ -44,7 +46,7 @@
 def _list_unready_reasons(
     node: node_module.Node, state: state_module.RouterState
 ) -> tuple[str, ...]:
-    common = pages.find_common_unready(node)
+    common = pages.list_common_unready_reasons(node)
     if _list_available_services(state, transport.read_clock()):
         return common
     return (*common, "no service has a usable upstream")
@@ -78,14 +80,18 @@
     node: node_module.Node,
     state: state_module.RouterState,
     recorder: observation.Recorder,
-    whole: bool,
+    full_histograms: bool,
 ) -> status_module.RouterStatus:
     now = transport.read_clock()
     in_force = state.versions.configuration
     listed = queues.list_queues(state.waiting)
     return status_module.RouterStatus(
-        **pages.describe_process(
-            node, recorder, now, _collect_linked_sidecars(state, now), whole
+        **pages.collect_common_status(
+            node,
+            recorder,
+            now,
+            _collect_linked_sidecars(state, now),
+            full_histograms,
         ),
         unready=_list_unready_reasons(node, state),
         teams=_describe_teams(state, now, listed),
@@ -104,7 +110,7 @@
     listed: list[tuple[str, str]],
 ) -> tuple[status_module.TeamStatus, ...]:
     most = heapq.nlargest(
-        status_module.MOST_TEAMS_SHOWN,
+        status_module.MAX_TEAMS_SHOWN,
         listed,
         key=lambda pair: queues.count_waiting(state.waiting, *pair),
     )
@@ -130,7 +136,7 @@
     now = transport.read_clock()
     linked = _collect_linked_sidecars(state, now)
     yield from pages.list_metrics(node, recorder, now, linked)
-    yield metrics_module.gauge_metric(
+    yield metrics_module.create_gauge(
         "waiting",
         "Requests waiting here.",
         ("service",),
@@ -142,7 +148,7 @@
             for service, teams in state.waiting.queues.items()
         },
     )
-    yield metrics_module.gauge_metric(
+    yield metrics_module.create_gauge(
         "backlogged_teams",
         "Teams with requests waiting here.",
         ("service",),
@@ -151,7 +157,7 @@
             for service, teams in state.waiting.queues.items()
         },
     )
-    yield metrics_module.count_metric(
+    yield metrics_module.create_counter(
         "late_answers",
         "Answers that matched no attempt, dropped.",
         (),
--- a/sycamorefall/settings.py
+++ b/sycamorefall/settings.py
@@ -33,7 +33,7 @@
 from sycamorefall import errors, ini
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
-NotNegative = Annotated[float, msgspec.Meta(ge=0)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 Count = Annotated[int, msgspec.Meta(ge=1)]
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]*$")]
 
@@ -110,7 +110,7 @@
 
     address: Address
     poll_interval: Positive = 120.0
-    start_spread: NotNegative = 4.0
+    start_spread: NonNegative = 4.0
     watchers: Count = 4
 
 
@@ -207,8 +207,8 @@
     """
 
     revocation: Positive = 5.0
-    retry_ratio: NotNegative = 0.2
-    retry_extra: NotNegative = 50.0
+    retry_ratio: NonNegative = 0.2
+    retry_extra: NonNegative = 50.0
     retry_window: Positive = 10.0
     grace: Positive = 8.0
 
@@ -312,7 +312,7 @@
         )
     except (msgspec.ValidationError, ValueError) as fault:
         raise errors.SettingsRefused(
-            ini.locate_fault(text, str(fault))
+            ini.format_validation_error(text, str(fault))
         ) from fault
     _check_addresses(checked)
     return checked
--- a/sycamorefall/sidecar/daemon.py
+++ b/sycamorefall/sidecar/daemon.py
@@ -59,10 +59,10 @@
         call: transport.IncomingCall,
         order: messages.AttemptOrder,
         meter: metering.Meter,
-        track: observation.Track,
+        trace: observation.RequestTrace,
     ):
         self.streamed = False
-        self.track = track
+        self.trace = trace
         self.call = call
         self.order = order
         self.meter = meter
@@ -129,10 +129,10 @@
     relay = proxy.relays.get(effect.attempt_id)
     if relay is None:
         return
-    stage = transport.Stage.NOT_SENT
+    stage = transport.SendStage.NOT_SENT
     if relay.exchange is not None:
         node.client.abort(relay.exchange)
-        stage = transport.Stage.SENT
+        stage = transport.SendStage.SENT
     _end_failed(relay, stage)
 
 
@@ -145,14 +145,14 @@
 ) -> None:
     if call.path == messages.ATTEMPT_PATH:
         _handle_attempt(node, config, proxy, call)
-    elif not pages.answer_page(operator_pages, call, for_operators=False):
+    elif not pages.handle_page_call(operator_pages, call, for_operators=False):
         call.fail(errors.ErrorKind.UNKNOWN_SERVICE)
 
 
 def _handle_operator_call(
     operator_pages: pages.Pages, call: transport.IncomingCall
 ) -> None:
-    if not pages.answer_page(operator_pages, call, for_operators=True):
+    if not pages.handle_page_call(operator_pages, call, for_operators=True):
         call.fail(errors.ErrorKind.UNKNOWN_SERVICE)
 
 
@@ -176,7 +176,7 @@
             call, order.attempt_id, _OUTCOME_BY_ACCEPTANCE[accepted]
         )
         return
-    track = observation.begin_request(
+    trace = observation.record_request_start(
         recorder,
         now,
         order.service,
@@ -185,7 +185,7 @@
         request_id=dict(order.headers).get(REQUEST_ID_HEADER, ""),
     )
     meter = _choose_meter(state, len(call.body))
-    relay = _Relay(call, order, meter, track)
+    relay = _Relay(call, order, meter, trace)
     running.charge_run(state, order.attempt_id, relay.meter.begin())
     relay.end = _create_end_callback(node, proxy, relay)
     proxy.relays[order.attempt_id] = relay
@@ -214,7 +214,7 @@
     signature = call.headers.get(messages.SIGNATURE_HEADER, "")
     if not node.authenticator.verify_order(text, call.body, signature):
         observation.count_event(recorder, "order_unsigned")
-        observation.write_limited(
+        observation.write_rate_limited(
             observation.Level.WARNING, "order.unsigned", caller=call.remote
         )
         return None
@@ -263,7 +263,7 @@
             *running.build_parent_headers(proxy.state, order, held_for),
         ),
         call.body,
-        fresh=not order.idempotent,
+        requires_new_connection=not order.idempotent,
     )
     relay.exchange = node.client.send(
         request,
@@ -306,7 +306,7 @@
             answered=result == "answered",
             is_engine=running.serves_engine(proxy.state),
         )
-        observation.end_request(proxy.recorder, relay.track, now, result)
+        observation.record_request_end(proxy.recorder, relay.trace, now, result)
         node_module.perform_effects(
             node, claiming.make_claims(proxy.state, now)
         )
@@ -327,7 +327,7 @@
 ) -> None:
     if not _is_framed(relay.order.method, status_code, headers):
         node.client.abort(relay.exchange)
-        _end_failed(relay, transport.Stage.SENT)
+        _end_failed(relay, transport.SendStage.SENT)
         return
     forwarded = tuple(pair for pair in headers if pair[0] in _FORWARDED_HEADERS)
     content_type = dict(forwarded).get("content-type", "")
@@ -355,11 +355,11 @@
     attempt_id = relay.order.attempt_id
     if relay.streamed:
         now = transport.read_clock()
-        observation.note_piece(proxy.recorder, relay.track, now)
+        observation.record_piece(proxy.recorder, relay.trace, now)
     running.charge_run(proxy.state, attempt_id, relay.meter.feed(data))
     running.record_sent(proxy.state, attempt_id, len(data))
     relay.call.write(data)
-    if relay.call.backlog > MAX_UNSENT_BYTES:
+    if relay.call.unsent_bytes > MAX_UNSENT_BYTES:
         node.client.pause(relay.exchange, True)
 
 
@@ -368,7 +368,7 @@
     relay.end("answered")
 
 
-def _end_failed(relay: _Relay, stage: transport.Stage) -> None:
+def _end_failed(relay: _Relay, stage: transport.SendStage) -> None:
     """Ends a run whose upstream failed.
 
     A response that has begun is aborted: ended normally, it would pass for a
@@ -378,7 +378,7 @@
     if relay.call.begun:
         relay.call.abort()
     else:
-        not_run = stage is transport.Stage.NOT_SENT
+        not_run = stage is transport.SendStage.NOT_SENT
         if not_run:
             outcome = messages.AttemptOutcome.NOT_RUN
         _answer_outcome(relay.call, relay.order.attempt_id, outcome)
--- a/sycamorefall/sidecar/status.py
+++ b/sycamorefall/sidecar/status.py
@@ -42,8 +42,8 @@
     """
     return pages.Pages(
         listen=listen,
-        find_unready=lambda: _list_unready_reasons(node, state),
-        describe=lambda with_histograms: _build_status(
+        list_unready_reasons=lambda: _list_unready_reasons(node, state),
+        build_status=lambda with_histograms: _build_status(
             node, state, recorder, with_histograms
         ),
         list_metrics=lambda: _list_metrics(node, state, recorder),
@@ -53,7 +53,7 @@
 def _list_unready_reasons(
     node: node_module.Node, state: state_module.SidecarState
 ) -> tuple[str, ...]:
-    common = pages.find_common_unready(node)
+    common = pages.list_common_unready_reasons(node)
     in_force = state.versions.configuration
     if in_force is None or state.service in in_force.services:
         return common
@@ -77,10 +77,10 @@
     now = transport.read_clock()
     waiting = _count_waiting(state)
     most_waiting = heapq.nlargest(
-        status_module.MOST_TEAMS_SHOWN, waiting, key=waiting.get
+        status_module.MAX_TEAMS_SHOWN, waiting, key=waiting.get
     )
     return status_module.SidecarStatus(
-        **pages.describe_process(
+        **pages.collect_common_status(
             node, recorder, now, _list_linked(state, now), with_histograms
         ),
         unready=_list_unready_reasons(node, state),
@@ -154,6 +154,6 @@
         "accounts": (len(state.accounts.teams), "Teams with an account."),
     }
     for name, (value, text) in values.items():
-        yield metrics_module.gauge_metric(
+        yield metrics_module.create_gauge(
             name, text, ("service",), {(state.service,): value}
         )
--- a/sycamorefall/sidecar/tests/test_load.py
+++ b/sycamorefall/sidecar/tests/test_load.py
@@ -51,7 +51,7 @@
     load.poll_load(poller, 1.0)
     answer(client.listeners[0], body)
     load.poll_load(poller, 2.0)
-    client.listeners[1].on_failure(transport.Stage.NOT_SENT)
+    client.listeners[1].on_failure(transport.SendStage.NOT_SENT)
     load.poll_load(poller, 3.0)
     answer(client.listeners[2], b'{"running": 8}', status=500)
     assert reports == []
--- a/sycamorefall/tests/test_pages.py
+++ b/sycamorefall/tests/test_pages.py
@@ -29,12 +29,12 @@
 def ask(path, remote, operators=None, for_operators=False, unready=()):
     shown = pages.Pages(
         listen=settings.ListenSettings(DATA, CONTROL, operators),
-        find_unready=lambda: unready,
-        describe=lambda whole: types.SimpleNamespace().__dict__,
+        list_unready_reasons=lambda: unready,
+        build_status=lambda full_histograms: types.SimpleNamespace().__dict__,
         list_metrics=lambda: (),
     )
     call = Call(path, remote)
-    assert pages.answer_page(shown, call, for_operators)
+    assert pages.handle_page_call(shown, call, for_operators)
     return call.status
 
 
--- a/sycamorefall/transport/__init__.py
+++ b/sycamorefall/transport/__init__.py
@@ -10,26 +10,26 @@
     "Listener",
     "Loop",
     "OutgoingRequest",
+    "Reachability",
     "RequestHeaders",
+    "SendStage",
     "Shedding",
-    "Reachability",
-    "Stage",
     "Ticker",
     "create_loop",
     "read_clock",
 ]
 
-from sycamorefall.transport.call import EVENT_STREAM, IncomingCall
 from sycamorefall.transport.client import (
     Exchange,
     HttpClient,
     Listener,
     OutgoingRequest,
     Reachability,
-    Stage,
+    SendStage,
 )
 from sycamorefall.transport.control import ControlLinks
-from sycamorefall.transport.inbound import RequestHeaders
+from sycamorefall.transport.incoming_call import EVENT_STREAM, IncomingCall
 from sycamorefall.transport.loop import Loop, Ticker, create_loop, read_clock
+from sycamorefall.transport.request_reader import RequestHeaders
 from sycamorefall.transport.server import HttpServer
 from sycamorefall.transport.shedding import Shedding
--- a/sycamorefall/transport/client.py
+++ b/sycamorefall/transport/client.py
@@ -11,7 +11,7 @@
     "Listener",
     "OutgoingRequest",
     "Reachability",
-    "Stage",
+    "SendStage",
 ]
 
 from collections.abc import Callable
@@ -24,8 +24,8 @@
 import circuits
 
 from sycamorefall import settings
-from sycamorefall.transport import answers, requests
 from sycamorefall.transport import poller as poller_module
+from sycamorefall.transport import request_writer, response_reader
 
 READ_SIZE = 1 << 16
 """Bytes read from a socket at once."""
@@ -49,7 +49,7 @@
 isn't used any more: the rest covers the way there and late timers."""
 
 
-class Stage(enum.Enum):
+class SendStage(enum.Enum):
     """How far a request had come when its connection failed.
 
     NOT_SENT: no byte of it was sent, so the other side can't have seen it.
@@ -98,11 +98,13 @@
         path: Path and query.
         headers: Headers, without host and length.
         body: The body.
-        fresh: Whether to use a new connection. A kept one may be closed by
+        requires_new_connection: Whether to use a new connection. A kept one may
+            be closed by
             the other side while the request is on its way, which leaves
             open whether it arrived.
         host: Host header; the address if empty.
-        keep: Idle connections to the address that may be kept after it, up to
+        max_idle_connections: Idle connections to the address that may be kept
+            after it, up to
             `IDLE_PER_ADDRESS`; None for so many.
     """
 
@@ -111,9 +113,9 @@
     path: str
     headers: tuple[tuple[str, str], ...] = ()
     body: bytes = b""
-    fresh: bool = False
+    requires_new_connection: bool = False
     host: str = ""
-    keep: int | None = None
+    max_idle_connections: int | None = None
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -136,7 +138,7 @@
     on_head: Callable[[int, list[tuple[str, str]]], None]
     on_data: Callable[[bytes], None]
     on_end: Callable[[], None]
-    on_failure: Callable[[Stage], None]
+    on_failure: Callable[[SendStage], None]
     is_ours: Callable[[dict[str, str]], bool] | None = None
     on_sent: Callable[[], None] | None = None
 
@@ -167,7 +169,7 @@
         self.idle_since = 0.0
         self.keep_for = IDLE_TIME
         self.opened = 0.0
-        self.reader = answers.AnswerReader()
+        self.reader = response_reader.AnswerReader()
         self.request: OutgoingRequest | None = None
         self.skipping = False
         self.paused = False
@@ -216,7 +218,11 @@
         Returns:
             A handle with which the request can be paused or aborted.
         """
-        exchange = None if request.fresh else self._reuse(request.address)
+        exchange = (
+            None
+            if request.requires_new_connection
+            else self._reuse(request.address)
+        )
         if exchange is not None:
             exchange.listener = listener
             exchange.sent_any = False
@@ -224,8 +230,8 @@
             exchange = self._open(request.address, listener)
         exchange.request = request
         exchange.skipping = False
-        exchange.reader = answers.AnswerReader(request.method == "HEAD")
-        exchange.unsent += requests.format_request(
+        exchange.reader = response_reader.AnswerReader(request.method == "HEAD")
+        exchange.unsent += request_writer.format_request(
             request.method,
             request.path,
             request.host or str(request.address),
@@ -462,13 +468,15 @@
         listener.on_end()
 
     def _deliver(
-        self, exchange: Exchange, event: answers.AnswerHead | answers.End
+        self,
+        exchange: Exchange,
+        event: response_reader.AnswerHead | response_reader.End,
     ) -> None:
         """Passes on an answer's head or its end."""
         listener = exchange.listener
         if listener is None:
             return
-        if isinstance(event, answers.AnswerHead):
+        if isinstance(event, response_reader.AnswerHead):
             exchange.keep_for = _read_keep_time(event.headers)
             is_ours = listener.is_ours
             if is_ours is None or is_ours(dict(event.headers)):
@@ -493,13 +501,15 @@
             and exchange.reader.is_between
         )
         kept = self._idle.setdefault(exchange.address, [])
-        most = exchange.request.keep
+        most = exchange.request.max_idle_connections
         if most is None or most > IDLE_PER_ADDRESS:
             most = IDLE_PER_ADDRESS
         # Requests that must have a new connection use none that is kept: what
         # they leave behind would pile up. One is kept for those that may be
         # repeated.
-        most = min(most, 1) if exchange.request.fresh else most
+        most = (
+            min(most, 1) if exchange.request.requires_new_connection else most
+        )
         if reusable and len(kept) < most:
             exchange.idle_since = self._read_clock()
             kept.append(exchange)
@@ -520,7 +530,7 @@
         exchange.listener = None
         self._discard(exchange)
         if listener is not None:
-            stage = Stage.SENT if exchange.sent_any else Stage.NOT_SENT
+            stage = SendStage.SENT if exchange.sent_any else SendStage.NOT_SENT
             listener.on_failure(stage)
 
     def _discard(self, exchange: Exchange) -> None:
--- a/sycamorefall/transport/control.py
+++ b/sycamorefall/transport/control.py
@@ -58,7 +58,8 @@
     Attributes:
         bytes_sent: Size of all messages sent.
         bytes_received: Size of all messages received.
-        sent_by: Size of all messages sent, by the receiver's place and the
+        bytes_sent_by_kind: Size of all messages sent, by the receiver's place
+            and the
             kind of message.
         dropped: Messages that a full link dropped.
         refused: Received messages that could not be decoded.
@@ -99,7 +100,7 @@
         self._links: dict[str, _Link] = {}
         self.bytes_sent = 0
         self.bytes_received = 0
-        self.sent_by: collections.Counter[tuple[str, str]] = (
+        self.bytes_sent_by_kind: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
         self.dropped = 0
@@ -164,12 +165,12 @@
         else:
             self.bytes_sent += len(data)
             kind = type(envelope.message).__name__
-            self.sent_by[self._find_place(to), kind] += len(data)
+            self.bytes_sent_by_kind[self._find_place(to), kind] += len(data)
 
     def close(self) -> None:
         """Closes all sockets; no message can be sent any more."""
         self._inbox.close()
-        self.keep_only(set())
+        self.retain_peers(set())
 
     def _close_link(self, name: str) -> None:
         link = self._links.pop(name, None)
@@ -180,7 +181,7 @@
         """Learns the names in the text that came into force."""
         names.update_digests(self._names, known)
 
-    def keep_only(self, vms: set[str]) -> None:
+    def retain_peers(self, vms: set[str]) -> None:
         """Closes the links to VMs that are not among the named."""
         for name in self._links.keys() - vms:
             self._close_link(name)
@@ -201,7 +202,7 @@
             envelope = self._authenticator.verify_message(data)
         except errors.MessageRefused as fault:
             self.refused += 1
-            observation.write_limited(
+            observation.write_rate_limited(
                 observation.Level.WARNING,
                 "control.refused",
                 reason=str(fault),
--- a/sycamorefall/transport/call.py
+++ b/sycamorefall/transport/incoming_call.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from sycamorefall import errors
-from sycamorefall.transport import inbound, outflow
+from sycamorefall.transport import request_reader, response_output
 
 EVENT_STREAM = "text/event-stream"
 """Media type of an answer that is streamed token by token."""
@@ -93,7 +93,7 @@
         self,
         server: Answerer,
         sock: socket.socket,
-        request: inbound.InboundRequest,
+        request: request_reader.InboundRequest,
     ):
         self._server = server
         self.sock = sock
@@ -142,7 +142,7 @@
         headers = [("Content-Type", "application/json")]
         if retry_after is not None:
             headers.append(("Retry-After", f"{retry_after:g}"))
-        body = msgspec.json.encode(errors.describe_error(kind, message, ran))
+        body = msgspec.json.encode(errors.create_error_body(kind, message, ran))
         self.respond(errors.ANSWERS[kind].status, body, tuple(headers))
 
     def begin(
@@ -163,7 +163,7 @@
         if data and not self.ended and not self._head_only:
             framed = self._response.chunked
             self._server.push(
-                self.sock, outflow.frame_chunk(data) if framed else data
+                self.sock, response_output.frame_chunk(data) if framed else data
             )
 
     def end(self) -> None:
@@ -171,7 +171,7 @@
         if not self.ended:
             self.ended = True
             if self._response.chunked:
-                self._server.push(self.sock, outflow.LAST_CHUNK)
+                self._server.push(self.sock, response_output.LAST_CHUNK)
             self._server.finish(self)
 
     def abort(self) -> None:
@@ -186,7 +186,7 @@
             self._response.close = True
 
     @property
-    def backlog(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes written that the caller has not taken yet."""
         return self._server.count_unsent(self.sock)
 
--- a/sycamorefall/transport/outflow.py
+++ b/sycamorefall/transport/response_output.py
@@ -36,7 +36,7 @@
         kind: Why it is refused.
         pause: Seconds after which its caller is to come back, if that helps.
     """
-    body = msgspec.json.encode(errors.describe_error(kind))
+    body = msgspec.json.encode(errors.create_error_body(kind))
     again = "" if pause is None else f"Retry-After: {pause:g}\r\n"
     head = (
         f"HTTP/1.1 {errors.ANSWERS[kind].status} Refused\r\n"
--- a/sycamorefall/transport/server.py
+++ b/sycamorefall/transport/server.py
@@ -14,14 +14,14 @@
 
 from sycamorefall import errors, observation, settings
 from sycamorefall.transport import (
-    arrivals,
     deadlines,
-    inbound,
     loop,
-    outflow,
     poller,
+    request_reader,
+    response_output,
+    socket_peek,
 )
-from sycamorefall.transport import call as call_module
+from sycamorefall.transport import incoming_call as incoming_call_module
 from sycamorefall.transport import shedding as shedding_module
 
 DRAIN_LIMIT = 1 << 24
@@ -54,8 +54,8 @@
     __slots__ = ("call", "drained", "reader", "refused", "written")
 
     def __init__(self, limits: settings.LimitSettings):
-        self.reader = inbound.RequestReader(limits)
-        self.call: call_module.IncomingCall | None = None
+        self.reader = request_reader.RequestReader(limits)
+        self.call: incoming_call_module.IncomingCall | None = None
         self.refused = False
         self.drained = 0
         self.written = False
@@ -77,7 +77,7 @@
 
     Attributes:
         stopping: Whether connections close after their next answer.
-        asked_at: When the last request was taken.
+        last_request_at: When the last request was taken.
         shed: Requests refused unread.
     """
 
@@ -89,10 +89,11 @@
         self,
         listen: settings.Address,
         limits: settings.LimitSettings,
-        on_call: Callable[[call_module.IncomingCall], None],
+        on_call: Callable[[incoming_call_module.IncomingCall], None],
         channel: str = "web",
         read_clock: Callable[[], float] = loop.read_clock,
-        on_dropped: Callable[[call_module.IncomingCall], None] | None = None,
+        on_dropped: Callable[[incoming_call_module.IncomingCall], None]
+        | None = None,
         shedding: shedding_module.Shedding | None = None,
     ):
         """Opens the listening socket.
@@ -120,7 +121,7 @@
         self.shed = 0
         self._connections: dict[socket.socket, _Connection] = {}
         self.stopping = False
-        self.asked_at = float("-inf")
+        self.last_request_at = float("-inf")
         self._listened_at: tuple[str, int] | None = None
         self._reading = deadlines.Deadlines(limits.header_timeout)
         self._idle = deadlines.Deadlines(limits.idle_timeout)
@@ -166,7 +167,7 @@
 
     def push(self, sock: socket.socket, data: bytes) -> None:
         """Sends bytes on a connection."""
-        outflow.push_bytes(self.server, sock, data)
+        response_output.push_bytes(self.server, sock, data)
 
     def announce_stop(self) -> None:
         """Closes each connection after its next answer.
@@ -200,7 +201,7 @@
                 open=len(self._connections),
             )
 
-    def take_arrived(self) -> None:
+    def read_pending_input(self) -> None:
         """Takes all connections and requests that have arrived.
 
         Whoever asks when the last request came calls this first: the loop
@@ -276,17 +277,17 @@
             self._close_idle(spare)
         return True
 
-    def is_quiet(self) -> bool:
+    def is_drained(self) -> bool:
         """Tells whether no request and no answer is under way."""
         return not any(
             connection.call is not None
             or self._reading.has(sock)
             or self.count_unsent(sock)
-            or (not connection.refused and arrivals.has_unread(sock))
+            or (not connection.refused and socket_peek.has_unread(sock))
             for sock, connection in self._connections.items()
         )
 
-    def finish(self, call: call_module.IncomingCall) -> None:
+    def finish(self, call: incoming_call_module.IncomingCall) -> None:
         """Turns a call's connection to what comes after its answer."""
         connection = self._connections.get(call.sock)
         if connection is not None and connection.call is call:
@@ -294,7 +295,7 @@
             # each would be handled inside the last one's answer.
             self.fire(_resume(call), self.channel)
 
-    def break_off(self, call: call_module.IncomingCall) -> None:
+    def break_off(self, call: incoming_call_module.IncomingCall) -> None:
         """Closes a call's connection after what was written to it."""
         connection = self._connections.get(call.sock)
         if connection is not None:
@@ -304,7 +305,7 @@
 
     def count_unsent(self, sock: socket.socket) -> int:
         """Counts bytes that wait in a connection's send buffer."""
-        return outflow.count_unsent(self.server, sock)
+        return response_output.count_unsent(self.server, sock)
 
     def _read_once(self, sock: socket.socket) -> bool:
         """Reads what has arrived on a connection, up to `READ_SIZE` bytes.
@@ -412,7 +413,7 @@
         late for the next ones too. The first one of a turn is parsed, so that
         the log has its id.
         """
-        if not arrivals.has_hung_up(sock):
+        if not socket_peek.has_hung_up(sock):
             return False
         self._turn.left += 1
         if self._turn.left == 1:
@@ -422,9 +423,9 @@
 
     def _shed(self, sock: socket.socket) -> None:
         self.shed += 1
-        self.asked_at = self._read_clock()
+        self.last_request_at = self._read_clock()
         self._idle.stop(sock)
-        observation.write_limited(
+        observation.write_rate_limited(
             observation.Level.WARNING,
             "requests.shed",
             shed=self.shed,
@@ -452,20 +453,20 @@
         self,
         sock: socket.socket,
         connection: _Connection,
-        request: inbound.InboundRequest,
+        request: request_reader.InboundRequest,
     ) -> None:
         try:
-            call = call_module.IncomingCall(self, sock, request)
+            call = incoming_call_module.IncomingCall(self, sock, request)
         except OSError:
             self._close(sock)  # The caller has gone.
             return
-        if arrivals.has_hung_up(sock):
+        if socket_peek.has_hung_up(sock):
             if self._on_dropped is not None:
                 self._on_dropped(call)
             self._close(sock)
             return
         connection.call = call
-        self.asked_at = self._read_clock()
+        self.last_request_at = self._read_clock()
         if self.stopping:
             call.close_after()
         try:
@@ -477,7 +478,7 @@
             raise
 
     @circuits.handler("_resume")
-    def _on_resume(self, call: call_module.IncomingCall) -> None:
+    def _on_resume(self, call: incoming_call_module.IncomingCall) -> None:
         connection = self._connections.get(call.sock)
         if connection is None or connection.call is not call:
             return
@@ -517,7 +518,7 @@
         self._reading.stop(sock)
         self._closing.start(sock, self._read_clock())
         self._connections[sock].refused = True
-        self.push(sock, outflow.frame_refusal(kind, pause))
+        self.push(sock, response_output.frame_refusal(kind, pause))
         self._connections[sock].written = True
         self._on_written(sock)
 
@@ -532,7 +533,7 @@
         if connection is not None and connection.call is not None:
             self._hang_up(connection.call)
 
-    def _hang_up(self, call: call_module.IncomingCall) -> None:
+    def _hang_up(self, call: incoming_call_module.IncomingCall) -> None:
         if call.ended:
             return
         call.ended = True
--- a/sycamorefall/transport/tests/test_client.py
+++ b/sycamorefall/transport/tests/test_client.py
@@ -77,14 +77,18 @@
     def take_answer(self):
         self.answers += 1
 
-    def ask(self, fresh, keep=None):
+    def ask(self, requires_new_connection, max_idle_connections=None):
         before = self.answers
-        self.send(fresh, keep)
+        self.send(requires_new_connection, max_idle_connections)
         self.turn_until(lambda: self.answers > before)
 
-    def send(self, fresh, keep=None):
+    def send(self, requires_new_connection, max_idle_connections=None):
         request = transport.OutgoingRequest(
-            self.upstream.address, "POST", "/x", fresh=fresh, keep=keep
+            self.upstream.address,
+            "POST",
+            "/x",
+            requires_new_connection=requires_new_connection,
+            max_idle_connections=max_idle_connections,
         )
         listener = transport.Listener(
             on_head=lambda *_: None,
@@ -109,9 +113,9 @@
     # next ones, and their callers learned that nobody can tell what became
     # of their bookings.
     for _ in range(20):
-        site.ask(fresh=True)
+        site.ask(requires_new_connection=True)
     site.turn_until(lambda: len(site.upstream.connections) <= 1)
-    site.ask(fresh=False)
+    site.ask(requires_new_connection=False)
     assert len(site.upstream.connections) == 1, "the kept one is used"
 
 
@@ -119,7 +123,7 @@
     # A crowd of requests leaves a connection each. They were looked at only
     # when the next request came, newest first, so the others stayed open for
     # as long as the upstream bore them, and took the place of new ones.
-    site.ask(fresh=False)
+    site.ask(requires_new_connection=False)
     site.now = client_module.IDLE_TIME
     site.client.expire(site.now)
     site.turn_until(lambda: not site.upstream.connections)
@@ -130,13 +134,13 @@
     # resets the rest. Each router kept as many as it liked, so together they
     # filled the bound, and new ones were reset with an unknown outcome.
     for _ in range(6):
-        site.send(fresh=False, keep=2)
+        site.send(requires_new_connection=False, max_idle_connections=2)
     site.turn_until(lambda: site.answers == 6)
     site.turn_until(lambda: len(site.upstream.connections) == 2)
     for _ in range(3):
-        site.ask(fresh=True, keep=2)
+        site.ask(requires_new_connection=True, max_idle_connections=2)
     site.turn_until(lambda: len(site.upstream.connections) == 2)
-    site.ask(fresh=False, keep=0)
+    site.ask(requires_new_connection=False, max_idle_connections=0)
     site.turn_until(lambda: len(site.upstream.connections) == 1)
 
 
--- a/sycamorefall/transport/tests/test_closing.py
+++ b/sycamorefall/transport/tests/test_closing.py
@@ -78,7 +78,7 @@
         caller = make_idle(site)
         caller.sendall(test_server.GET % b"long")
         turn_loop(site, turns)
-        assert not site.server.is_quiet(), turns
+        assert not site.server.is_drained(), turns
         caller.close()
 
 
@@ -150,7 +150,7 @@
     call = site.turn_until(lambda: site.calls)[0]
     call.respond(200, b"x" * (1 << 24) + b"end")
     turn_loop(site, MOST_TURNS)
-    assert call.backlog
+    assert call.unsent_bytes
     site.server.begin_stop()
     site.server.end_listening()
     assert site.read(caller, b"end").endswith(b"xend")
@@ -250,7 +250,7 @@
     call.close_after()
     caller.sendall(test_server.GET % b"now")
     call.respond(200, b"x" * 100_000 + b"end")
-    assert not call.backlog
+    assert not call.unsent_bytes
     site.loop.flush()
     assert site.read(caller, b"end").endswith(b"xend")
     caller.close()
--- a/sycamorefall/transport/tests/test_loop.py
+++ b/sycamorefall/transport/tests/test_loop.py
@@ -155,7 +155,7 @@
     process.turn(4)
     process.now += LIMIT
     process.turn(1 + MOST_PASSES)
-    assert process.events == [transport.Stage.NOT_SENT]
+    assert process.events == [transport.SendStage.NOT_SENT]
 
 
 def test_timers_run_however_much_input_comes():
--- a/sycamorefall/transport/tests/test_poller.py
+++ b/sycamorefall/transport/tests/test_poller.py
@@ -163,7 +163,7 @@
     the connection is closed at once, and the server must not remember it as
     one to be closed: such callers would fill the memory, one by one.
     """
-    (port,) = fleet.find_ports(1)
+    (port,) = fleet.reserve_ports(1)
     loop = circuits.BaseComponent()
     poller.ConnectionPoller().register(loop)
     address = settings.Address("127.0.0.1", port)
--- a/sycamorefall/transport/tests/test_inbound.py
+++ b/sycamorefall/transport/tests/test_request_reader.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sycamorefall import errors, settings
-from sycamorefall.transport import inbound
+from sycamorefall.transport import request_reader
 
 LIMITS = settings.LimitSettings(max_body_bytes=64, max_header_bytes=512)
 HEAD = b"POST /x?y=1 HTTP/1.1\r\nHost: a\r\n"
@@ -13,7 +13,7 @@
 
 
 def read(data, limits=LIMITS):
-    reader = inbound.RequestReader(limits)
+    reader = request_reader.RequestReader(limits)
     reader.feed(data)
     return reader, reader.take()
 
@@ -95,7 +95,7 @@
 
 @given(st.lists(pieces, max_size=12))
 def test_any_input_gives_a_request_a_kind_or_nothing(parts):
-    reader = inbound.RequestReader(LIMITS)
+    reader = request_reader.RequestReader(LIMITS)
     for part in parts:
         if part:
             reader.feed(part)
--- a/sycamorefall/transport/tests/test_requests.py
+++ b/sycamorefall/transport/tests/test_request_writer.py
@@ -4,7 +4,7 @@
 from hypothesis import given, strategies
 import pytest
 
-from sycamorefall.transport import requests
+from sycamorefall.transport import request_writer
 
 TOKENS = strategies.text("abcXYZ-09", min_size=1, max_size=12)
 VALUES = strategies.text(
@@ -25,7 +25,9 @@
 def test_request_is_read_as_it_was_meant(headers, body):
     # An upstream that reads another request than was written runs what no
     # caller asked for.
-    data = requests.format_request("POST", "/a/b?c=d", "e:80", headers, body)
+    data = request_writer.format_request(
+        "POST", "/a/b?c=d", "e:80", headers, body
+    )
     reader = h11.Connection(h11.SERVER)
     reader.receive_data(data)
     head = reader.next_event()
@@ -55,7 +57,7 @@
         "header": "v",
     } | {place: bad}
     with pytest.raises(ValueError, match="malformed"):
-        requests.format_request(
+        request_writer.format_request(
             parts["method"],
             parts["target"],
             parts["host"],
@@ -66,5 +68,9 @@
 
 def test_question_without_a_body_has_no_length():
     # Some services take a length on a read for a body that is to come.
-    assert b"Length" not in requests.format_request("GET", "/", "a", [], b"")
-    assert b"Length: 0" in requests.format_request("POST", "/", "a", [], b"")
+    assert b"Length" not in request_writer.format_request(
+        "GET", "/", "a", [], b""
+    )
+    assert b"Length: 0" in request_writer.format_request(
+        "POST", "/", "a", [], b""
+    )
--- a/sycamorefall/transport/tests/test_outflow.py
+++ b/sycamorefall/transport/tests/test_response_output.py
@@ -85,7 +85,7 @@
     call.begin(200)
     for piece in PIECES:
         call.write(piece)
-    assert call.backlog > 0
+    assert call.unsent_bytes > 0
     call.end()
     body, end = read_answer(loop, caller)
     assert body == b"".join(PIECES)
@@ -97,7 +97,7 @@
     loop, server, calls = served
     caller, call = open_call(loop, server, calls)
     drained = []
-    call.on_drained = lambda: drained.append(call.backlog)
+    call.on_drained = lambda: drained.append(call.unsent_bytes)
     call.begin(200)
     for piece in PIECES:
         call.write(piece)
--- a/sycamorefall/transport/tests/test_answers.py
+++ b/sycamorefall/transport/tests/test_response_reader.py
@@ -3,14 +3,14 @@
 from hypothesis import given, strategies
 import pytest
 
-from sycamorefall.transport import answers
+from sycamorefall.transport import response_reader
 
 OK = b"HTTP/1.1 200 OK\r\n"
 
 
 def read(*parts, **kinds):
     """Feeds some bytes; gives the reader and what they told."""
-    reader = answers.AnswerReader(**kinds)
+    reader = response_reader.AnswerReader(**kinds)
     events = [event for part in parts for event in reader.feed(part)]
     return reader, events
 
@@ -19,7 +19,7 @@
     """Joins the pieces between the heads."""
     bodies = []
     for event in events:
-        if isinstance(event, answers.AnswerHead):
+        if isinstance(event, response_reader.AnswerHead):
             bodies.append(b"")
         elif isinstance(event, bytes):
             bodies[-1] += event
@@ -27,7 +27,7 @@
 
 
 def is_whole(events):
-    return bool(events) and events[-1] is answers.END
+    return bool(events) and events[-1] is response_reader.END
 
 
 CHUNKED = b"".join(
@@ -65,7 +65,9 @@
     first = OK + b"Id: a\r\nContent-Length: 1\r\n\r\n1"
     second = OK + b"Id: b\r\nContent-Length: 1\r\n\r\n2"
     reader, events = read(first + second)
-    heads = [one for one in events if isinstance(one, answers.AnswerHead)]
+    heads = [
+        one for one in events if isinstance(one, response_reader.AnswerHead)
+    ]
     assert [dict(head.headers)["id"] for head in heads] == ["a", "b"]
     assert list_bodies(events) == [b"1", b"2"]
     assert reader.is_between
--- a/sycamorefall/transport/tests/test_server.py
+++ b/sycamorefall/transport/tests/test_server.py
@@ -12,7 +12,7 @@
 
 from standins import fleet
 from sycamorefall import errors, settings, transport
-from sycamorefall.transport import inbound
+from sycamorefall.transport import request_reader
 
 KINDS = {kind.value for kind in errors.ErrorKind}
 GET = b"GET /%s HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -23,7 +23,7 @@
     """A server on a loop that the test turns, by a clock the test sets."""
 
     def __init__(self, shedding=None, **limits):
-        port = fleet.find_ports(1)[0]
+        port = fleet.reserve_ports(1)[0]
         self.address = settings.Address("127.0.0.1", port)
         self.now = 0.0
         self.calls = []
@@ -139,7 +139,7 @@
     call.begin(200)
     for _ in range(400):
         call.write(b"x" * 65536)
-    site.turn_until(lambda: call.backlog)
+    site.turn_until(lambda: call.unsent_bytes)
     call.abort()
     site.turn_until(lambda: site.server.find_next_due() == 20.0)
     site.advance(20.0)
@@ -323,9 +323,9 @@
     waits = site.connect()
     waits.sendall(GET % b"now")
     readers = []
-    take = inbound.RequestReader.take
+    take = request_reader.RequestReader.take
     monkeypatch.setattr(
-        inbound.RequestReader,
+        request_reader.RequestReader,
         "take",
         lambda reader: readers.append(reader) or take(reader),
     )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -25,10 +25,10 @@
         fleet_module.write_text(TEAMS, SERVICES),
         routers=2,
         upstreams=[
-            fleet_module.Upstreams(
+            fleet_module.UpstreamGroup(
                 "assistant", 2, "standins.engine", 4, ("--token-ms=2",)
             ),
-            fleet_module.Upstreams("ledger", 2, "standins.ledger", 4),
+            fleet_module.UpstreamGroup("ledger", 2, "standins.ledger", 4),
         ],
         platform_settings=platform_settings,
     )
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -27,7 +27,7 @@
 
 
 def write_settings(tmp_path, extra=""):
-    data, control, platform = fleet_module.find_ports(3)
+    data, control, platform = fleet_module.reserve_ports(3)
     text = SETTINGS.format(data=data, control=control, platform=platform)
     return write_file(tmp_path, text + extra), data
 
@@ -169,6 +169,6 @@
 
 
 def test_status_of_nobody_is_one_clear_line(capsys):
-    port = fleet_module.find_ports(1)[0]
+    port = fleet_module.reserve_ports(1)[0]
     assert command.main(["status", f"127.0.0.1:{port}"]) == 2
     assert capsys.readouterr().err.count("\n") == 1
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -27,8 +27,10 @@
         fleet_module.write_text({"mill-a": 1.0, "mill-b": 1.0}, SERVICES),
         routers=2,
         upstreams=[
-            fleet_module.Upstreams("desk", 1, "standins.desk", 2),
-            fleet_module.Upstreams("ledger", 1, "standins.ledger", 2),
+            fleet_module.UpstreamGroup(
+                "desk", 1, "standins.dependent_service", 2
+            ),
+            fleet_module.UpstreamGroup("ledger", 1, "standins.ledger", 2),
         ],
     )
     yield started
--- a/tests/test_observation.py
+++ b/tests/test_observation.py
@@ -176,7 +176,9 @@
         tmp_path,
         fleet_module.write_text({"mill-a": 1.0}, SERVICES),
         routers=1,
-        upstreams=[fleet_module.Upstreams("ledger", 1, "standins.ledger", 2)],
+        upstreams=[
+            fleet_module.UpstreamGroup("ledger", 1, "standins.ledger", 2)
+        ],
         extra_settings=f"[security]\nshared_key_file = {key}\n",
     )
     yield fleet
@@ -247,7 +249,7 @@
     """With an address of their own, operators' pages are not for callers."""
     node = own_fleet.nodes["router-0"]
     fleet_module.stop_process(node.process)
-    operators = fleet_module.find_ports(1)[0]
+    operators = fleet_module.reserve_ports(1)[0]
     path = own_fleet.folder / "router-0.ini"
     text = path.read_text().replace(
         "[listen]\n", f"[listen]\noperators = 127.0.0.1:{operators}\n"
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -34,7 +34,7 @@
     """A fleet of one router and one ledger, whose hand-outs can be held."""
     folder = tmp_path_factory.mktemp("cut")
     text = fleet_module.write_text(conftest.TEAMS, conftest.SERVICES)
-    ledger = fleet_module.Upstreams("ledger", 1, "standins.ledger", 4)
+    ledger = fleet_module.UpstreamGroup("ledger", 1, "standins.ledger", 4)
     running = fleet_module.start_fleet(
         folder, text, 1, [ledger], relays_data=True
     )
@@ -44,14 +44,18 @@
 
 def plan_order(fleet, name, work_ms=SLOW_MS, router="router-0", **options):
     port = fleet.nodes[router].data
-    plan = load.Plan(name, "mill-a", "ledger", port, 0.0, idempotent=False)
+    plan = load.PlannedRequest(
+        name, "mill-a", "ledger", port, 0.0, idempotent=False
+    )
     plan.work_ms = work_ms
     return set_options(plan, options)
 
 
 def plan_draft(fleet, name, tokens=200, **options):
     port = fleet.nodes["router-0"].data
-    plan = load.Plan(name, "mill-a", "assistant", port, 0.0, tokens=tokens)
+    plan = load.PlannedRequest(
+        name, "mill-a", "assistant", port, 0.0, tokens=tokens
+    )
     return set_options(plan, options)
 
 
@@ -98,7 +102,7 @@
 
 def restart(fleet, node):
     fleet_module.start_node(fleet, node)
-    fleet_module.wait_ready(fleet)
+    fleet_module.wait_until_ready(fleet)
 
 
 def test_sidecar_killed_during_a_booking(fleet):
--- a/tests/test_outcomes_whole.py
+++ b/tests/test_outcomes_whole.py
@@ -53,7 +53,7 @@
 def served(tmp_path_factory):
     """A fleet with one ledger, whose upstream the tests play themselves."""
     text = fleet_module.write_text(conftest.TEAMS, conftest.SERVICES)
-    ledger = fleet_module.Upstreams("ledger", 1, "standins.ledger", 4)
+    ledger = fleet_module.UpstreamGroup("ledger", 1, "standins.ledger", 4)
     folder = tmp_path_factory.mktemp("whole")
     fleet = fleet_module.start_fleet(folder, text, 1, [ledger])
     node = fleet.nodes["ledger-0"]
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -120,7 +120,7 @@
 def plan_orders(routers, seconds):
     """A steady flow of short orders."""
     return [
-        load.Plan(
+        load.PlannedRequest(
             f"order-{index}",
             ["mill-a", "mill-b", "large"][index % 3],
             "ledger",
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -20,7 +20,7 @@
     teams = ["mill-a", "mill-b", "flood", "large"]
     plans = []
     for index in range(count):
-        plan = load.Plan(
+        plan = load.PlannedRequest(
             f"request-{index}",
             teams[index % 4],
             "assistant" if index % 3 else "ledger",
