--- a/benchmarks/direct.py
+++ b/benchmarks/direct.py
@@ -88,14 +88,14 @@
     Attributes:
         size: Of its fleet.
         state: Its decisions.
-        told: What the others told it.
+        load_exchange: Its exchange of load reports with the other routers.
         random: Source of draws.
         whole: A whole message of each other router.
     """
 
     size: Size
     state: state_module.DirectState
-    told: exchange.Exchange
+    load_exchange: exchange.Exchange
     random: random.Random
     whole: list[messages.Envelope] = dataclasses.field(default_factory=list)
 
@@ -114,8 +114,8 @@
     """
     state = state_module.create_state("a", settings.BoundSettings(), seed)
     seeds = tuple(f"127.0.0.1:{2 + n}" for n in range(size.routers - 1))
-    told = exchange.Exchange("front-0", "127.0.0.1:1", seeds)
-    busy = Busy(size, state, told, random.Random(seed))
+    load_exchange = exchange.Exchange("front-0", "127.0.0.1:1", seeds)
+    busy = Busy(size, state, load_exchange, random.Random(seed))
     core.apply_catalog(state, 0.0, _create_catalog(size))
     core.apply_listing(state, 0.0, _list_engines(size))
     freshness.record_proof(state.freshness, NOW)
@@ -124,7 +124,7 @@
     left = SLOTS - size.own if others is None else others
     busy.whole = [_tell(busy, n, left) for n in range(1, size.routers)]
     for envelope in busy.whole:
-        exchange.handle_load(told, state, NOW, envelope)
+        exchange.handle_load(load_exchange, state, NOW, envelope)
     for _ in range(size.each):
         for team, target in itertools.product(range(size.waiting), TARGETS):
             wait(busy, team, target)
@@ -182,10 +182,10 @@
             caches.record_parts(one.cache, draw_prompt(busy).digests, MEMORY)
 
 
-def ask(busy: Busy, team: int, target: float) -> state_module.NewRequest:
+def ask(busy: Busy, team: int, target: float) -> state_module.IncomingRequest:
     """Creates a request of a team."""
     prompt = draw_prompt(busy)
-    return state_module.NewRequest(
+    return state_module.IncomingRequest(
         HOST, f"/{target}/x", f"k{team}", 8.0, prompt
     )
 
@@ -195,8 +195,8 @@
     for number in range(busy.size.own * busy.size.engines):
         team = number % busy.size.waiting
         target = busy.random.choice(TARGETS)
-        new = ask(busy, team, target)
-        taken, _ = core.handle_request(busy.state, NOW, new)
+        incoming = ask(busy, team, target)
+        taken, _ = core.handle_request(busy.state, NOW, incoming)
         outcomes.record_response(busy.state, NOW, taken, first=True)
 
 
@@ -240,7 +240,7 @@
     """Creates a router whose engines have slots but much to read."""
     state = create_busy(size, others=SLOTS // 2).state
     for one in state.table.by_service["engine-0"]:
-        one.own.unread += QUEUED
+        one.own_load.unread += QUEUED
     return state
 
 
@@ -250,7 +250,7 @@
     Returns:
         Functions by name.
     """
-    state, told, size = busy.state, busy.told, busy.size
+    state, load_exchange, size = busy.state, busy.load_exchange, busy.size
     service = state.catalog.services["engine-0"]
     waiting_ones = [one for one in state.requests.values() if not one.attempt]
     idle = dataclasses.replace(
@@ -259,19 +259,19 @@
     one = waiting_ones[len(waiting_ones) // 2]
     queued = _create_queued(size)
     constraints = placement_constraints.compute_constraints(state, NOW, one)
-    group = dispatching._list_group(state, NOW, "engine-0")
+    group = dispatching._measure_free_engines(state, NOW, "engine-0")
     target = state.table.by_service["engine-0"][0]
     sequences = itertools.count(2)
     senders = itertools.cycle(busy.whole)
     change = busy.whole[0].message.upstreams[:3]
 
     def write_whole():
-        told.own.due = 0.0
-        exchange.build_load_message(told, state, NOW)
+        load_exchange.own.due = 0.0
+        exchange.build_load_message(load_exchange, state, NOW)
 
     def write_change():
-        told.own.due = NOW + 1.0
-        exchange.build_load_message(told, state, NOW)
+        load_exchange.own.due = NOW + 1.0
+        exchange.build_load_message(load_exchange, state, NOW)
 
     def take_whole():
         envelope = next(senders)
@@ -279,14 +279,14 @@
             envelope.message, sequence=next(sequences)
         )
         later = messages.Envelope(envelope.sender, 1, 1, load)
-        exchange.handle_load(told, state, NOW, later)
+        exchange.handle_load(load_exchange, state, NOW, later)
 
     def take_change():
         load = messages.RouterLoad(
             next(sequences), "", upstreams=change, whole=False
         )
         later = messages.Envelope(busy.whole[0].sender, 1, 1, load)
-        exchange.handle_load(told, state, NOW, later)
+        exchange.handle_load(load_exchange, state, NOW, later)
 
     def take_and_cancel():
         number, _ = core.handle_request(state, NOW, ask(busy, 1, TARGETS[1]))
@@ -317,7 +317,7 @@
             state.table, NOW, service, constraints, "a", group
         ),
         "choose a source": lambda: fetching.choose_source(
-            state.table, NOW, service, one.new.prompt, target
+            state.table, NOW, service, one.incoming.prompt, target
         ),
         "take and cancel": take_and_cancel,
         "explain a refusal": lambda: dispatching.explain_refusal(
--- a/benchmarks/placing.py
+++ b/benchmarks/placing.py
@@ -57,7 +57,7 @@
         eligibility, "QUEUE_SHARE", float("inf")
     ),
     "little patience is age": lambda: unittest.mock.patch.object(
-        patience, "read_elapsed", _read_all_as_elapsed
+        patience, "estimate_elapsed", _read_all_as_elapsed
     ),
 }
 
--- a/benchmarks/site.py
+++ b/benchmarks/site.py
@@ -208,7 +208,7 @@
     Attributes:
         name: Its VM, and its address.
         state: Its decisions.
-        told: What it tells and knows of the others.
+        load_exchange: Its exchange of load reports with the other routers.
         callers: Those of its requests, by number.
         process: Counts its processes, from 1.
         alive: Whether it has power.
@@ -216,7 +216,7 @@
 
     name: str
     state: state_module.DirectState
-    told: exchange.Exchange
+    load_exchange: exchange.Exchange
     callers: dict[int, _Caller] = dataclasses.field(default_factory=dict)
     process: int = 1
     alive: bool = True
@@ -337,8 +337,8 @@
 
 def _restart(world: _World, router: _Router, number: int) -> None:
     new = _create_router(world.site, number)
-    new.told.started_at = world.now
-    router.state, router.told = new.state, new.told
+    new.load_exchange.started_at = world.now
+    router.state, router.load_exchange = new.state, new.load_exchange
     router.process += 1
     router.alive = True
     # Engines still answer requests of the process before.
@@ -402,10 +402,10 @@
         live = [one for one in world.routers if one.alive]
         router = world.random.choice(live)
     left = caller.patience - (world.now - caller.asked_at)
-    new = state_module.NewRequest(
+    incoming = state_module.IncomingRequest(
         HOST, f"/{caller.kind.name}/x", caller.team, left, caller.prompt
     )
-    number, done = core.handle_request(router.state, world.now, new)
+    number, done = core.handle_request(router.state, world.now, incoming)
     router.callers[number] = caller
     _perform(world, router, done)
 
@@ -417,9 +417,11 @@
         return
     freshness.record_proof(state.freshness, now)
     _perform(world, router, core.run_timers(state, now))
-    if now >= exchange.find_next_due(router.told, state):
+    if now >= exchange.find_next_due(router.load_exchange, state):
         _tell(
-            world, router, exchange.build_due_messages(router.told, state, now)
+            world,
+            router,
+            exchange.build_due_messages(router.load_exchange, state, now),
         )
 
 
@@ -439,11 +441,13 @@
 def _hear(world: _World, router: _Router, envelope: messages.Envelope) -> None:
     if not router.alive:
         return
-    told, state, now = router.told, router.state, world.now
+    load_exchange, state, now = router.load_exchange, router.state, world.now
     if isinstance(envelope.message, messages.KnownRouters):
-        exchange.record_known_routers(told, now, envelope.message.routers)
+        exchange.record_known_routers(
+            load_exchange, now, envelope.message.routers
+        )
         return
-    referral = exchange.handle_load(told, state, now, envelope)
+    referral = exchange.handle_load(load_exchange, state, now, envelope)
     if referral is not None:
         _tell(world, router, [referral])
 
--- a/benchmarks/tests/test_direct.py
+++ b/benchmarks/tests/test_direct.py
@@ -30,11 +30,11 @@
     odd = draws.choice([0.0, 0.2])
     busy = direct.create_busy(SMALL, seed, others)
     for one in busy.state.table.by_name.values():
-        one.own.unread += draws.choice([0, 500, 6000, 30_000])
+        one.own_load.unread += draws.choice([0, 500, 6000, 30_000])
         if draws.random() < odd:
             upstreams.suspend_upstream(one, direct.NOW)
         if draws.random() < odd:
-            one.own, one.others = upstreams.Load(), upstreams.Load()
+            one.own_load, one.peer_load = upstreams.Load(), upstreams.Load()
     for request in busy.state.requests.values():
         request.target_at += draws.uniform(-1.2, 0.3)
         request.arrived_at -= draws.choice([0.0, 0.5])
@@ -187,8 +187,8 @@
             for one in usable
         )
         expected[eligibility.Obstacle.UNUSABLE] = SMALL.engines - len(usable)
-        told = dispatching.explain_refusal(state, direct.NOW, request)
-        assert told.obstacles == {
+        refusal = dispatching.explain_refusal(state, direct.NOW, request)
+        assert refusal.obstacles == {
             obstacle.value: count
             for obstacle, count in expected.items()
             if count and obstacle is not None
@@ -197,7 +197,7 @@
 
 def list_left_out(state):
     """Lists for each waiting request the engines that get no look."""
-    group = dispatching._list_group(state, direct.NOW, "engine-0")
+    group = dispatching._measure_free_engines(state, direct.NOW, "engine-0")
     for request in state.requests.values():
         if request.attempt is None:
             constraints = placement_constraints.compute_constraints(
--- a/sycamorefall/direct/core.py
+++ b/sycamorefall/direct/core.py
@@ -76,7 +76,7 @@
     ]
     pending: list[effects.Effect] = []
     for request in waiting_requests:
-        admission = _admit(state, now, request.new)
+        admission = _admit(state, now, request.incoming)
         if isinstance(admission, result.Failure):
             pending.append(
                 effects.AnswerError(request.number, admission.failure())
@@ -150,7 +150,7 @@
 def _admit(
     state: state_module.DirectState,
     now: float,
-    new: state_module.NewRequest,
+    incoming: state_module.IncomingRequest,
 ) -> result.Result[tuple[catalog.Route, str], errors.ErrorKind]:
     """Finds the route of a request and authorizes its key.
 
@@ -161,14 +161,14 @@
     current = state.catalog
     if current is None:
         return result.Failure(errors.ErrorKind.NOT_READY)
-    route = catalog.find_route(current, new.host, new.path)
+    route = catalog.find_route(current, incoming.host, incoming.path)
     if route is None:
         return result.Failure(errors.ErrorKind.UNKNOWN_SERVICE)
     if route.public or not current.requires_key:
         return result.Success((route, ""))
     if not freshness.is_fresh(state.freshness, now):
         return result.Failure(errors.ErrorKind.NOT_READY)
-    team = current.teams.get(new.key)
+    team = current.teams.get(incoming.key)
     if team is None:
         return result.Failure(errors.ErrorKind.UNKNOWN_TEAM)
     return result.Success((route, team.name))
@@ -177,28 +177,28 @@
 def handle_request(
     state: state_module.DirectState,
     now: float,
-    new: state_module.NewRequest,
+    incoming: state_module.IncomingRequest,
 ) -> tuple[int, list[effects.Effect]]:
     """Sends, enqueues or refuses a caller's request.
 
     Args:
         state: The router's state; modified.
         now: Current time of this process's clock.
-        new: The request.
+        incoming: The request.
 
     Returns:
         The request's number and the effects to carry out.
     """
     state.last_number += 1
     number = state.last_number
-    admission = _admit(state, now, new)
+    admission = _admit(state, now, incoming)
     if isinstance(admission, result.Failure):
         kind = admission.failure()
         retry_after = _choose_retry_after(state, kind)
         return number, [effects.AnswerError(number, kind, retry_after)]
     route, team = admission.unwrap()
     if state.quarantine.quarantined:
-        fingerprint = fingerprints.compute_fingerprint(new, team)
+        fingerprint = fingerprints.compute_fingerprint(incoming, team)
         if quarantine.is_quarantined(state.quarantine, fingerprint):
             quarantine.extend_quarantine(state.quarantine, now, fingerprint)
             kind = errors.ErrorKind.QUARANTINED
@@ -206,8 +206,8 @@
                 effects.AnswerError(number, kind, fingerprint=fingerprint)
             ]
     remaining = route.timeout
-    if new.time_left is not None:
-        remaining = min(remaining, new.time_left)
+    if incoming.time_left is not None:
+        remaining = min(remaining, incoming.time_left)
     if not stopping.may_accept(state.stop, now, now + remaining):
         kind = errors.ErrorKind.STOPPING
         return number, [
@@ -216,21 +216,21 @@
     wait = min(remaining, dispatching.MAX_WAIT_SHARE * route.target_latency)
     request = state_module.Request(
         number,
-        new,
+        incoming,
         route,
         catalog.choose_service(route, state.random.random()),
         team,
         now,
-        answer_by=now + remaining,
+        deadline=now + remaining,
         target_at=now
         + route.target_latency
-        - _estimate_elapsed(state, route, new),
+        - _estimate_elapsed(state, route, incoming),
         give_up_at=now + wait,
     )
     state.requests[number] = request
-    if new.prompt is not None:
-        key = new.prompt.home_key
-        request.part_uses = prompts.record_use(state.uses, now, key)
+    if incoming.prompt is not None:
+        key = incoming.prompt.home_key
+        request.part_uses = prompts.record_use(state.part_usage, now, key)
         recent_targets = state_module.get_or_create_recent_targets(
             state, request.service
         )
@@ -238,7 +238,7 @@
     budget.count_request(
         dispatching.get_or_create_budget(state, request.service), now
     )
-    heapq.heappush(state.deadlines, (request.answer_by, number))
+    heapq.heappush(state.deadlines, (request.deadline, number))
     heapq.heappush(state.deadlines, (request.give_up_at, number))
     queue = state.service_queues.get(request.service)
     if queue is None or not queue.by_team:
@@ -272,17 +272,17 @@
 def _estimate_elapsed(
     state: state_module.DirectState,
     route: catalog.Route,
-    new: state_module.NewRequest,
+    incoming: state_module.IncomingRequest,
 ) -> float:
     """Estimates how long a caller has been retrying at least, in seconds.
 
     The estimate compares the time that the caller has left with the times that
     other callers of the route had left. It is 0 for a caller that states none.
     """
-    if new.time_left is None:
+    if incoming.time_left is None:
         return 0.0
     route_patience = state.patience.setdefault(route.name, patience.Patience())
-    return patience.read_elapsed(route_patience, new.time_left)
+    return patience.estimate_elapsed(route_patience, incoming.time_left)
 
 
 def cancel_request(
@@ -372,7 +372,7 @@
         request = state.requests.get(number)
         if request is None:
             continue
-        if now >= request.answer_by:
+        if now >= request.deadline:
             pending += outcomes.expire_request(state, request, now)
         elif now >= request.give_up_at and request.attempt is None:
             pending += outcomes.fail_request(state, request, now)
--- a/sycamorefall/direct/crash_exchange.py
+++ b/sycamorefall/direct/crash_exchange.py
@@ -224,7 +224,9 @@
         return None
     return messages.CrashReports(
         tuple(
-            messages.CrashReport(crash.upstream, crash.born, tuple(records))
+            messages.CrashReport(
+                crash.upstream, crash.start_time, tuple(records)
+            )
             for crash, records in by_crash.items()
         )
     )
--- a/sycamorefall/direct/crashes.py
+++ b/sycamorefall/direct/crashes.py
@@ -56,7 +56,7 @@
     upstream = state_module.find_upstream(state, request.attempt)
     if upstream is None or upstreams.is_leaving(upstream):
         return []
-    crash = Crash(upstream.listed.name, upstream.listed.born)
+    crash = Crash(upstream.listed.name, upstream.listed.start_time)
     fingerprint = fingerprints.get_fingerprint(request)
     known = state.disconnects.get(crash)
     if known is None:
@@ -100,7 +100,10 @@
     if reachability is transport.Reachability.REFUSED:
         known.crashed = True
         upstream = state.table.by_name.get(check.crash.upstream)
-        if upstream is not None and upstream.listed.born == check.crash.born:
+        if (
+            upstream is not None
+            and upstream.listed.start_time == check.crash.start_time
+        ):
             upstreams.suspend_upstream(upstream, now)
         return [
             effects.ReportCrash(check.crash, len(known.fingerprints)),
--- a/sycamorefall/direct/daemon.py
+++ b/sycamorefall/direct/daemon.py
@@ -109,14 +109,14 @@
         """Applies a listing of upstreams, and logs what changed."""
         now = transport.read_clock()
         by_name = self.state.table.by_name
-        before = {name: one.listed.born for name, one in by_name.items()}
+        before = {name: one.listed.start_time for name, one in by_name.items()}
         gone = core.apply_listing(self.state, now, listing)
         new = by_name.keys() - before.keys()
         exchange_module.apply_totals_to_listing(self.exchange, self.state, new)
         restarted = [
             name
             for name, one in by_name.items()
-            if before.get(name, one.listed.born) != one.listed.born
+            if before.get(name, one.listed.start_time) != one.listed.start_time
         ]
         if gone or new or restarted:
             observation.write_record(
--- a/sycamorefall/direct/dialects.py
+++ b/sycamorefall/direct/dialects.py
@@ -1,6 +1,6 @@
 """Interface of a dialect: the HTTP headers and statuses of a platform."""
 
-__all__ = ["AnswerHead", "Dialect", "Verdict"]
+__all__ = ["Dialect", "ResponseHead", "ResponseOutcome"]
 
 from collections.abc import Callable
 import dataclasses
@@ -13,7 +13,7 @@
 from sycamorefall.direct import state as state_module
 
 
-class Verdict(enum.Enum):
+class ResponseOutcome(enum.Enum):
     """Classification of an upstream's response by its head.
 
     SUCCESS: the request ran; the response follows.
@@ -32,11 +32,11 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class AnswerHead:
+class ResponseHead:
     """The head of an upstream's response.
 
     Attributes:
-        verdict: Classification of the response.
+        outcome: Classification of the response.
         status: HTTP status.
         headers: Headers to forward to the caller.
         leaving: Whether the upstream announces that it is shutting down.
@@ -44,7 +44,7 @@
             no further requests; None if it doesn't.
     """
 
-    verdict: Verdict
+    outcome: ResponseOutcome
     status: int
     headers: tuple[tuple[str, str], ...]
     leaving: bool = False
@@ -62,18 +62,21 @@
         write_headers: Builds the headers of the request to an upstream. The
             last argument is the id of the last event that the caller has
             received, or empty.
-        is_ours: Tells whether a response with these headers belongs to this
-            caller's request.
-        read_answer: Parses the head of a response.
+        is_matching_response: Returns whether a response with these headers
+            belongs to this caller's request.
+        read_response_head: Parses the head of a response.
     """
 
     read_request: Callable[
-        [transport.IncomingCall], result.Result[state_module.NewRequest, str]
+        [transport.IncomingCall],
+        result.Result[state_module.IncomingRequest, str],
     ]
     read_request_id: Callable[[transport.IncomingCall], str]
     write_headers: Callable[
         [transport.IncomingCall, effects.SendRequest, str],
         tuple[tuple[str, str], ...],
     ]
-    is_ours: Callable[[transport.IncomingCall, dict[str, str]], bool]
-    read_answer: Callable[[int, list[tuple[str, str]]], AnswerHead]
+    is_matching_response: Callable[
+        [transport.IncomingCall, dict[str, str]], bool
+    ]
+    read_response_head: Callable[[int, list[tuple[str, str]]], ResponseHead]
--- a/sycamorefall/direct/dispatching.py
+++ b/sycamorefall/direct/dispatching.py
@@ -118,15 +118,17 @@
         The effect that sends the request; empty if it is not sent now.
     """
     service = state.catalog.services.get(request.service)
-    if service is None or request.answer_by - now < MIN_TIME_LEFT:
+    if service is None or request.deadline - now < MIN_TIME_LEFT:
         return []
     if request.team and not freshness.is_fresh(state.freshness, now):
         return []
     if is_quarantined(state, request):
         return []
     if group is None:
-        group = _list_group(state, now, request.service)
-    is_engine = request.new.prompt is not None and service.engine is not None
+        group = _measure_free_engines(state, now, request.service)
+    is_engine = (
+        request.incoming.prompt is not None and service.engine is not None
+    )
     if is_engine and not group.engine_loads:
         return []
     constraints = placement_constraints.compute_constraints(state, now, request)
@@ -194,7 +196,7 @@
         {obstacle.value: count for obstacle, count in obstacles.items()},
         _compute_cost(request),
         int(fair_queue.compute_received(accounts, now, request.team)),
-        int(accounts.most),
+        int(accounts.max_received),
         _encode_floor(floor),
         state.routers,
         state.catalog.version,
@@ -216,16 +218,16 @@
     request.sends += 1
     request.tried.add(chosen.listed.name)
     attempt = state_module.Attempt(
-        request.sends, chosen.listed.name, now, chosen.listed.born
+        request.sends, chosen.listed.name, now, chosen.listed.start_time
     )
     request.attempt = attempt
     state.running += 1
-    if not chosen.own.running:
+    if not chosen.own_load.running:
         # The upstream had nothing to send, so it was not stalled.
         chosen.last_byte_at = now
-    chosen.own.running += 1
+    chosen.own_load.running += 1
     upstreams.record_sent(chosen)
-    prompt, begins_in, fetch = request.new.prompt, None, None
+    prompt, begins_in, fetch = request.incoming.prompt, None, None
     cost, received = _compute_cost(request), 0.0
     if prompt is not None and service.engine is not None:
         fetch = fetching.choose_source(
@@ -238,7 +240,7 @@
             attempt.unread -= fetching.count_saved_tokens(
                 fetch, chosen, service
             )
-        chosen.own.unread += attempt.unread
+        chosen.own_load.unread += attempt.unread
         state.total_unread_sent += attempt.unread
         attempt.queued = chosen.unread
         begins_in = (
@@ -246,7 +248,7 @@
             + attempt.queued / chosen.prefill_rate
         )
         attempt.memory = prompt.tokens + prompt.output
-        chosen.own.memory += attempt.memory
+        chosen.own_load.memory += attempt.memory
         _record_placement(state, chosen, prompt, service.engine)
         attempt.cost, attempt.charged_at = cost, now
         accounts = state_module.get_or_create_accounts(state, request.service)
@@ -257,7 +259,7 @@
         attempt.number,
         chosen.listed.name,
         chosen.listed.address,
-        request.answer_by - now,
+        request.deadline - now,
         request.team,
         # The upstream may close an idle connection while the request is in
         # transit, which leaves unknown whether the request ran. A request that
@@ -280,7 +282,7 @@
 
 def _compute_cost(request: state_module.Request) -> int:
     """Computes the cost units of a request; 0 if it is not for an engine."""
-    prompt = request.new.prompt
+    prompt = request.incoming.prompt
     if prompt is None:
         return 0
     return prompt.tokens + prompts.OUTPUT_WEIGHT * prompt.output
@@ -370,7 +372,7 @@
         for team in service_queue.by_team
     ]
     heapq.heapify(teams)
-    group = _list_group(state, now, service)
+    group = _measure_free_engines(state, now, service)
     while teams:
         _, team = heapq.heappop(teams)
         for number in fair_queue.list_candidates(service_queue, team):
@@ -378,7 +380,7 @@
             request = state.requests[number]
             done = try_send(state, now, request, group)
             if done:
-                group = _list_group(state, now, service)
+                group = _measure_free_engines(state, now, service)
                 fair_queue.remove_request(service_queue, team, number)
                 sent += done
                 received = fair_queue.compute_received(accounts, now, team)
@@ -387,7 +389,7 @@
     return tries, sent
 
 
-def _list_group(
+def _measure_free_engines(
     state: state_module.DirectState, now: float, service: str
 ) -> eligibility.EngineGroup:
     """Measures the engines of a service that have a free slot."""
--- a/sycamorefall/direct/eligibility.py
+++ b/sycamorefall/direct/eligibility.py
@@ -228,7 +228,7 @@
         now: Current time of this process's clock.
     """
     # Not by the properties of Upstream: three calls would double the time.
-    own, others = upstream.own, upstream.others
+    own, others = upstream.own_load, upstream.peer_load
     running = own.running + others.running
     unread = own.unread + others.unread
     has_short_queue = unread <= IDLE_QUEUE_SECONDS * upstream.prefill_rate
--- a/sycamorefall/direct/exchange.py
+++ b/sycamorefall/direct/exchange.py
@@ -602,7 +602,7 @@
             state, name, floors.get(name, -1), short.get(name, -1)
         )
         for name, upstream in state.table.by_name.items()
-        if upstream.own.running or name in floors
+        if upstream.own_load.running or name in floors
     }
     return _build_full_update(
         exchange,
--- a/sycamorefall/direct/fair_queue.py
+++ b/sycamorefall/direct/fair_queue.py
@@ -58,8 +58,8 @@
             team.
         others: Service given by the other routers, as they last reported, by
             team.
-        most: Most service that any team received from all routers, as last
-            computed.
+        max_received: Most service that any team received from all routers, as
+            last computed.
         refused_at: When this router last refused a request for lack of
             capacity, by team.
     """
@@ -68,7 +68,7 @@
         default_factory=dict
     )
     others: dict[str, float] = dataclasses.field(default_factory=dict)
-    most: float = 0.0
+    max_received: float = 0.0
     refused_at: dict[str, float] = dataclasses.field(default_factory=dict)
 
 
@@ -190,10 +190,14 @@
         A fraction from 0 to 1; 1 if no team received service.
 
     Example:
-        >>> compute_relative_share(TeamAccounts(most=100.0), 60.0)
+        >>> compute_relative_share(TeamAccounts(max_received=100.0), 60.0)
         0.6
     """
-    return min(1.0, received / accounts.most) if accounts.most else 1.0
+    return (
+        min(1.0, received / accounts.max_received)
+        if accounts.max_received
+        else 1.0
+    )
 
 
 def record_refusal(accounts: TeamAccounts, now: float, team: str) -> None:
--- a/sycamorefall/direct/fingerprints.py
+++ b/sycamorefall/direct/fingerprints.py
@@ -16,7 +16,9 @@
 2**128 tries."""
 
 
-def compute_fingerprint(new: state_module.NewRequest, team: str) -> bytes:
+def compute_fingerprint(
+    incoming: state_module.IncomingRequest, team: str
+) -> bytes:
     """Computes the fingerprint of a request.
 
     Requests with the same method, host, path with query, team and body have
@@ -24,33 +26,40 @@
     host is case-insensitive.
 
     Args:
-        new: The request.
+        incoming: The request.
         team: The request's team; empty on public routes.
 
     Returns:
         `FINGERPRINT_SIZE` bytes.
 
     Example:
-        >>> x = state_module.NewRequest("h", "/a", target="/a", body=b"x")
-        >>> y = state_module.NewRequest("h", "/a", target="/a", body=b"y")
+        >>> x = state_module.IncomingRequest("h", "/a", target="/a", body=b"x")
+        >>> y = state_module.IncomingRequest("h", "/a", target="/a", body=b"y")
         >>> compute_fingerprint(x, "mill") == compute_fingerprint(x, "mill")
         True
         >>> compute_fingerprint(x, "mill") == compute_fingerprint(y, "mill")
         False
     """
     digest = hashlib.blake2b(digest_size=FINGERPRINT_SIZE)
-    for field in (new.method, new.host.lower(), new.target, team):
+    for field in (
+        incoming.method,
+        incoming.host.lower(),
+        incoming.target,
+        team,
+    ):
         encoded = field.encode("utf-8", "surrogatepass")
         # The length prefix prevents collisions between different splits of
         # the same bytes into fields.
         digest.update(len(encoded).to_bytes(4, "big"))
         digest.update(encoded)
-    digest.update(new.body)
+    digest.update(incoming.body)
     return digest.digest()
 
 
 def get_fingerprint(request: state_module.Request) -> bytes:
     """Returns the fingerprint of a request, computed on first use."""
     if not request.fingerprint:
-        request.fingerprint = compute_fingerprint(request.new, request.team)
+        request.fingerprint = compute_fingerprint(
+            request.incoming, request.team
+        )
     return request.fingerprint
--- a/sycamorefall/direct/outcomes.py
+++ b/sycamorefall/direct/outcomes.py
@@ -117,9 +117,9 @@
     state.dispatch_needed = True
     if upstream is None:
         return None
-    upstream.own.running -= 1
-    upstream.own.unread -= attempt.unread
-    upstream.own.memory -= attempt.memory
+    upstream.own_load.running -= 1
+    upstream.own_load.unread -= attempt.unread
+    upstream.own_load.memory -= attempt.memory
     return upstream
 
 
@@ -181,7 +181,7 @@
     """
     request = state.requests[number]
     request.attempt.sent_at = now
-    return request.answer_by - now
+    return request.deadline - now
 
 
 def record_response(
@@ -218,7 +218,7 @@
     state: state_module.DirectState,
     now: float,
     number: int,
-    head: dialects.AnswerHead,
+    head: dialects.ResponseHead,
 ) -> bool:
     """Records a shutdown notice from the head of a response.
 
@@ -237,7 +237,7 @@
     upstream = state_module.find_upstream(state, state.requests[number].attempt)
     if upstream is None or not head.leaving:
         return False
-    if head.verdict is dialects.Verdict.OTHER_INCARNATION:
+    if head.outcome is dialects.ResponseOutcome.OTHER_INCARNATION:
         return False
     return upstreams.record_leaving(state.table, now, upstream)
 
@@ -246,7 +246,7 @@
     state: state_module.DirectState,
     now: float,
     number: int,
-    head: dialects.AnswerHead,
+    head: dialects.ResponseHead,
 ) -> bool:
     """Records a retry delay from the head of a response.
 
@@ -265,7 +265,7 @@
     upstream = state_module.find_upstream(state, state.requests[number].attempt)
     if upstream is None or head.retry_after is None:
         return False
-    if head.verdict is dialects.Verdict.OTHER_INCARNATION:
+    if head.outcome is dialects.ResponseOutcome.OTHER_INCARNATION:
         return False
     return upstreams.record_retry_delay(
         state.table, now, upstream, head.retry_after
@@ -301,7 +301,7 @@
 ) -> None:
     """Records a processed prompt and adjusts the engine's prefill rate."""
     upstreams.record_success(upstream, now)
-    upstream.own.unread -= attempt.unread
+    upstream.own_load.unread -= attempt.unread
     attempt.unread = 0
     _adjust_prefill_rate(upstream, attempt, now - attempt.sent_at)
 
@@ -451,7 +451,7 @@
     if not state.quarantine.suspects:
         return False
     fingerprint = fingerprints.get_fingerprint(request)
-    present = quarantine.Crash(attempt.upstream, attempt.born)
+    present = quarantine.Crash(attempt.upstream, attempt.start_time)
     return quarantine.count_crashes(state.quarantine, fingerprint, present) > 0
 
 
@@ -494,7 +494,7 @@
     if not request.possible_runs:
         kind = errors.ErrorKind.NO_UPSTREAM
         retry_after = _compute_retry_after(state, request, now)
-        if request.new.prompt is not None:
+        if request.incoming.prompt is not None:
             accounts = state_module.get_or_create_accounts(
                 state, request.service
             )
--- a/sycamorefall/direct/own_load.py
+++ b/sycamorefall/direct/own_load.py
@@ -29,7 +29,7 @@
     return {
         name: build_load(state, name, last.floor, last.short_floor)
         for name, upstream in state.table.by_name.items()
-        if upstream.own.running or name in last_sent
+        if upstream.own_load.running or name in last_sent
         for last in [last_sent.get(name, nothing)]
     }
 
@@ -45,7 +45,7 @@
         floor: See `messages.UpstreamLoad`.
         short_floor: See `messages.UpstreamLoad`.
     """
-    own = state.table.by_name[name].own
+    own = state.table.by_name[name].own_load
     return messages.UpstreamLoad(
         name, own.running, own.unread, own.memory, floor, short_floor
     )
@@ -56,8 +56,9 @@
 ) -> tuple[messages.ServiceDemand, ...]:
     """Lists by service what this router recently gave to teams.
 
-    Also updates `TeamAccounts.most`, the service that the best served team
-    received from all routers, and removes accounts and refusals that expired.
+    Also updates `TeamAccounts.max_received`, the service that the best served
+    team received from all routers, and removes accounts and refusals that
+    expired.
     """
     return tuple(
         _build_service(state, now, service) for service in state.accounts
@@ -74,6 +75,6 @@
         for team, amount in amounts.items()
         if amount >= MIN_REPORTED_AMOUNT
     )
-    accounts.most = fair_queue.find_max_received(accounts, amounts)
+    accounts.max_received = fair_queue.find_max_received(accounts, amounts)
     fair_queue.drop_expired_refusals(accounts, now)
     return messages.ServiceDemand(service, teams)
--- a/sycamorefall/direct/patience.py
+++ b/sycamorefall/direct/patience.py
@@ -7,7 +7,7 @@
 that retries: its request would be treated as past its target latency.
 """
 
-__all__ = ["Patience", "read_elapsed"]
+__all__ = ["Patience", "estimate_elapsed"]
 
 import collections
 import dataclasses
@@ -49,7 +49,7 @@
     _samples_since_update: int = 0
 
 
-def read_elapsed(patience: Patience, time_left: float) -> float:
+def estimate_elapsed(patience: Patience, time_left: float) -> float:
     """Estimates how long a caller has been retrying, and updates the estimates.
 
     Most callers are new, so the median remaining time is that of a new caller,
@@ -67,7 +67,7 @@
 
     Example:
         >>> patience = Patience()
-        >>> [round(read_elapsed(patience, left), 2) for left in (8, 7, 5)]
+        >>> [round(estimate_elapsed(patience, left), 2) for left in (8, 7, 5)]
         [0.0, 0.0, 1.0]
     """
     patience.longest = max(patience.longest, time_left)
--- a/sycamorefall/direct/placement_constraints.py
+++ b/sycamorefall/direct/placement_constraints.py
@@ -41,7 +41,7 @@
     slack = FAIRNESS_SLACK * state.catalog.tokens_per_second
     has_waited_long = _has_waited_long(request, now)
     return eligibility.PlacementConstraints(
-        request.new.prompt,
+        request.incoming.prompt,
         request.target_at - now,
         request.tried,
         yield_below=received - slack,
--- a/sycamorefall/direct/prompts.py
+++ b/sycamorefall/direct/prompts.py
@@ -85,11 +85,11 @@
     )
 
 
-def record_use(uses: PartUsage, now: float, key: str) -> float:
+def record_use(usage: PartUsage, now: float, key: str) -> float:
     """Counts a use of a shared part.
 
     Args:
-        uses: Use counts; changed.
+        usage: Use counts; changed.
         now: Current time of this process's clock.
         key: Key of the part; an empty key is not counted.
 
@@ -99,10 +99,10 @@
     """
     if not key:
         return 0.0
-    count, updated_at = uses.uses.get(key, (0.0, now))
+    count, updated_at = usage.uses.get(key, (0.0, now))
     count = count * math.exp((updated_at - now) / USE_DECAY_SECONDS) + 1.0
-    uses.uses[key] = (count, now)
-    uses.uses.move_to_end(key)
-    while len(uses.uses) > MAX_PARTS:
-        uses.uses.popitem(last=False)
+    usage.uses[key] = (count, now)
+    usage.uses.move_to_end(key)
+    while len(usage.uses) > MAX_PARTS:
+        usage.uses.popitem(last=False)
     return count
--- a/sycamorefall/direct/quarantine.py
+++ b/sycamorefall/direct/quarantine.py
@@ -52,11 +52,11 @@
 
     Attributes:
         upstream: The upstream's incarnation.
-        born: When the process started; see `upstreams.UpstreamEntry`.
+        start_time: When the process started; see `upstreams.UpstreamEntry`.
     """
 
     upstream: str
-    born: int
+    start_time: int
 
 
 class Evidence(NamedTuple):
--- a/sycamorefall/direct/relay.py
+++ b/sycamorefall/direct/relay.py
@@ -30,11 +30,13 @@
 
 
 _ATTEMPT_ENDS = {
-    dialects.Verdict.SUCCESS: outcomes.AttemptEnd.COMPLETE,
-    dialects.Verdict.FAILURE: outcomes.AttemptEnd.FAILED,
-    dialects.Verdict.NOT_RUN: outcomes.AttemptEnd.NOT_RUN,
-    dialects.Verdict.OTHER_INCARNATION: outcomes.AttemptEnd.OTHER_INCARNATION,
-    dialects.Verdict.INVALID: outcomes.AttemptEnd.BROKEN,
+    dialects.ResponseOutcome.SUCCESS: outcomes.AttemptEnd.COMPLETE,
+    dialects.ResponseOutcome.FAILURE: outcomes.AttemptEnd.FAILED,
+    dialects.ResponseOutcome.NOT_RUN: outcomes.AttemptEnd.NOT_RUN,
+    dialects.ResponseOutcome.OTHER_INCARNATION: (
+        outcomes.AttemptEnd.OTHER_INCARNATION
+    ),
+    dialects.ResponseOutcome.INVALID: outcomes.AttemptEnd.BROKEN,
 }
 
 
@@ -80,8 +82,8 @@
     ):
         self.call = call
         self.exchange: transport.Exchange | None = None
-        self.first_head: dialects.AnswerHead | None = None
-        self.head: dialects.AnswerHead | None = None
+        self.first_head: dialects.ResponseHead | None = None
+        self.head: dialects.ResponseHead | None = None
         self.buffered: list[bytes] = []
         self.splitter = streams.EventSplitter()
         self.streamed = streamed
@@ -117,8 +119,8 @@
         case result.Failure(reason):
             observation.count_event(proxy.recorder, "call_refused", "malformed")
             call.fail(errors.ErrorKind.MALFORMED_REQUEST, reason)
-        case result.Success(new):
-            _handle_request(proxy, call, new)
+        case result.Success(incoming):
+            _handle_request(proxy, call, incoming)
 
 
 def record_dropped_call(proxy: Proxy, call: transport.IncomingCall) -> None:
@@ -135,10 +137,12 @@
 
 
 def _handle_request(
-    proxy: Proxy, call: transport.IncomingCall, new: state_module.NewRequest
+    proxy: Proxy,
+    call: transport.IncomingCall,
+    incoming: state_module.IncomingRequest,
 ) -> None:
     now = transport.read_clock()
-    number, pending = core.handle_request(proxy.state, now, new)
+    number, pending = core.handle_request(proxy.state, now, incoming)
     request = proxy.state.requests.get(number)
     track = observation.begin_request(
         proxy.recorder,
@@ -328,7 +332,9 @@
             on_failure=lambda stage: _handle_failure(
                 proxy, proxied, number, stage
             ),
-            is_ours=lambda headers: proxy.dialect.is_ours(call, headers),
+            is_ours=lambda headers: proxy.dialect.is_matching_response(
+                call, headers
+            ),
             on_sent=lambda: outcomes.record_sent(
                 proxy.state, transport.read_clock(), number
             ),
@@ -346,21 +352,24 @@
     status: int,
     headers: list[tuple[str, str]],
 ) -> None:
-    proxied.head = proxy.dialect.read_answer(status, headers)
+    proxied.head = proxy.dialect.read_response_head(status, headers)
     _record_upstream_state(proxy, number, proxied.head)
-    verdict = proxied.head.verdict
-    if verdict is dialects.Verdict.INVALID:
+    outcome = proxied.head.outcome
+    if outcome is dialects.ResponseOutcome.INVALID:
         _abort_exchange(proxy, proxied)
         _end_attempt(proxy, proxied, number, outcomes.AttemptEnd.BROKEN)
         return
-    if verdict is dialects.Verdict.SUCCESS and proxied.first_head is None:
+    if (
+        outcome is dialects.ResponseOutcome.SUCCESS
+        and proxied.first_head is None
+    ):
         proxied.first_head = proxied.head
     now = transport.read_clock()
     outcomes.record_response(proxy.state, now, number, first=False)
 
 
 def _record_upstream_state(
-    proxy: Proxy, number: int, head: dialects.AnswerHead
+    proxy: Proxy, number: int, head: dialects.ResponseHead
 ) -> None:
     """Records a shutdown notice or retry delay from an upstream's response."""
     request = proxy.state.requests.get(number)
@@ -389,7 +398,7 @@
 ) -> None:
     if (
         not proxied.streamed
-        or proxied.head.verdict is not dialects.Verdict.SUCCESS
+        or proxied.head.outcome is not dialects.ResponseOutcome.SUCCESS
     ):
         proxied.buffered.append(data)
         return
@@ -420,7 +429,7 @@
 
 def _handle_end(proxy: Proxy, proxied: _ProxiedRequest, number: int) -> None:
     proxied.exchange = None
-    end = _ATTEMPT_ENDS[proxied.head.verdict]
+    end = _ATTEMPT_ENDS[proxied.head.outcome]
     if end is outcomes.AttemptEnd.COMPLETE:
         _finish_response(proxy, proxied, number)
     _end_attempt(proxy, proxied, number, end)
--- a/sycamorefall/direct/state.py
+++ b/sycamorefall/direct/state.py
@@ -4,7 +4,7 @@
     "Attempt",
     "DirectState",
     "Disconnect",
-    "NewRequest",
+    "IncomingRequest",
     "Placement",
     "Request",
     "create_state",
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class NewRequest:
+class IncomingRequest:
     """A request as received from a caller.
 
     Attributes:
@@ -67,8 +67,8 @@
         number: Number of the attempt among those of its request, from 1.
         upstream: Name of the upstream.
         sent_at: Time at which the request was sent.
-        born: Start time of the upstream's process, which tells a restarted
-            process apart; see `upstreams.UpstreamEntry`.
+        start_time: Start time of the upstream's process, which distinguishes a
+            restarted process; see `upstreams.UpstreamEntry`.
         unread: Prompt tokens that the engine still has to process for the
             request before the response starts.
         queued: Prompt tokens that the engine had to process when the request
@@ -82,7 +82,7 @@
     number: int
     upstream: str
     sent_at: float
-    born: int = 0
+    start_time: int = 0
     unread: int = 0
     queued: int = 0
     memory: int = 0
@@ -97,12 +97,12 @@
 
     Attributes:
         number: Number of the request, unique within this process.
-        new: The request as received from the caller.
+        incoming: The request as received from the caller.
         route: Route of the request.
         service: Name of the service chosen for the request.
         team: Name of the caller's team; empty on public routes.
         arrived_at: Time at which the whole request had been received.
-        answer_by: Deadline: the earlier of the caller's deadline and the end of
+        deadline: The earlier of the caller's deadline and the end of
             the route's timeout.
         target_at: Time at which the first part of the response is due.
         give_up_at: Time at which the request is refused if it still waits.
@@ -119,12 +119,12 @@
     """
 
     number: int
-    new: NewRequest
+    incoming: IncomingRequest
     route: catalog_module.Route
     service: str
     team: str
     arrived_at: float
-    answer_by: float
+    deadline: float
     target_at: float
     give_up_at: float
     sends: int = 0
@@ -191,7 +191,7 @@
         budgets: Retry budgets by service.
         recent_targets: Latency targets requested lately, by service.
         deadlines: Heap of (time, request number).
-        uses: Decayed numbers of recent requests by shared prompt part.
+        part_usage: Decayed numbers of recent requests by shared prompt part.
         patience: Times that callers are willing to wait, by route.
         total_unread_sent: Prompt tokens that this process has ever sent to
             engines for processing.
@@ -233,7 +233,7 @@
         dataclasses.field(default_factory=dict)
     )
     deadlines: list[tuple[float, int]] = dataclasses.field(default_factory=list)
-    uses: prompts.PartUsage = dataclasses.field(
+    part_usage: prompts.PartUsage = dataclasses.field(
         default_factory=prompts.PartUsage
     )
     patience: dict[str, patience_module.Patience] = dataclasses.field(
@@ -301,7 +301,7 @@
         restarted since the attempt was sent.
     """
     upstream = state.table.by_name.get(attempt.upstream)
-    if upstream is None or upstream.listed.born != attempt.born:
+    if upstream is None or upstream.listed.start_time != attempt.start_time:
         return None
     return upstream
 
--- a/sycamorefall/direct/stopping.py
+++ b/sycamorefall/direct/stopping.py
@@ -54,7 +54,7 @@
     quiet_since: float | None = None
 
 
-def may_accept(stop: Stop, now: float, answer_by: float) -> bool:
+def may_accept(stop: Stop, now: float, deadline: float) -> bool:
     """Tells whether a request may be accepted.
 
     A request that arrives late in a stop must end before the process is killed.
@@ -62,7 +62,7 @@
     Args:
         stop: The stop.
         now: Current time of this process's clock.
-        answer_by: Deadline of the request.
+        deadline: Deadline of the request.
 
     Example:
         >>> stop = Stop(8.0, since=0.0)
@@ -73,7 +73,7 @@
     """
     if stop.since is None or now - stop.since < ACCEPT_ALL_PERIOD:
         return True
-    return answer_by <= stop.since + stop.grace - KILL_MARGIN
+    return deadline <= stop.since + stop.grace - KILL_MARGIN
 
 
 def may_end_listening(stop: Stop, now: float, last_request_at: float) -> bool:
--- a/sycamorefall/direct/tests/fakes.py
+++ b/sycamorefall/direct/tests/fakes.py
@@ -106,7 +106,7 @@
     if _KINDS[route].streamed:
         own = tokens - sum(size for _, size in parts)
         prompt = prompts.Prompt(tokens, 50, (*parts, ("own", own)))
-    return state_module.NewRequest(
+    return state_module.IncomingRequest(
         HOST,
         f"/{route}/x",
         f"key-{team}" if team else "",
--- a/sycamorefall/direct/tests/simulated_fleet.py
+++ b/sycamorefall/direct/tests/simulated_fleet.py
@@ -8,7 +8,8 @@
 import random
 
 from sycamorefall import messages, settings
-from sycamorefall.direct import core, crash_exchange, exchange
+from sycamorefall.direct import core, exchange
+from sycamorefall.direct import crash_exchange as crash_exchange_module
 from sycamorefall.direct import state as state_module
 from sycamorefall.direct.tests import fakes
 
@@ -36,7 +37,7 @@
         core.apply_catalog(self.state, 0.0, fakes.create_catalog())
         core.apply_listing(self.state, 0.0, list(ENGINES))
         self.load_exchange = exchange.Exchange(name, name, seeds, capacity, now)
-        self.crashes = crash_exchange.CrashExchange()
+        self.crash_exchange = crash_exchange_module.CrashExchange()
 
     def submit_request(self, now, **kinds):
         """Submits a request; returns its number and its effect, if any."""
@@ -99,10 +100,12 @@
                             router.load_exchange, router.state, self.now
                         ),
                     )
-                due = crash_exchange.find_next_due(router.crashes, router.state)
+                due = crash_exchange_module.find_next_due(
+                    router.crash_exchange, router.state
+                )
                 if self.now >= due:
-                    outbound = crash_exchange.build_due_messages(
-                        router.crashes,
+                    outbound = crash_exchange_module.build_due_messages(
+                        router.crash_exchange,
                         router.load_exchange,
                         router.state,
                         self.now,
@@ -136,8 +139,8 @@
                 receiver.remote_bytes_received += size
             message = envelope.message
             if isinstance(message, messages.CrashReports):
-                crash_exchange.handle_reports(
-                    receiver.crashes,
+                crash_exchange_module.handle_reports(
+                    receiver.crash_exchange,
                     receiver.load_exchange,
                     receiver.state,
                     self.now,
@@ -171,13 +174,13 @@
         for router in live:
             for name, upstream in router.state.table.by_name.items():
                 running = sum(
-                    other.state.table.by_name[name].own.running
+                    other.state.table.by_name[name].own_load.running
                     for other in live
                     if other is not router
                 )
-                if upstream.others.running != running:
+                if upstream.peer_load.running != running:
                     miscounts.append(
-                        (router.name, name, upstream.others.running, running)
+                        (router.name, name, upstream.peer_load.running, running)
                     )
             if router.state.routers != len(live):
                 miscounts.append((router.name, router.state.routers, len(live)))
--- a/sycamorefall/direct/tests/test_backlog.py
+++ b/sycamorefall/direct/tests/test_backlog.py
@@ -9,7 +9,7 @@
 def create_full_state(**kinds):
     state = fakes.create_state(**kinds)
     for name in ("e1", "e2"):
-        state.table.by_name[name].own.running = 4
+        state.table.by_name[name].own_load.running = 4
     return state
 
 
@@ -61,7 +61,7 @@
     # Guards against refusals that don't tell whether the team was underserved.
     state = create_full_state()
     accounts = state_module.get_or_create_accounts(state, "engine")
-    accounts.most = 70_000.0
+    accounts.max_received = 70_000.0
     number, _ = fakes.submit_request(state, 0.0, "draft")
     refusal = dispatching.explain_refusal(state, 0.1, state.requests[number])
     assert refusal.most == 70_000
--- a/sycamorefall/direct/tests/test_crash_exchange.py
+++ b/sycamorefall/direct/tests/test_crash_exchange.py
@@ -3,7 +3,8 @@
 import pytest
 
 from sycamorefall import messages, names
-from sycamorefall.direct import crash_exchange, quarantine
+from sycamorefall.direct import crash_exchange as crash_exchange_module
+from sycamorefall.direct import quarantine
 from sycamorefall.direct.quarantine import Crash, Evidence
 from sycamorefall.direct.tests import simulated_fleet
 
@@ -128,14 +129,14 @@
         record_crash(fleet, "router-0-1", "e1", b"%016d" % number)
     one = fleet.routers["router-0-1"]
     for _ in range(10):
-        for outbound in crash_exchange.build_due_messages(
-            one.crashes, one.load_exchange, one.state, fleet.now
+        for outbound in crash_exchange_module.build_due_messages(
+            one.crash_exchange, one.load_exchange, one.state, fleet.now
         ):
             envelope = messages.Envelope(one.name, 1, 1, outbound.message)
             sizes.append(len(messages.encode_envelope(envelope)))
-        fleet.now += crash_exchange.SEND_INTERVAL
+        fleet.now += crash_exchange_module.SEND_INTERVAL
     assert max(sizes) < 2000
-    seconds = 10 * crash_exchange.SEND_INTERVAL
+    seconds = 10 * crash_exchange_module.SEND_INTERVAL
     assert sum(sizes) / 2 / seconds < 3500
 
 
@@ -153,8 +154,8 @@
     envelope = messages.Envelope(
         "router-0-1", 1, 1, messages.CrashReports((report,))
     )
-    crash_exchange.handle_reports(
-        one.crashes, one.load_exchange, one.state, fleet.now, envelope
+    crash_exchange_module.handle_reports(
+        one.crash_exchange, one.load_exchange, one.state, fleet.now, envelope
     )
     assert not one.state.quarantine.suspects
 
--- a/sycamorefall/direct/tests/test_delegates.py
+++ b/sycamorefall/direct/tests/test_delegates.py
@@ -82,7 +82,7 @@
     fleet = create_busy_fleet(domains=2, size=4)
     waiting = fleet.routers["router-0-3"]
     for upstream in waiting.state.table.by_name.values():
-        upstream.own.running = 4
+        upstream.own_load.running = 4
     waiting.submit_request(fleet.now, team="trader")
     fleet.run(0.35)
     for router in fleet.list_live():
@@ -97,7 +97,7 @@
     fleet = create_busy_fleet(domains=3, size=4)
     refusing = fleet.routers["router-0-3"]
     for upstream in refusing.state.table.by_name.values():
-        upstream.own.running = 4
+        upstream.own_load.running = 4
     refusing.submit_request(fleet.now, team="trader")
     fleet.run(0.45)
     core.run_timers(refusing.state, fleet.now)
@@ -246,7 +246,7 @@
     )
     envelope = messages.Envelope("front-2", 1, 1, load)
     exchange.handle_load(load_exchange, state, 0.0, envelope)
-    assert state.table.by_name["e1"].others.running == 3
+    assert state.table.by_name["e1"].peer_load.running == 3
     assert state.routers == 2
 
 
--- a/sycamorefall/direct/tests/test_fetching.py
+++ b/sycamorefall/direct/tests/test_fetching.py
@@ -26,7 +26,7 @@
     state = fakes.create_state(listing=LISTING)
     engine = catalog.Engine(4, 100_000, fetch_rate)
     state.catalog.services["engine"] = catalog.Service("engine", 100, engine)
-    state.uses.uses["paper"] = (2.5 * homes.USES_PER_HOME, 0.0)
+    state.part_usage.uses["paper"] = (2.5 * homes.USES_PER_HOME, 0.0)
     return state
 
 
@@ -38,7 +38,7 @@
 def send_to(state, upstream, now=0.0, parts=PAPER, tokens=9500):
     """Sends a prompt to the only engine with free slots; returns the effect."""
     for one in state.table.by_name.values():
-        one.others.running = 0 if one is upstream else one.listed.slots
+        one.peer_load.running = 0 if one is upstream else one.listed.slots
     number, sent = fakes.submit_request(
         state, now, "draft", tokens=tokens, parts=parts
     )
--- a/sycamorefall/direct/tests/test_fingerprints.py
+++ b/sycamorefall/direct/tests/test_fingerprints.py
@@ -8,7 +8,7 @@
 from sycamorefall.direct import fingerprints
 from sycamorefall.direct import state as state_module
 
-REQUEST = state_module.NewRequest(
+REQUEST = state_module.IncomingRequest(
     "site.example",
     "/draft/x",
     "key-mill",
--- a/sycamorefall/direct/tests/test_links.py
+++ b/sycamorefall/direct/tests/test_links.py
@@ -69,7 +69,9 @@
         if early.state.routers == 2:
             break
     assert early.state.routers == 2
-    loads = [upstream.others for upstream in early.state.table.by_name.values()]
+    loads = [
+        upstream.peer_load for upstream in early.state.table.by_name.values()
+    ]
     assert sum(load.running for load in loads) == 1
     for router in (early, late):
         router.links.close()
--- a/sycamorefall/direct/tests/test_loads.py
+++ b/sycamorefall/direct/tests/test_loads.py
@@ -44,7 +44,7 @@
     # because one floor was reported for the whole service.
     state, load_exchange = fakes.create_state(), fakes.create_exchange()
     for name in ("e1", "e2"):
-        state.table.by_name[name].own.running = 3
+        state.table.by_name[name].own_load.running = 3
     load = messages.RouterLoad(
         1,
         "127.0.0.1:2",
@@ -74,7 +74,7 @@
     )
     core.cancel_request(state, number, 0.0)
     for name in ("e1", "e2"):
-        state.table.by_name[name].own.running = 4
+        state.table.by_name[name].own_load.running = 4
     fakes.submit_request(state, 0.0, "draft", tokens=6000, parts=parts)
     assert list_engines_with_floor(load_exchange, state) == {sent.upstream}
     fakes.submit_request(state, 0.0, "draft", tokens=100)
@@ -95,7 +95,7 @@
         fakes.create_exchange(),
     )
     for name in names:
-        state.table.by_name[name].own.running = 4
+        state.table.by_name[name].own_load.running = 4
     fakes.submit_request(state, 0.0, "draft", tokens=100)
     assert (
         len(list_engines_with_floor(load_exchange, state))
@@ -111,7 +111,7 @@
     # that are kept free for them are lost to requests that can be on time.
     state, load_exchange = fakes.create_state(), fakes.create_exchange()
     for name in ("e1", "e2"):
-        state.table.by_name[name].own.running = 4
+        state.table.by_name[name].own_load.running = 4
     number, _ = fakes.submit_request(
         state, 0.0, "draft", time_left=3.0, tokens=100
     )
@@ -206,7 +206,7 @@
         load, remote_exchange, there, load_exchange.own.due, sender="front-1"
     )
     for name, upstream in here.table.by_name.items():
-        assert there.table.by_name[name].others == upstream.own
+        assert there.table.by_name[name].peer_load == upstream.own_load
 
 
 def test_load_of_an_engine_is_the_sum_of_all_routers():
--- a/sycamorefall/direct/tests/test_outcomes.py
+++ b/sycamorefall/direct/tests/test_outcomes.py
@@ -236,7 +236,7 @@
         if not fakes.list_sends(done):
             break
         assert may_have_run < max_runs
-    counts = [one.own for one in state.table.by_name.values()]
+    counts = [one.own_load for one in state.table.by_name.values()]
     if number not in state.requests:
         assert all(load.running == 0 for load in counts)
         assert all(load.unread == 0 for load in counts)
@@ -256,7 +256,7 @@
     (_, late) = core.run_timers(state, 0.31)
     assert (late.request, late.ran) == (sent, errors.Ran.UNKNOWN)
     for one in state.table.by_service["ledger"]:
-        one.own.running = 100
+        one.own_load.running = 100
     waits, _ = fakes.submit_request(state, 1.0, "book", team="", time_left=0.1)
     (late,) = core.run_timers(state, 1.11)
     assert (late.request, late.ran) == (waits, None)
--- a/sycamorefall/direct/tests/test_overload.py
+++ b/sycamorefall/direct/tests/test_overload.py
@@ -6,7 +6,7 @@
 
 def flood(state, requests=60, teams=("mill", "trader")):
     for one in state.table.by_service["engine"]:
-        one.own.running = 4
+        one.own_load.running = 4
     for number in range(requests):
         fakes.submit_request(
             state, 0.0, "draft", team=teams[number % len(teams)]
--- a/sycamorefall/direct/tests/test_patience.py
+++ b/sycamorefall/direct/tests/test_patience.py
@@ -38,7 +38,7 @@
     # idle engine and be late.
     known = patience.Patience()
     estimates = [
-        (patience.read_elapsed(known, left), asked)
+        (patience.estimate_elapsed(known, left), asked)
         for left, asked in draw_callers(seed, spread, returning)
     ]
     overestimates = [elapsed for elapsed, asked in estimates[100:] if not asked]
@@ -55,7 +55,7 @@
     # exactly.
     known = patience.Patience()
     for left, asked in draw_callers(seed, 0.0, returning)[:300]:
-        elapsed = patience.read_elapsed(known, left)
+        elapsed = patience.estimate_elapsed(known, left)
         if known.spread == 0.0 and known.longest == 8.0:
             assert elapsed == pytest.approx(asked)
     assert known.spread == 0.0
@@ -67,8 +67,8 @@
     # the least patient new caller does not explain.
     known = patience.Patience()
     for left, _ in draw_callers(1, 0.15, 0.0):
-        patience.read_elapsed(known, left)
-    elapsed = patience.read_elapsed(known, 8.0 * 0.93 - 3.0)
+        patience.estimate_elapsed(known, left)
+    elapsed = patience.estimate_elapsed(known, 8.0 * 0.93 - 3.0)
     assert 1.5 < elapsed < 3.0 + 0.07 * 8.0
 
 
@@ -84,7 +84,7 @@
         )
         core.cancel_request(state, number, 0.0)
     engine = state.table.by_name["e1"]
-    engine.others.unread = int(
+    engine.peer_load.unread = int(
         2 * eligibility.IDLE_QUEUE_SECONDS * engine.prefill_rate
     )
     _, sent = fakes.submit_request(
--- a/sycamorefall/direct/tests/test_quarantine.py
+++ b/sycamorefall/direct/tests/test_quarantine.py
@@ -46,7 +46,10 @@
     # Guards against counting only once a request that repeatedly crashes an
     # upstream that restarts under the same name.
     known = quarantine.Quarantine()
-    found = [Evidence(Crash("e1", born), HARMFUL, False, 0.0) for born in "abc"]
+    found = [
+        Evidence(Crash("e1", start_time), HARMFUL, False, 0.0)
+        for start_time in "abc"
+    ]
     quarantine.add_evidence(known, 0.0, found)
     assert quarantine.is_quarantined(known, HARMFUL)
 
--- a/sycamorefall/direct/tests/test_readers.py
+++ b/sycamorefall/direct/tests/test_readers.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings, strategies
 import pytest
 
-from sycamorefall.direct.tests import replicas
+from sycamorefall.direct.tests import simulated_replicas
 
 APPLY_BOUND = 2.0
 """Seconds within which a change has to be in effect, at the sites with the
@@ -21,7 +21,7 @@
 
 
 def start_fleet(**options):
-    fleet = replicas.Fleet(**options)
+    fleet = simulated_replicas.Fleet(**options)
     fleet.run(5.0)
     return fleet
 
@@ -58,7 +58,7 @@
     # Guards against a burst of calls after all VMs lost power and restart
     # together. The platform refuses calls beyond a rate, and refused calls cost
     # money as well.
-    fleet = replicas.Fleet(domains=6, size=12, seeds=3)
+    fleet = simulated_replicas.Fleet(domains=6, size=12, seeds=3)
     fleet.run(1.5)
     assert len(fleet.platform.calls) <= 40
     assert all(router.applied_revision for router in fleet.list_live())
@@ -273,7 +273,7 @@
     # or are isolated, no router has proof for a time at which its records were
     # outdated.
     seed = data.draw(strategies.integers(0, 1000))
-    fleet = replicas.Fleet(seed=seed)
+    fleet = simulated_replicas.Fleet(seed=seed)
     fleet.loss_rate = data.draw(strategies.sampled_from([0.0, 0.1, 0.5]))
     fleet.max_delay = data.draw(strategies.sampled_from([0.001, 0.3, 2.0]))
     names = strategies.sampled_from(sorted(fleet.routers))
--- a/sycamorefall/direct/tests/test_relay.py
+++ b/sycamorefall/direct/tests/test_relay.py
@@ -23,8 +23,8 @@
             read_request=lambda _: result.Success(fakes.create_request("look")),
             read_request_id=self.read_request_id,
             write_headers=lambda _, send, last: self.sent.append(send) or (),
-            is_ours=lambda _, headers: True,
-            read_answer=lambda status, headers: None,
+            is_matching_response=lambda _, headers: True,
+            read_response_head=lambda status, headers: None,
         )
         client = types.SimpleNamespace(send=self.send)
         self.proxy = relay.Proxy(self.state, client, dialect)
--- a/sycamorefall/direct/tests/test_restarts.py
+++ b/sycamorefall/direct/tests/test_restarts.py
@@ -13,9 +13,9 @@
     """Creates the entries of engines from pairs of name and start time."""
     return [
         dataclasses.replace(
-            fakes.create_upstream_entry(name, port=port), born=born
+            fakes.create_upstream_entry(name, port=port), start_time=start_time
         )
-        for port, (name, born) in enumerate(processes, start=1)
+        for port, (name, start_time) in enumerate(processes, start=1)
     ]
 
 
@@ -44,11 +44,11 @@
     state = create_state(("e1", 100))
     old, _ = fakes.submit_request(state, 0.0, "draft", tokens=100)
     core.apply_listing(state, 1.0, create_entries(("e1", 200)))
-    assert state.table.by_name["e1"].own.running == 0
+    assert state.table.by_name["e1"].own_load.running == 0
     fakes.submit_request(state, 1.0, "draft", tokens=100)
     outcomes.end_attempt(state, 1.1, old, outcomes.AttemptEnd.BROKEN)
     engine = state.table.by_name["e1"]
-    assert (engine.own.running, engine.own.unread) == (1, 100)
+    assert (engine.own_load.running, engine.own_load.unread) == (1, 100)
 
 
 def test_restart_ends_the_suspension_of_the_old_process():
--- a/sycamorefall/direct/tests/test_shares.py
+++ b/sycamorefall/direct/tests/test_shares.py
@@ -59,7 +59,7 @@
     """Creates a router whose engines run requests without pending prefill."""
     state = fakes.create_state()
     for name in ENGINES:
-        state.table.by_name[name].own.running = running
+        state.table.by_name[name].own_load.running = running
     return state
 
 
@@ -151,16 +151,16 @@
         number, sent = fakes.submit_request(state, 0.0, "draft", **asked)
         core.cancel_request(state, number, 0.0)
         home = state.table.by_name[sent.upstream]
-        home.own.running = 4
+        home.own_load.running = 4
         (other,) = (
             state.table.by_name[name]
             for name in ENGINES
             if name != sent.upstream
         )
-        other.own.running = 2
+        other.own_load.running = 2
         state.accounts["engine"].own.clear()
         deliver_load(state, 0.0, trader=int(share * 100_000), mill=100_000)
-        state.accounts["engine"].most = 100_000
+        state.accounts["engine"].max_received = 100_000
         fakes.submit_request(state, 0.0, "draft", **asked)
         ((at, sent),) = run(state, 0.0, 0.39)
         assert sent.upstream == other.listed.name
@@ -174,9 +174,9 @@
     asked = {"team": "mill", "tokens": 6000, "parts": PARTS}
     number, sent = fakes.submit_request(state, 0.0, "draft", **asked)
     core.cancel_request(state, number, 0.0)
-    state.table.by_name[sent.upstream].own.running = 4
+    state.table.by_name[sent.upstream].own_load.running = 4
     deliver_load(state, 0.0, trader=10_000, mill=100_000)
-    state.accounts["engine"].most = 100_000
+    state.accounts["engine"].max_received = 100_000
     fakes.submit_request(state, 0.0, "draft", **asked)
     assert run(state, 0.0, 0.39) == []
 
--- a/sycamorefall/direct/tests/test_sharing.py
+++ b/sycamorefall/direct/tests/test_sharing.py
@@ -56,7 +56,7 @@
     state = fakes.create_state(listing=listing)
     used = set()
     for _ in range(12):
-        state.uses.uses["hot"] = (2.0 * homes.USES_PER_HOME, 0.0)
+        state.part_usage.uses["hot"] = (2.0 * homes.USES_PER_HOME, 0.0)
         parts = (("hot", 5000),)
         _, sent = fakes.submit_request(
             state, 0.0, "draft", tokens=5200, parts=parts
@@ -124,7 +124,7 @@
     )
     waits = [messages.UpstreamLoad(name, 0, 0, 0, 0) for name in ("e1", "e2")]
     for name in ("e1", "e2"):
-        state.table.by_name[name].own.running = 3
+        state.table.by_name[name].own_load.running = 3
     deliver_load(
         load_exchange,
         state,
@@ -275,16 +275,16 @@
         )
         core.cancel_request(state, number, 0.0)
         home = state.table.by_name[sent.upstream]
-        home.own.running = 4
+        home.own_load.running = 4
         (other,) = [
             one for one in state.table.by_service["engine"] if one is not home
         ]
-        other.own.running, other.own.unread = 3, 3000
+        other.own_load.running, other.own_load.unread = 3, 3000
         demand = messages.ServiceDemand("engine", ())
         deliver_load(
             fakes.create_exchange(), state, 0.0, sequence=1, services=(demand,)
         )
-        state.accounts["engine"].most = most
+        state.accounts["engine"].max_received = most
         fakes.submit_request(
             state, 0.0, "draft", team="trader", tokens=6000, parts=parts
         )
@@ -324,10 +324,10 @@
     # after half a second, if at all.
     state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
     engine = state.table.by_name["e1"]
-    engine.own.running, engine.own.unread = 3, 30_000
+    engine.own_load.running, engine.own_load.unread = 3, 30_000
     for _ in range(10):
         fakes.submit_request(state, 0.0, "draft", tokens=8000)
-    engine.own.unread = 20_000
+    engine.own_load.unread = 20_000
     newest, _ = fakes.submit_request(state, 0.3, "draft", tokens=100)
     (sent,) = fakes.list_sends(core.run_timers(state, 0.31))
     assert sent.request == newest
--- a/sycamorefall/direct/tests/test_stalls.py
+++ b/sycamorefall/direct/tests/test_stalls.py
@@ -28,7 +28,7 @@
         attempt = state.requests[number].attempt
         attempt.sent_at = NOW - draws.choice([0.1, 0.6, 1.5, 2.5])
         attempt.response_started = draws.random() < 0.5
-        attempt.born = draws.choice([0, 0, 0, 0, 7])
+        attempt.start_time = draws.choice([0, 0, 0, 0, 7])
     for one in state.table.by_name.values():
         one.last_byte_at = NOW - draws.choice([0.1, 0.9, 1.0, 1.2, 1.9, 2.4])
     relisted = [one for one in listing if draws.random() < 0.9]
@@ -43,7 +43,7 @@
     for request in list(state.requests.values()):
         attempt = request.attempt
         known = attempt and state.table.by_name.get(attempt.upstream)
-        if known and known.listed.born != attempt.born:
+        if known and known.listed.start_time != attempt.start_time:
             done.append(stalls.effects.AbortAttempt(request.number))
             end = outcomes.AttemptEnd.BROKEN
             done += outcomes.end_attempt(state, NOW, request.number, end)
--- a/sycamorefall/direct/tests/test_totals.py
+++ b/sycamorefall/direct/tests/test_totals.py
@@ -67,7 +67,9 @@
     for name in names & state.table.by_name.keys():
         upstream = state.table.by_name[name]
         floors = upstream.floor, upstream.short_floor
-        assert (upstream.others, *floors) == sum_reported(load_exchange, name)
+        assert (upstream.peer_load, *floors) == sum_reported(
+            load_exchange, name
+        )
     others = state.accounts["engine"].others if state.accounts else {}
     for team in TEAMS:
         assert others.get(team, 0) == sum_reported_team(load_exchange, team)
@@ -91,8 +93,8 @@
         now += rng.expovariate(5.0)
         load = draw_load(rng, number + rng.randrange(-2, 2))
         sender = f"front-{rng.randrange(2, 8)}"
-        born = 1 + number // 150
-        envelope = messages.Envelope(sender, born, 1, load)
+        incarnation = 1 + number // 150
+        envelope = messages.Envelope(sender, incarnation, 1, load)
         exchange.handle_load(load_exchange, state, now, envelope)
         names = {entry.upstream for entry in load.upstreams}
         if (
--- a/sycamorefall/direct/tests/test_upstreams.py
+++ b/sycamorefall/direct/tests/test_upstreams.py
@@ -112,9 +112,10 @@
     return state.table.by_name[name]
 
 
-def create_entry(name, born=0, leaving=False):
+def create_entry(name, start_time=0, leaving=False):
     return dataclasses.replace(
-        fakes.create_upstream_entry(name, leaving=leaving), born=born
+        fakes.create_upstream_entry(name, leaving=leaving),
+        start_time=start_time,
     )
 
 
@@ -148,9 +149,9 @@
 def test_restarted_process_does_not_inherit_leaving_notice():
     # Guards against a restarted upstream that never receives requests because
     # of its predecessor's notice.
-    state = fakes.create_state(listing=[create_entry("e1", born=5)])
+    state = fakes.create_state(listing=[create_entry("e1", start_time=5)])
     record_leaving(state, "e1")
-    core.apply_listing(state, 1.0, [create_entry("e1", born=9)])
+    core.apply_listing(state, 1.0, [create_entry("e1", start_time=9)])
     assert upstreams.is_usable(find_upstream(state, "e1"), 1.0)
 
 
@@ -164,14 +165,14 @@
     assert not state.table.notices
 
 
-@pytest.mark.parametrize("verdict", list(dialects.Verdict))
-def test_leaving_notice_is_read_from_any_answer_of_the_upstream(verdict):
+@pytest.mark.parametrize("outcome", list(dialects.ResponseOutcome))
+def test_leaving_notice_is_read_from_any_answer_of_the_upstream(outcome):
     # Guards against missing a notice in a refusal or failure, and against
     # attributing one from another process at the address to the upstream.
     state = fakes.create_state()
     number, sent = fakes.submit_request(state, 0.0, "draft")
-    head = dialects.AnswerHead(verdict, 200, (), leaving=True)
-    other_process = verdict is dialects.Verdict.OTHER_INCARNATION
+    head = dialects.ResponseHead(outcome, 200, (), leaving=True)
+    other_process = outcome is dialects.ResponseOutcome.OTHER_INCARNATION
     assert outcomes.record_leaving(state, 0.1, number, head) != other_process
     usable = upstreams.is_usable(find_upstream(state, sent.upstream), 0.1)
     assert usable == other_process
@@ -203,12 +204,12 @@
 def test_relisted_process_keeps_retry_delay_and_restarted_one_does_not():
     # Guards against a retry delay that is lost while the platform's store is
     # unavailable, and against one that a restarted process inherits.
-    state = fakes.create_state(listing=[create_entry("e1", born=5)])
+    state = fakes.create_state(listing=[create_entry("e1", start_time=5)])
     record_retry_delay(state, "e1", 60.0)
     core.apply_listing(state, 1.0, [])
-    core.apply_listing(state, 30.0, [create_entry("e1", born=5)])
+    core.apply_listing(state, 30.0, [create_entry("e1", start_time=5)])
     assert not upstreams.is_usable(find_upstream(state, "e1"), 30.0)
-    core.apply_listing(state, 31.0, [create_entry("e1", born=9)])
+    core.apply_listing(state, 31.0, [create_entry("e1", start_time=9)])
     assert upstreams.is_usable(find_upstream(state, "e1"), 31.0)
 
 
@@ -278,14 +279,14 @@
     assert all(one.retry_after >= 4.9 for one in refused)
 
 
-@pytest.mark.parametrize("verdict", list(dialects.Verdict))
-def test_retry_delay_of_another_process_is_ignored(verdict):
+@pytest.mark.parametrize("outcome", list(dialects.ResponseOutcome))
+def test_retry_delay_of_another_process_is_ignored(outcome):
     # Guards against attributing a retry delay from another process at the
     # address to the upstream.
     state = fakes.create_state()
     number, sent = fakes.submit_request(state, 0.0, "draft")
-    head = dialects.AnswerHead(verdict, 503, (), retry_after=2.0)
-    other_process = verdict is dialects.Verdict.OTHER_INCARNATION
+    head = dialects.ResponseHead(outcome, 503, (), retry_after=2.0)
+    other_process = outcome is dialects.ResponseOutcome.OTHER_INCARNATION
     assert (
         outcomes.record_retry_delay(state, 0.1, number, head) != other_process
     )
--- a/sycamorefall/direct/tests/test_urgency.py
+++ b/sycamorefall/direct/tests/test_urgency.py
@@ -31,7 +31,7 @@
 def queue_prefill(state, seconds):
     """Sets the prefill queue that other routers have at the engine."""
     engine = state.table.by_name["e1"]
-    engine.others.unread = int(seconds * engine.prefill_rate)
+    engine.peer_load.unread = int(seconds * engine.prefill_rate)
 
 
 def test_patient_requests_leave_urgent_ones_room_in_the_queue():
--- a/sycamorefall/direct/totals.py
+++ b/sycamorefall/direct/totals.py
@@ -393,7 +393,7 @@
     for name in names & state.table.by_name.keys():
         upstream = state.table.by_name[name]
         total = totals.loads.get(name, _NO_LOAD)
-        upstream.others = upstreams.Load(
+        upstream.peer_load = upstreams.Load(
             total.running, total.unread, total.memory
         )
         upstream.floor = totals.floors.get(name, math.inf)
--- a/sycamorefall/direct/upstreams.py
+++ b/sycamorefall/direct/upstreams.py
@@ -80,11 +80,11 @@
 
     Attributes:
         name: The upstream's incarnation.
-        born: Start time of the process; see `UpstreamEntry`.
+        start_time: Start time of the process; see `UpstreamEntry`.
     """
 
     name: str
-    born: int
+    start_time: int
 
 
 @dataclasses.dataclass(slots=True)
@@ -130,7 +130,7 @@
         slots: Number of requests that the upstream runs concurrently.
         leaving: Whether the upstream is to get no new requests.
         listed_revision: Platform revision at which the entry was created.
-        born: Start time of the upstream's process by its own clock; 0 if
+        start_time: Start time of the upstream's process by its own clock; 0 if
             unknown. Distinguishes processes that use the same name.
     """
 
@@ -141,7 +141,7 @@
     slots: int
     leaving: bool
     listed_revision: int = 0
-    born: int = 0
+    start_time: int = 0
 
 
 @dataclasses.dataclass(slots=True)
@@ -167,8 +167,9 @@
 
     Attributes:
         listed: The upstream's entry in the platform's listing.
-        own: Load of the requests that this router sent.
-        others: Load of the requests that other routers sent, as last reported.
+        own_load: Load of the requests that this router sent.
+        peer_load: Load of the requests that other routers sent, as last
+            reported.
         floor: Fewest cost units that a team has received lately whose requests
             wait for this upstream at another router; infinity if none waits.
         short_floor: Like `floor`, but only of teams that recently had a request
@@ -185,8 +186,8 @@
     """
 
     listed: UpstreamEntry
-    own: Load = dataclasses.field(default_factory=Load)
-    others: Load = dataclasses.field(default_factory=Load)
+    own_load: Load = dataclasses.field(default_factory=Load)
+    peer_load: Load = dataclasses.field(default_factory=Load)
     floor: float = math.inf
     short_floor: float = math.inf
     idle_since: float = math.inf
@@ -205,17 +206,17 @@
     @property
     def running(self) -> int:
         """Number of requests in progress, sent by all routers."""
-        return self.own.running + self.others.running
+        return self.own_load.running + self.peer_load.running
 
     @property
     def unread(self) -> int:
         """Prompt tokens yet to be processed, sent by all routers."""
-        return self.own.unread + self.others.unread
+        return self.own_load.unread + self.peer_load.unread
 
     @property
     def memory(self) -> int:
         """KV cache tokens of the requests in progress, sent by all routers."""
-        return self.own.memory + self.others.memory
+        return self.own_load.memory + self.peer_load.memory
 
 
 @dataclasses.dataclass(slots=True)
@@ -284,8 +285,11 @@
     dropped = drop_missing(table, now)
     for name, entry in listed.items():
         known = table.by_name.get(name)
-        if known is None or known.listed.born != entry.born:
-            notice = table.notices.get(ProcessKey(name, entry.born)) or Notice()
+        if known is None or known.listed.start_time != entry.start_time:
+            notice = (
+                table.notices.get(ProcessKey(name, entry.start_time))
+                or Notice()
+            )
             table.by_name[name] = Upstream(
                 entry, last_byte_at=now, notice=notice
             )
@@ -301,7 +305,8 @@
 def _drop_notices(table: UpstreamTable, now: float) -> None:
     """Drops expired notices of unlisted processes."""
     listed = {
-        ProcessKey(name, one.listed.born) for name, one in table.by_name.items()
+        ProcessKey(name, one.listed.start_time)
+        for name, one in table.by_name.items()
     }
     table.notices = {
         process: notice
@@ -362,7 +367,11 @@
     Such an entry was written by another program. If it were taken for a
     restart of the upstream, all requests in progress there would be aborted.
     """
-    return known is not None and known.listed.born > 0 and not entry.born
+    return (
+        known is not None
+        and known.listed.start_time > 0
+        and not entry.start_time
+    )
 
 
 def _index_by_service(table: UpstreamTable) -> None:
@@ -476,7 +485,7 @@
     table: UpstreamTable, now: float, upstream: Upstream
 ) -> Notice:
     listed = upstream.listed
-    table.notices[ProcessKey(listed.name, listed.born)] = upstream.notice
+    table.notices[ProcessKey(listed.name, listed.start_time)] = upstream.notice
     upstream.notice.updated_at = now
     return upstream.notice
 
--- a/sycamorefall/platform/headers.py
+++ b/sycamorefall/platform/headers.py
@@ -75,19 +75,19 @@
         read_request=_read_request,
         read_request_id=lambda call: call.headers.get(_ID, ""),
         write_headers=_write_headers,
-        is_ours=_is_ours,
-        read_answer=_read_answer,
+        is_matching_response=_is_ours,
+        read_response_head=_read_answer,
     )
 
 
 def _read_request(
     call: transport.IncomingCall,
-) -> result.Result[state_module.NewRequest, str]:
+) -> result.Result[state_module.IncomingRequest, str]:
     headers = call.headers
     try:
         left = headers.get(_TIME_LEFT)
         return result.Success(
-            state_module.NewRequest(
+            state_module.IncomingRequest(
                 host=headers.get("Host", ""),
                 path=call.path,
                 key=headers.get(_KEY, "").strip(),
@@ -163,9 +163,9 @@
 
 def _read_answer(
     status: int, headers: list[tuple[str, str]]
-) -> dialects.AnswerHead:
+) -> dialects.ResponseHead:
     named = dict(headers)
-    verdict = _judge(status, named)
+    outcome = _judge(status, named)
     passed = tuple(
         (name.title(), value)
         for name, value in headers
@@ -173,7 +173,7 @@
     )
     leaving = named.get(_LEAVING.lower()) == "1"
     retry_after = _read_retry_after(named) if status == _UNAVAILABLE else None
-    return dialects.AnswerHead(verdict, status, passed, leaving, retry_after)
+    return dialects.ResponseHead(outcome, status, passed, leaving, retry_after)
 
 
 def _read_retry_after(named: dict[str, str]) -> float | None:
@@ -196,14 +196,14 @@
     return None
 
 
-def _judge(status: int, named: dict[str, str]) -> dialects.Verdict:
+def _judge(status: int, named: dict[str, str]) -> dialects.ResponseOutcome:
     if status == _MISDIRECTED:
-        return dialects.Verdict.OTHER_INCARNATION
+        return dialects.ResponseOutcome.OTHER_INCARNATION
     if _NOT_RUN.lower() in named:
-        return dialects.Verdict.NOT_RUN
+        return dialects.ResponseOutcome.NOT_RUN
     signed = _STAMP.lower() in named and "content-encoding" not in named
     if 200 <= status < 300 and signed:
-        return dialects.Verdict.SUCCESS
+        return dialects.ResponseOutcome.SUCCESS
     if status < 300 or status in _PROMISES:
-        return dialects.Verdict.INVALID
-    return dialects.Verdict.FAILURE
+        return dialects.ResponseOutcome.INVALID
+    return dialects.ResponseOutcome.FAILURE
--- a/sycamorefall/platform/tests/test_translation.py
+++ b/sycamorefall/platform/tests/test_translation.py
@@ -234,28 +234,28 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "named", "verdict"),
+    ("status", "named", "outcome"),
     [
-        (200, {"server-stamp": "s"}, dialects.Verdict.SUCCESS),
-        (200, {}, dialects.Verdict.INVALID),
+        (200, {"server-stamp": "s"}, dialects.ResponseOutcome.SUCCESS),
+        (200, {}, dialects.ResponseOutcome.INVALID),
         (
             200,
             {"server-stamp": "s", "content-encoding": "gzip"},
-            dialects.Verdict.INVALID,
+            dialects.ResponseOutcome.INVALID,
         ),
-        (500, {"server-stamp": "s"}, dialects.Verdict.FAILURE),
-        (503, {"not-executed": "1"}, dialects.Verdict.NOT_RUN),
-        (429, {"server-stamp": "s"}, dialects.Verdict.INVALID),
-        (421, {}, dialects.Verdict.OTHER_INCARNATION),
-        (302, {}, dialects.Verdict.FAILURE),
+        (500, {"server-stamp": "s"}, dialects.ResponseOutcome.FAILURE),
+        (503, {"not-executed": "1"}, dialects.ResponseOutcome.NOT_RUN),
+        (429, {"server-stamp": "s"}, dialects.ResponseOutcome.INVALID),
+        (421, {}, dialects.ResponseOutcome.OTHER_INCARNATION),
+        (302, {}, dialects.ResponseOutcome.FAILURE),
     ],
 )
-def test_answer_is_judged_by_what_it_promises(status, named, verdict):
+def test_answer_is_judged_by_what_it_promises(status, named, outcome):
     # An upstream's refusal is passed off as "not run" though it doesn't say
     # so, or a proxy's page as its answer: a caller would act on either.
     dialect = headers.create_dialect()
-    head = dialect.read_answer(status, list(named.items()))
-    assert head.verdict is verdict
+    head = dialect.read_response_head(status, list(named.items()))
+    assert head.outcome is outcome
 
 
 @pytest.mark.parametrize("status", [200, 500, 503, 421, 302])
@@ -263,9 +263,11 @@
     # Guards against missing a shutdown notice in an unsuccessful response.
     named = {"server-leaving": "1", "attempt-id": "1"}
     dialect = headers.create_dialect()
-    assert dialect.read_answer(status, list(named.items())).leaving
-    assert not dialect.read_answer(status, [("server-leaving", "0")]).leaving
-    assert not dialect.read_answer(status, []).leaving
+    assert dialect.read_response_head(status, list(named.items())).leaving
+    assert not dialect.read_response_head(
+        status, [("server-leaving", "0")]
+    ).leaving
+    assert not dialect.read_response_head(status, []).leaving
 
 
 @pytest.mark.parametrize(
@@ -288,5 +290,5 @@
 def test_retry_after_is_read_only_from_503(status, text, retry_after):
     # Guards against an invalid value raising or a valid one being ignored.
     dialect = headers.create_dialect()
-    head = dialect.read_answer(status, [("retry-after", text)])
+    head = dialect.read_response_head(status, [("retry-after", text)])
     assert head.retry_after == retry_after
