--- a/sycamorefall/platform/tests/test_translation.py
+++ b/sycamorefall/platform/tests/test_translation.py
@@ -213,7 +213,9 @@
     assert "good" in [one.name for one in listing.values()]
     assert len(listing) + len(refused) == len(records)
     for one in listing.values():
-        assert one.slots >= 1 and one.born >= 0 and one.service is not None
+        assert (
+            one.slots >= 1 and one.start_time >= 0 and one.service is not None
+        )
 
 
 @given(
