--- a/benchmarks/direct.py
+++ b/benchmarks/direct.py
@@ -325,7 +325,7 @@
         ),
         "find what is due next": lambda: core.find_next_due(state),
         "the same, nothing runs": lambda: core.find_next_due(idle),
-        "check silence": lambda: stalls.handle_stalls(state, NOW),
+        "check for stalls": lambda: stalls.handle_stalls(state, NOW),
         f"apply a catalog, {size.waiting} teams wait": apply_catalog,
     }
 
--- a/sycamorefall/direct/__init__.py
+++ b/sycamorefall/direct/__init__.py
@@ -2,5 +2,5 @@
 
 The decision logic does no I/O. `core` handles new requests and timers,
 `outcomes` handles how attempts at upstreams ended, and both return the effects
-that `relay` and `daemon` carry out.
+that `relay` and `daemon` perform.
 """
--- a/sycamorefall/direct/backlog.py
+++ b/sycamorefall/direct/backlog.py
@@ -48,7 +48,7 @@
     """Lists the backlogs to log: the largest ones and the least served team's.
 
     Args:
-        state: State of the router.
+        state: The router's state.
         now: Current time of this process's clock.
 
     Returns:
--- a/sycamorefall/direct/budget.py
+++ b/sycamorefall/direct/budget.py
@@ -23,9 +23,9 @@
 just started or is partitioned from all others would otherwise use all of it."""
 
 SAFETY_FACTOR = 0.8
-"""Fraction of the allowance that is used. Requests are counted here when they
-arrive, but elsewhere when they are sent, and windows elsewhere begin at any
-time. The edges of the windows therefore differ by up to a bucket at each
+"""Fraction of the allowance that is used. This router counts requests when they
+arrive. Outside of it they are counted when they are sent, in windows that begin
+at any time. The edges of the windows therefore differ by up to a bucket at each
 end."""
 
 
--- a/sycamorefall/direct/catalog.py
+++ b/sycamorefall/direct/catalog.py
@@ -71,7 +71,7 @@
         kind: Whether requests may be retried, and how they are answered.
         shares: Services among which the requests are split.
         timeout: Seconds after which a request fails.
-        target_latency: Seconds within which an answer, or a stream's first
+        target_latency: Seconds within which a response, or a stream's first
             event, is on time.
         max_upstreams: Maximum number of upstreams that may run one request.
         public: Whether requests need no key.
--- a/sycamorefall/direct/core.py
+++ b/sycamorefall/direct/core.py
@@ -60,7 +60,7 @@
     route may be gone.
 
     Args:
-        state: The router's state; modified.
+        state: The router's state; changed.
         now: Current time of this process's clock.
         new: The configuration.
 
@@ -101,7 +101,7 @@
     """Replaces the listing of upstreams.
 
     Args:
-        state: The router's state; modified.
+        state: The router's state; changed.
         now: Current time of this process's clock.
         listing: All upstreams that the platform lists.
 
@@ -118,7 +118,7 @@
     """Records that the configuration and the listing were current at a time.
 
     Args:
-        state: The router's state; modified.
+        state: The router's state; changed.
         now: Current time of this process's clock.
         proven_at: Time at which both were proven to be the newest.
     """
@@ -127,7 +127,7 @@
 
 
 def begin_stop(state: state_module.DirectState, now: float) -> None:
-    """Makes the router report that it is not ready; it goes on serving."""
+    """Begins a graceful stop: reports not ready, but keeps serving requests."""
     state.stop.since = now
 
 
@@ -182,12 +182,12 @@
     """Sends, enqueues or refuses a caller's request.
 
     Args:
-        state: The router's state; modified.
+        state: The router's state; changed.
         now: Current time of this process's clock.
         incoming: The request.
 
     Returns:
-        The request's number and the effects to carry out.
+        The request's number and the effects to perform.
     """
     state.last_number += 1
     number = state.last_number
@@ -291,7 +291,7 @@
     """Discards a request whose caller has disconnected.
 
     Args:
-        state: The router's state; modified.
+        state: The router's state; changed.
         number: The request; ignored if it has ended already.
         now: Current time of this process's clock.
 
@@ -312,11 +312,11 @@
     """Handles expired requests, stalled upstreams and waiting requests.
 
     Args:
-        state: The router's state; modified.
+        state: The router's state; changed.
         now: Current time of this process's clock.
 
     Returns:
-        The effects to carry out.
+        Effects to perform.
     """
     pending = _expire_requests(state, now)
     if now >= quarantine.find_next_scan(state.quarantine):
@@ -350,7 +350,7 @@
 
 
 def find_next_due(state: state_module.DirectState) -> float:
-    """Computes the time at which `run_timers` next has work; inf if never."""
+    """Computes when `run_timers` next has work; infinity if never."""
     due = state.deadlines[0][0] if state.deadlines else float("inf")
     if _is_any_request_waiting(state):
         due = min(due, _compute_next_dispatch(state))
--- a/sycamorefall/direct/crash_exchange.py
+++ b/sycamorefall/direct/crash_exchange.py
@@ -113,7 +113,7 @@
         pending: Evidence to be sent; changed.
         exchange: The other routers as this one knows them.
         state: The router's state; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
 
     Returns:
         The messages with their receivers.
@@ -245,7 +245,7 @@
         pending: Evidence to be sent; changed.
         exchange: The other routers as this one knows them.
         state: The router's state; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         envelope: Message of type `CrashReports` with its sender.
 
     Returns:
--- a/sycamorefall/direct/crashes.py
+++ b/sycamorefall/direct/crashes.py
@@ -44,11 +44,11 @@
 
     Args:
         state: The router's state; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         number: Number of the request, whose attempt has not been ended yet.
 
     Returns:
-        Effects to be carried out.
+        Effects to perform.
     """
     request = state.requests.get(number)
     if request is None or request.attempt is None:
@@ -87,12 +87,12 @@
 
     Args:
         state: The router's state; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         check: The check.
         reachability: The result.
 
     Returns:
-        Effects to be carried out.
+        Effects to perform.
     """
     known = state.disconnects.get(check.crash)
     if known is None:
@@ -139,11 +139,11 @@
 
     Args:
         state: The router's state; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         added: Fingerprints of the newly quarantined requests.
 
     Returns:
-        Effects to be carried out.
+        Effects to perform.
     """
     added = list(added)
     if not added:
--- a/sycamorefall/direct/daemon.py
+++ b/sycamorefall/direct/daemon.py
@@ -65,7 +65,7 @@
         ticker: Runs the timers.
         replicator: Replicates the records that the platform publishes.
         next_stop_check_at: Time of the next check whether a stopping process
-            may exit; inf if it isn't stopping.
+            may exit; infinity if it isn't stopping.
         next_backlog_log_at: Time from which on waiting requests are logged
             again.
         crash_exchange: Exchange of crash reports with the other routers.
--- a/sycamorefall/direct/dispatching.py
+++ b/sycamorefall/direct/dispatching.py
@@ -108,7 +108,7 @@
     """Sends a request if an upstream can take it now.
 
     Args:
-        state: State of the router; changed.
+        state: The router's state; changed.
         now: Current time of this process's clock.
         request: A request without an attempt in progress.
         group: Engines of the service with a free slot, if they were measured
@@ -149,7 +149,7 @@
     now: float,
     request: state_module.Request,
 ) -> bool:
-    """Tells whether all upstreams' retry delays outlast a request's wait."""
+    """Returns whether all upstreams' retry delays outlast a request's wait."""
     end = upstreams.find_retry_delay_end(state.table, now, request.service)
     return end is not None and end >= request.give_up_at
 
@@ -157,7 +157,7 @@
 def is_quarantined(
     state: state_module.DirectState, request: state_module.Request
 ) -> bool:
-    """Tells whether a request is quarantined, so no upstream may get it."""
+    """Returns whether a request is quarantined, so no upstream may get it."""
     known = state.quarantine
     return bool(known.quarantined) and quarantine.is_quarantined(
         known, fingerprints.get_fingerprint(request)
@@ -172,7 +172,7 @@
     """Collects the data behind a refusal, for its log record.
 
     Args:
-        state: State of the router.
+        state: The router's state.
         now: Current time of this process's clock.
         request: A request without an attempt in progress.
 
@@ -331,7 +331,7 @@
     see `MAX_DISPATCH_SHARE`.
 
     Args:
-        state: State of the router; changed.
+        state: The router's state; changed.
         now: Current time of this process's clock.
 
     Returns:
--- a/sycamorefall/direct/effects.py
+++ b/sycamorefall/direct/effects.py
@@ -33,8 +33,9 @@
         time_left: Seconds that the upstream may take.
         team: Name of the caller's team; empty if the route needs no key.
         fresh: Whether to use a new connection.
-        keep: Most idle connections to the upstream that may stay open after
-            the request; None if the service states no connection limit.
+        keep: Maximum number of idle connections to the upstream that may stay
+            open after the request; None if the service states no connection
+            limit.
         running: Requests that the upstream runs, including this one.
         reads: Prompt tokens that the engine has to process for this request.
         unread: Prompt tokens that the engine has to process for all requests,
@@ -46,9 +47,9 @@
             of them itself.
         fetches: Tokens that the upstream is expected to fetch from there.
         cost: Cost units that the team is charged.
-        received: Cost units that the team received lately of all routers,
+        received: Cost units that the team recently received from all routers,
             before this charge.
-        floor: Least cost units received lately by a team that waits for the
+        floor: Fewest cost units recently received by a team that waits for the
             upstream at another router; None if no team does.
         idle: Whether the upstream had almost nothing to do.
     """
@@ -92,10 +93,10 @@
         obstacles: Number of upstreams that could not take the request, by
             reason; see `eligibility.Obstacle`.
         cost: Cost units that the team would have been charged.
-        received: Cost units that the team received lately of all routers.
-        most: Most cost units that any team received lately.
-        floor: Least cost units received lately by a team that waits for one of
-            the upstreams at another router; None if no team does.
+        received: Cost units that the team recently received from all routers.
+        most: Most cost units that any team recently received.
+        floor: Fewest cost units recently received by a team that waits for one
+            of the upstreams at another router; None if no team does.
         routers: Number of routers whose load was counted, including this one.
         configuration: Version of the configuration in force.
         listing_age: Seconds since the listing of upstreams was last proven to
--- a/sycamorefall/direct/eligibility.py
+++ b/sycamorefall/direct/eligibility.py
@@ -287,7 +287,7 @@
 def exceeds_reread_limit(
     upstream: Upstream, constraints: PlacementConstraints, is_home: bool
 ) -> bool:
-    """Tells whether a request would repeat too much prefill at an engine.
+    """Returns whether a request would repeat too much prefill at an engine.
 
     Args:
         upstream: The engine.
@@ -393,7 +393,7 @@
     constraints: PlacementConstraints,
     is_home: bool,
 ) -> bool:
-    """Tells whether a request could be sent to an engine with a lower load.
+    """Returns whether a request could be sent to an engine with a lower load.
 
     The other routers leave awaited engines to the request's team. A request
     that belongs at another engine, or that would be late even at an idle one,
--- a/sycamorefall/direct/exchange.py
+++ b/sycamorefall/direct/exchange.py
@@ -313,7 +313,7 @@
 
     Args:
         exchange: The exchange of this router; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         envelope: The message, with names that are not resolved.
     """
     load = envelope.message
@@ -322,7 +322,7 @@
 
 
 def is_available(state: state_module.DirectState, now: float) -> bool:
-    """Tells whether this router can be a delegate or a reader.
+    """Returns whether this router can be a delegate or a reader.
 
     A router that is stopping or overloaded can't.
     """
@@ -369,7 +369,7 @@
     Args:
         exchange: The exchange of this router; changed.
         state: The router's state; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         envelope: A `RouterLoad` and its sender.
 
     Returns:
@@ -407,7 +407,7 @@
 
 
 def _receives_domain_loads(exchange: Exchange) -> bool:
-    """Tells whether this router is a delegate that receives domain loads."""
+    """Returns whether this router is a delegate that receives domain loads."""
     scope = LoadScope.DOMAIN
     keys = totals_module.list_source_keys(exchange.totals, scope)
     return exchange.role.part is not None and bool(keys)
@@ -531,7 +531,7 @@
     Args:
         exchange: The exchange of this router; changed.
         state: The router's state; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
 
     Returns:
         The messages with their receivers.
@@ -579,7 +579,7 @@
     Args:
         exchange: The exchange of this router; changed.
         state: The router's state; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
 
     Returns:
         A full update if one is due, otherwise a delta.
@@ -793,7 +793,7 @@
 def is_delegate(
     exchange: Exchange, state: state_module.DirectState, now: float
 ) -> bool:
-    """Tells whether this router is a delegate of its failure domain.
+    """Returns whether this router is a delegate of its failure domain.
 
     If no router is available as a delegate, all of them are delegates.
     """
--- a/sycamorefall/direct/fair_queue.py
+++ b/sycamorefall/direct/fair_queue.py
@@ -215,7 +215,7 @@
 
 
 def was_refused_recently(accounts: TeamAccounts, now: float, team: str) -> bool:
-    """Tells whether this router refused a team within `REFUSAL_RETENTION`.
+    """Returns whether this router refused a team within `REFUSAL_RETENTION`.
 
     Example:
         >>> accounts = TeamAccounts()
--- a/sycamorefall/direct/outcomes.py
+++ b/sycamorefall/direct/outcomes.py
@@ -173,7 +173,7 @@
 
     Args:
         state: The router's state; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         number: Number of a request that is about to be sent.
 
     Returns:
@@ -194,7 +194,7 @@
 
     Args:
         state: The router's state; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         number: Number of the request that is answered.
         first: Whether a part of the response can be forwarded to the caller.
             The first call of an attempt with True starts its response.
@@ -226,7 +226,7 @@
 
     Args:
         state: The router's state; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         number: Number of the request that is answered; its attempt has not
             ended.
         head: The head of the response.
@@ -254,7 +254,7 @@
 
     Args:
         state: The router's state; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         number: Number of the request that is answered; its attempt has not
             ended.
         head: The head of the response.
@@ -350,12 +350,12 @@
 
     Args:
         state: The router's state; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         number: Number of the request.
         end: How the attempt ended.
 
     Returns:
-        Effects to be carried out.
+        Effects to perform.
     """
     request = state.requests.get(number)
     if request is None or request.attempt is None:
--- a/sycamorefall/direct/overload.py
+++ b/sycamorefall/direct/overload.py
@@ -60,7 +60,7 @@
     Therefore one pass counts as at most half of `OVERLOAD_THRESHOLD`.
 
     Args:
-        overload: Recent lateness; modified.
+        overload: Recent lateness; changed.
         now: Current time of this process's clock.
         late: Seconds by which a timer ran too late.
 
@@ -85,5 +85,5 @@
 
 
 def is_overloaded(overload: Overload, now: float) -> bool:
-    """Tells whether the balancer should send new callers to other routers."""
+    """Returns whether the balancer should send new callers to other routers."""
     return now < overload.overloaded_until
--- a/sycamorefall/direct/own_load.py
+++ b/sycamorefall/direct/own_load.py
@@ -41,7 +41,7 @@
 
     Args:
         state: The router's state.
-        name: The upstream's incarnation.
+        name: Name of the upstream.
         floor: See `messages.UpstreamLoad`.
         short_floor: See `messages.UpstreamLoad`.
     """
--- a/sycamorefall/direct/peers.py
+++ b/sycamorefall/direct/peers.py
@@ -66,7 +66,7 @@
 
 
 def is_live(peer: Peer, now: float) -> bool:
-    """Tells whether a message was received within `PEER_TIMEOUT`."""
+    """Returns whether a message was received within `PEER_TIMEOUT`."""
     return now - peer.heard_at < PEER_TIMEOUT
 
 
@@ -77,7 +77,7 @@
 
     Args:
         peers: The other routers by VM name; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         envelope: A `RouterLoad` and its sender.
 
     Returns:
@@ -98,7 +98,7 @@
 
 
 def is_delegate(peer: Peer, now: float) -> bool:
-    """Tells whether a router recently sent a message as a delegate."""
+    """Returns whether a router recently sent a message as a delegate."""
     return now - peer.delegate_heard_at < PEER_TIMEOUT
 
 
@@ -115,7 +115,7 @@
 
     Args:
         peers: The other routers by VM name; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         own: VM name of this router.
         routers: The routers that were named.
     """
@@ -155,7 +155,7 @@
 
     Args:
         peers: The other routers by VM name.
-        now: This process's time.
+        now: Current time of this process's clock.
         domain: The failure domain.
         own: VM name and capacity of this router, if it is to be ranked too.
 
--- a/sycamorefall/direct/placement_constraints.py
+++ b/sycamorefall/direct/placement_constraints.py
@@ -31,7 +31,7 @@
     """Computes under which conditions a request may be sent now.
 
     Args:
-        state: State of the router.
+        state: The router's state.
         now: Current time of this process's clock.
         request: A request without an attempt in progress.
     """
@@ -76,7 +76,7 @@
 
 
 def _has_waited_long(request: state_module.Request, now: float) -> bool:
-    """Tells whether a request has waited long enough to leave its homes.
+    """Returns whether a request has waited long enough to leave its homes.
 
     It may then have its shared parts computed again on another engine if its
     team is underserved. Otherwise a team whose homes are all full would get
--- a/sycamorefall/direct/prompts.py
+++ b/sycamorefall/direct/prompts.py
@@ -89,7 +89,7 @@
     """Counts a use of a shared part.
 
     Args:
-        usage: Use counts; changed.
+        usage: Use counts of parts; changed.
         now: Current time of this process's clock.
         key: Key of the part; an empty key is not counted.
 
--- a/sycamorefall/direct/quarantine.py
+++ b/sycamorefall/direct/quarantine.py
@@ -51,7 +51,7 @@
     """A crashed process of an upstream.
 
     Attributes:
-        upstream: The upstream's incarnation.
+        upstream: The upstream's name.
         start_time: When the process started; see `upstreams.UpstreamEntry`.
     """
 
@@ -145,7 +145,7 @@
 
     Args:
         quarantine: The suspects; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         evidence: The evidence.
 
     Returns:
@@ -163,18 +163,18 @@
     return new, added
 
 
-def _add_piece(quarantine: Quarantine, one: Evidence) -> bool:
+def _add_piece(quarantine: Quarantine, piece: Evidence) -> bool:
     """Adds a piece of evidence; returns whether it was new."""
-    suspect = quarantine.suspects.get(one.fingerprint)
+    suspect = quarantine.suspects.get(piece.fingerprint)
     if suspect is None:
-        suspect = quarantine.suspects[one.fingerprint] = Suspect()
-    suspect.seen_at = max(suspect.seen_at, one.seen_at)
-    known = suspect.cleared if one.cleared else suspect.crashes
-    if one.crash in known:
+        suspect = quarantine.suspects[piece.fingerprint] = Suspect()
+    suspect.seen_at = max(suspect.seen_at, piece.seen_at)
+    known = suspect.cleared if piece.cleared else suspect.crashes
+    if piece.crash in known:
         return False
-    suspect.crashes.add(one.crash)
-    if one.cleared:
-        suspect.cleared.add(one.crash)
+    suspect.crashes.add(piece.crash)
+    if piece.cleared:
+        suspect.cleared.add(piece.crash)
     return True
 
 
--- a/sycamorefall/direct/read_schedule.py
+++ b/sycamorefall/direct/read_schedule.py
@@ -127,7 +127,7 @@
     """Creates the schedule of a process that has just started.
 
     Args:
-        now: This process's time.
+        now: Current time of this process's clock.
         seed: Seed of the random jitter.
         read_at_once: Whether the first snapshot is due now, and not after a
             random delay. True for a seed router, and for a router that has no
@@ -147,7 +147,7 @@
 
     Args:
         schedule: The schedule; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
 
     Returns:
         What to read; None if no read is due, or if one is in progress.
@@ -236,7 +236,7 @@
 
     Args:
         schedule: The schedule; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         succeeded: Whether the read was answered.
 
     Returns:
--- a/sycamorefall/direct/readers.py
+++ b/sycamorefall/direct/readers.py
@@ -118,7 +118,7 @@
 
     Args:
         readers: Subscriptions of and to this router; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         envelope: A `Subscribe` message and its sender.
 
     Returns:
@@ -161,7 +161,7 @@
 
     Args:
         readers: Subscriptions of and to this router; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         ranking: Live routers that may act as readers, by failure domain, in
             order of preference; includes this router if it may act as one.
         can_read: Whether this router's own reads of the platform succeed.
@@ -244,7 +244,7 @@
     Args:
         readers: Subscriptions of and to this router; changed. Existing
             subscriptions of the same kind are kept as they are.
-        now: This process's time.
+        now: Current time of this process's clock.
         names: Routers to subscribe to in full. This router is left out.
         changes: Routers to subscribe to for changes only, unless they are
             among `names`.
@@ -280,7 +280,7 @@
 
     Args:
         readers: Subscriptions of and to this router; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
 
     Yields:
         The name or address of a router, and whether only changes are requested
--- a/sycamorefall/direct/receiver_groups.py
+++ b/sycamorefall/direct/receiver_groups.py
@@ -55,7 +55,7 @@
 
     Full updates are sent at intervals. A delta is sent in between as soon as
     many prompt tokens were sent to engines: otherwise other routers would send
-    to the same engines within the interval, and all answers would be late.
+    to the same engines within the interval, and all responses would be late.
 
     Args:
         group: The group of receivers.
@@ -111,7 +111,7 @@
 
     Args:
         group: The group of receivers; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         unread: Total prompt tokens sent to engines so far.
 
     Returns:
--- a/sycamorefall/direct/relay.py
+++ b/sycamorefall/direct/relay.py
@@ -341,7 +341,7 @@
         ),
     )
     # Recorded again, since the VM may have been frozen until the system call;
-    # that time would count as silence of the upstream.
+    # that time would count towards a stall of the upstream.
     outcomes.record_sent(proxy.state, transport.read_clock(), number)
 
 
--- a/sycamorefall/direct/replica.py
+++ b/sycamorefall/direct/replica.py
@@ -133,7 +133,7 @@
     """Creates the empty replica of a process that has just started.
 
     Args:
-        now: This process's time.
+        now: Current time of this process's clock.
         seed: Seed of the random jitter.
         incarnation: Incarnation of this process.
         control: Address at which this process receives control messages.
@@ -172,11 +172,11 @@
 
     Args:
         replica: The replica; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         rank_routers: See `RankRouters`; called when readers are chosen.
 
     Returns:
-        Effects for the caller to carry out.
+        Effects to perform.
     """
     read_schedule, readers = replica.read_schedule, replica.readers
     effects: list[Effect] = []
@@ -210,11 +210,11 @@
 
     Args:
         replica: The replica; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         revision: The platform's revision.
 
     Returns:
-        Effects for the caller to carry out.
+        Effects to perform.
     """
     could_read = replica.read_schedule.failures == 0
     sent_at = read_schedule_module.finish_read(
@@ -236,12 +236,12 @@
 
     Args:
         replica: The replica; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         revision: Revision up to which the records include every change.
         listed: All records.
 
     Returns:
-        Effects for the caller to carry out.
+        Effects to perform.
     """
     sent_at = read_schedule_module.finish_read(
         replica.read_schedule, now, succeeded=True
@@ -260,8 +260,8 @@
 def handle_read_failure(replica: Replica, now: float) -> list[Effect]:
     """Handles a read that failed or timed out.
 
-    After the first failure in a row, subscribers are told at once that this
-    process can't read; they would wait for a proof that doesn't come.
+    After the first failure in a row, subscribers are notified at once that this
+    process can't read. Otherwise they would wait for a proof that doesn't come.
     """
     could_read = replica.read_schedule.failures == 0
     read_schedule_module.finish_read(
@@ -280,11 +280,11 @@
 
     Args:
         replica: The replica; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         envelope: The message and its sender.
 
     Returns:
-        Effects for the caller to carry out; none for a message that is not
+        Effects to perform; none for a message that is not
         about records.
     """
     sender, message = envelope.sender, envelope.message
@@ -331,9 +331,9 @@
 
     Args:
         replica: The replica; expired subscribers are removed.
-        now: This process's time.
+        now: Current time of this process's clock.
         changed: Whether the revision has changed, so that subscribers for
-            changes only are told as well.
+            changes only are notified as well.
 
     Returns:
         A message to each subscriber concerned.
@@ -414,14 +414,14 @@
 
     Args:
         replica: The replica, which has the new records already; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         proven_at: When the records were the newest; minus infinity if
             unknown.
         before: Revision of the replica before the new records.
         by_own_read: Whether this process read the records from the platform.
 
     Returns:
-        Effects for the caller to carry out.
+        Effects to perform.
     """
     revision = replica.records.revision
     if revision >= replica.announced_revision:
@@ -448,13 +448,13 @@
 
     Args:
         replica: The replica; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         proven_at: When the records were the newest.
         by_own_read: Whether a read by this process proved it; only then are
-            the subscribers told.
+            the subscribers notified.
 
     Returns:
-        Effects for the caller to carry out; none unless the proof is later
+        Effects to perform; none unless the proof is later
         than the last one.
     """
     if not read_schedule_module.record_proof(
--- a/sycamorefall/direct/replicator.py
+++ b/sycamorefall/direct/replicator.py
@@ -33,7 +33,7 @@
 
 
 class Replicator:
-    """Carries out the effects that the replica returns.
+    """Performs the effects that the replica returns.
 
     Attributes:
         replica: The records and the state that keeps them up to date.
--- a/sycamorefall/direct/service_floors.py
+++ b/sycamorefall/direct/service_floors.py
@@ -39,7 +39,7 @@
 
     Args:
         state: The router's state.
-        now: This process's time.
+        now: Current time of this process's clock.
         short: Whether only teams that had a request refused here recently
             count.
 
--- a/sycamorefall/direct/stalls.py
+++ b/sycamorefall/direct/stalls.py
@@ -37,10 +37,10 @@
 
     Args:
         state: The router's state; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
 
     Returns:
-        Effects to be carried out.
+        Effects to perform.
     """
     done = _end_attempts_at_restarted(state, now)
     running = _list_running(state)
--- a/sycamorefall/direct/state.py
+++ b/sycamorefall/direct/state.py
@@ -40,7 +40,7 @@
         host: Host header.
         path: Path without query.
         key: The caller's API key; empty if none was sent.
-        time_left: Seconds that the caller will wait for the answer; None if
+        time_left: Seconds that the caller will wait for the response; None if
             the request doesn't state them.
         prompt: Sizes and shared parts of the prompt; None if the request is not
             for an engine.
@@ -189,7 +189,7 @@
         service_queues: Waiting requests by service.
         accounts: Cost units that the teams received, by service.
         budgets: Retry budgets by service.
-        recent_targets: Latency targets requested lately, by service.
+        recent_targets: Target latencies of recent requests, by service.
         deadlines: Heap of (time, request number).
         part_usage: Decayed numbers of recent requests by shared prompt part.
         patience: Times that callers are willing to wait, by route.
@@ -200,11 +200,11 @@
         quarantine: Requests suspected of crashing upstreams.
         disconnects: Lost connections, by the process that may have crashed.
         overload: Recent lateness of the event loop.
-        routers: Number of routers heard from lately, including this one.
+        routers: Number of routers heard from recently, including this one.
         dispatch_needed: Whether capacity may have become free for a waiting
             request.
         last_dispatch_at: Time of the last try to send waiting requests.
-        min_dispatch_interval: Least seconds from that try to the next one.
+        min_dispatch_interval: Minimum seconds from that try to the next one.
         stalls_checked_at: Time of the last check for stalled upstreams.
         last_number: Number of the latest request.
     """
@@ -309,7 +309,7 @@
 def get_or_create_recent_targets(
     state: DirectState, service: str
 ) -> latency_targets_module.RecentTargets:
-    """Returns a service's recent latency targets; creates them if missing."""
+    """Returns a service's recent target latencies; creates them if missing."""
     targets = state.recent_targets.get(service)
     if targets is None:
         targets = state.recent_targets[service] = (
--- a/sycamorefall/direct/stopping.py
+++ b/sycamorefall/direct/stopping.py
@@ -22,7 +22,7 @@
 accepted 3.2 s after the signal doesn't end before the process is killed."""
 
 KILL_MARGIN = 0.5
-"""Least seconds between the deadline of a request that is accepted after
+"""Minimum seconds between the deadline of a request that is accepted after
 `ACCEPT_ALL_PERIOD` and the kill of the process, for sending the response and a
 late event loop."""
 
@@ -55,7 +55,7 @@
 
 
 def may_accept(stop: Stop, now: float, deadline: float) -> bool:
-    """Tells whether a request may be accepted.
+    """Returns whether a request may be accepted.
 
     A request that arrives late in a stop must end before the process is killed.
 
@@ -77,7 +77,7 @@
 
 
 def may_end_listening(stop: Stop, now: float, last_request_at: float) -> bool:
-    """Tells whether callers use other routers, so that listening may end.
+    """Returns whether callers use other routers, so that listening may end.
 
     Args:
         stop: The stop; the signal has come.
@@ -91,10 +91,10 @@
 
 
 def may_exit(stop: Stop, now: float, quiet: bool) -> bool:
-    """Tells whether the process may exit, once it no longer listens.
+    """Returns whether the process may exit, once it no longer listens.
 
     Args:
-        stop: The stop; modified.
+        stop: The stop; changed.
         now: Current time of this process's clock.
         quiet: Whether no request and no response is in progress.
     """
--- a/sycamorefall/direct/streams.py
+++ b/sycamorefall/direct/streams.py
@@ -55,7 +55,7 @@
     r"""Adds received bytes to a stream and returns the events to forward.
 
     Args:
-        splitter: The stream; modified.
+        splitter: The stream; changed.
         data: The received bytes.
 
     Returns:
@@ -98,7 +98,7 @@
 
 
 def _is_new(splitter: EventSplitter, event: bytes) -> bool:
-    """Tells whether the caller lacks an event, and records its id if so.
+    """Returns whether the caller lacks an event, and records its id if so.
 
     A resumed stream may repeat events; an event whose decimal id is not above
     the last one is a repeat.
--- a/sycamorefall/direct/tests/simulated_replicas.py
+++ b/sycamorefall/direct/tests/simulated_replicas.py
@@ -47,8 +47,8 @@
     def put(self, key, now):
         self.revision += 1
         known = self.records.get(key)
-        made = known.created_revision if known else self.revision
-        self.records[key] = messages.Record(key, made, self.revision, b"v")
+        created = known.created_revision if known else self.revision
+        self.records[key] = messages.Record(key, created, self.revision, b"v")
         self.changed_at[self.revision] = now
 
     def delete(self, key, now):
@@ -69,7 +69,7 @@
         applied_revision: Revision of the records that it put into effect.
         read_number: Number of the latest read; answers to earlier reads are
             ignored.
-        inbox: Actions to carry out when it runs next.
+        inbox: Actions to perform when it runs next.
     """
 
     def __init__(self, fleet, name, domain, incarnation, clock_offset):
--- a/sycamorefall/direct/tests/test_backlog.py
+++ b/sycamorefall/direct/tests/test_backlog.py
@@ -13,7 +13,7 @@
     return state
 
 
-def test_line_names_the_least_served_team_beside_a_flood():
+def test_backlogs_include_the_least_served_team_during_a_flood():
     # Guards against log records that contain only the flooding team, which
     # don't explain why a small team is not served.
     state = create_full_state()
@@ -32,7 +32,7 @@
     ]
 
 
-def test_line_is_bounded_however_many_teams_wait():
+def test_number_of_logged_backlogs_is_bounded():
     # Guards against log records that grow with the number of teams.
     keys = tuple(f"team-{n}" for n in range(40))
     state = create_full_state()
@@ -42,12 +42,12 @@
     assert len(backlog.list_backlogs(state, 0.1)) == backlog.MAX_TEAMS
 
 
-def test_no_line_while_nothing_waits():
+def test_no_backlog_is_logged_while_nothing_waits():
     # Guards against records of idle routers, which would fill the log.
     assert backlog.list_backlogs(fakes.create_state(), 0.0) == []
 
 
-def test_send_says_what_its_team_had_received():
+def test_send_states_what_its_team_had_received():
     # Guards against logs from which a team's share can't be calculated.
     state = fakes.create_state()
     _, first = fakes.submit_request(state, 0.0, "draft", tokens=1000)
@@ -57,7 +57,7 @@
     assert first.idle
 
 
-def test_refusal_says_what_the_best_served_team_received():
+def test_refusal_states_what_the_best_served_team_received():
     # Guards against refusals that don't tell whether the team was underserved.
     state = create_full_state()
     accounts = state_module.get_or_create_accounts(state, "engine")
--- a/sycamorefall/direct/tests/test_fetching.py
+++ b/sycamorefall/direct/tests/test_fetching.py
@@ -47,7 +47,7 @@
     return sent
 
 
-def test_engine_without_the_part_fetches_it_from_one_that_was_sent_it():
+def test_missing_part_is_fetched_from_an_engine_that_was_sent_it():
     # Guards against repeated prefill of a part that another engine has cached.
     # If a paper's home is full, another engine gets the next request. Its
     # prefill of the paper delays its callers by 100 ms; a copy takes 13 ms.
@@ -70,7 +70,7 @@
     assert send_to(state, first).source is None
 
 
-def test_home_of_the_part_is_asked_where_no_holder_is_known():
+def test_part_is_fetched_from_its_home_if_no_holder_is_known():
     # Guards against repeated prefill after a router starts. It knows of no
     # sends yet, but the home of a part holds what other routers sent there.
     state = create_state()
@@ -80,7 +80,7 @@
     assert sent.reads == 9500, "the tokens cached at the home are not known"
 
 
-def test_engine_that_fails_is_not_asked():
+def test_nothing_is_fetched_from_a_suspended_engine():
     # Guards against a fetch from an engine that has crashed, for which the
     # target would wait in vain.
     state = create_state()
@@ -94,7 +94,7 @@
     assert send_to(state, third, parts=(("other", 9000),)).source is None
 
 
-def test_nothing_is_fetched_that_is_not_worth_it_or_not_possible():
+def test_short_parts_and_engines_without_support_are_not_fetched():
     # Guards against transfers of short parts, which delay more useful ones on
     # the same link, and against fetches by engines that don't support them.
     state = create_state()
@@ -113,7 +113,7 @@
     exchange.handle_load(load_exchange, state, now, envelope)
 
 
-def test_what_another_router_sent_is_known():
+def test_prompts_sent_by_another_router_are_counted():
     # Guards against cache estimates that ignore other routers. If several
     # routers send a paper's requests to two engines and each counts only its
     # own sends, it has the paper computed again or fetched from an engine that
@@ -136,7 +136,7 @@
     assert send_to(here, target).fetches == 9500
 
 
-def test_each_send_is_told_once_and_short_ones_are_not():
+def test_each_prompt_is_reported_once_and_short_ones_are_not():
     # Guards against control traffic that grows with the square of the request
     # rate: loads are sent many times a second and must not repeat prompts.
     state, load_exchange = create_state(), fakes.create_exchange()
@@ -150,7 +150,7 @@
     assert exchange.build_load_message(load_exchange, state, 1.0).prompts == ()
 
 
-def test_prompts_told_of_upstreams_that_are_not_known_do_no_harm():
+def test_reported_prompts_of_unknown_upstreams_are_ignored():
     # Guards against errors if another router reports a prompt at an engine
     # that is not in the local listing yet, or at an upstream that is no engine.
     state, load_exchange = create_state(), fakes.create_exchange()
@@ -166,7 +166,9 @@
     sends=strategies.lists(strategies.floats(0.0, 0.2), max_size=200),
     routers=strategies.integers(1, 370),
 )
-def test_telling_prompts_fits_the_budget_of_control_traffic(sends, routers):
+def test_reported_prompts_stay_within_the_control_traffic_budget(
+    sends, routers
+):
     # Guards against control traffic of more than 7 KB/s per router, whatever
     # the number of requests and routers. If each router reported all prompts
     # to all others, a site of 30 would need 9 KB/s for the prompts alone.
@@ -181,11 +183,11 @@
         state.placements += [placement] * 10
         load = exchange.build_load_message(load_exchange, state, now)
         size += sum(len(msgspec.msgpack.encode(one)) for one in load.prompts)
-    sent, heard = size * (routers - 1), size * (routers - 1)
-    assert sent + heard <= 5500 * (now + 1.0) + 2 * 25 * routers
+    sent, received = size * (routers - 1), size * (routers - 1)
+    assert sent + received <= 5500 * (now + 1.0) + 2 * 25 * routers
 
 
-def test_news_are_told_before_what_is_known():
+def test_newly_cached_prompts_are_reported_first():
     # Guards against a limit on reported prompts that drops new ones. An engine
     # is sent a paper for the first time while other papers are used again. If
     # the new one is not reported, no engine fetches it from there.
@@ -200,7 +202,7 @@
     assert [one.upstream for one in load.prompts] == [second.listed.name]
 
 
-def test_cache_never_counts_more_than_it_holds():
+def test_cache_estimate_never_exceeds_the_capacity():
     # Guards against a cache estimate without evictions: engines would fetch
     # parts that the source evicted long ago, and compute them after all.
     cache = caches.CacheEstimate()
@@ -209,7 +211,7 @@
         assert cache.tokens == sum(cache.parts.values()) <= 40_000
 
 
-def test_part_that_has_grown_counts_as_long_as_it_was():
+def test_grown_part_counts_with_its_cached_length():
     # Guards against an estimate that takes an engine that has the first turn
     # of a session cached to hold the tenth turn as well, though the session's
     # own part grows with each turn. The engine's queue then appears empty.
--- a/sycamorefall/direct/tests/test_loads.py
+++ b/sycamorefall/direct/tests/test_loads.py
@@ -122,7 +122,7 @@
 
 def test_long_prompt_is_reported_immediately():
     # Guards against two routers that send to the same idle engine within 0.1 s,
-    # so that both callers get their answer late. Loads were reported only at
+    # so that both callers get their response late. Loads were reported only at
     # fixed intervals.
     here, load_exchange = fakes.create_state(), fakes.create_exchange()
     there, remote_exchange = (
@@ -169,7 +169,7 @@
 @given(
     steps=strategies.lists(
         strategies.tuples(
-            strategies.sampled_from(["take", "end", "tell"]),
+            strategies.sampled_from(["submit", "end", "report"]),
             strategies.booleans(),
         ),
         max_size=60,
@@ -189,11 +189,11 @@
         running = [
             request for request in here.requests.values() if request.attempt
         ]
-        if step == "take":
+        if step == "submit":
             fakes.submit_request(here, now, "draft", tokens=2000)
         elif step == "end" and running:
             core.cancel_request(here, running[0].number, now)
-        elif step == "tell":
+        elif step == "report":
             load = exchange.build_load_message(load_exchange, here, now)
             if arrives:
                 deliver_load(
@@ -244,7 +244,7 @@
 def test_prefill_rate_ignores_prompt_answered_right_after_another():
     # A short prompt arrives when the long one before it is almost processed,
     # and is answered immediately. The prefill rate was overestimated tenfold,
-    # the engine was sent ten times too much, and a sixth of the day's answers
+    # the engine was sent ten times too much, and a sixth of the day's responses
     # were late.
     state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
     engine = state.table.by_name["e1"]
@@ -268,8 +268,8 @@
 
 
 def test_prefill_rate_follows_an_engine_that_slows_down():
-    # An engine's prefill rate drops to a third. Answers may be late only until
-    # the routers have measured a few of them.
+    # An engine's prefill rate drops to a third. Responses may be late only
+    # until the routers have measured a few of them.
     state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
     engine = state.table.by_name["e1"]
     true_rate, now = engine.prefill_rate / 3, 0.0
--- a/sycamorefall/direct/tests/test_outcomes.py
+++ b/sycamorefall/direct/tests/test_outcomes.py
@@ -187,7 +187,7 @@
 
 def test_request_that_waits_too_long_is_refused_with_retry_after():
     # Guards against holding a request until its deadline while all engines are
-    # full. It is refused with a Retry-After as soon as its latency target can't
+    # full. It is refused with a Retry-After as soon as its target latency can't
     # be met.
     state = fakes.create_state(listing=[])
     fakes.submit_request(state, 0.0, "draft")
--- a/sycamorefall/direct/tests/test_patience.py
+++ b/sycamorefall/direct/tests/test_patience.py
@@ -18,8 +18,8 @@
     callers = []
     for _ in range(count):
         patience_seconds = longest * (1 - spread * draws.random())
-        asked = 1.5 if draws.random() < returning else 0.0
-        callers.append((patience_seconds - asked, asked))
+        retried_for = 1.5 if draws.random() < returning else 0.0
+        callers.append((patience_seconds - retried_for, retried_for))
     return callers
 
 
@@ -29,39 +29,39 @@
     returning=strategies.floats(0, 0.3),
 )
 @example(seed=304, spread=0.5, returning=0.0)
-def test_new_caller_is_not_taken_for_one_that_came_back(
-    seed, spread, returning
-):
+def test_new_caller_is_not_taken_for_a_retrying_one(seed, spread, returning):
     # Guards against counting all that a caller has less time left than the most
     # patient one as elapsed time. Callers of a route may be ready to wait for 4
     # to 8 seconds. Requests of impatient new callers would then wait for an
     # idle engine and be late.
     known = patience.Patience()
     estimates = [
-        (patience.estimate_elapsed(known, left), asked)
-        for left, asked in draw_callers(seed, spread, returning)
+        (patience.estimate_elapsed(known, left), retried_for)
+        for left, retried_for in draw_callers(seed, spread, returning)
+    ]
+    overestimates = [
+        elapsed for elapsed, retried_for in estimates[100:] if not retried_for
     ]
-    overestimates = [elapsed for elapsed, asked in estimates[100:] if not asked]
     bound = 0.1 * spread * known.longest
     assert all(elapsed <= bound for elapsed in overestimates)
 
 
 @given(seed=strategies.integers(0, 1000), returning=strategies.floats(0, 0.4))
-def test_caller_that_came_back_is_told_apart_where_all_are_alike(
+def test_retrying_caller_is_detected_if_all_are_equally_patient(
     seed, returning
 ):
     # Guards against many retrying callers that go before those that can still
     # be on time. If all callers are equally patient, the elapsed time is known
     # exactly.
     known = patience.Patience()
-    for left, asked in draw_callers(seed, 0.0, returning)[:300]:
+    for left, retried_for in draw_callers(seed, 0.0, returning)[:300]:
         elapsed = patience.estimate_elapsed(known, left)
         if known.spread == 0.0 and known.longest == 8.0:
-            assert elapsed == pytest.approx(asked)
+            assert elapsed == pytest.approx(retried_for)
     assert known.spread == 0.0
 
 
-def test_caller_is_never_taken_to_have_asked_longer_than_it_may_have():
+def test_elapsed_time_of_a_retrying_caller_is_not_overestimated():
     # Guards against an overestimate for a caller that retries after 3 s. Its
     # remaining time proves only the part of the shortfall that the patience of
     # the least patient new caller does not explain.
--- a/sycamorefall/direct/tests/test_readers.py
+++ b/sycamorefall/direct/tests/test_readers.py
@@ -159,7 +159,7 @@
             assert fleet.compute_proof_age(router) < 1.4
 
 
-def test_refused_reader_tells_its_subscribers():
+def test_refused_reader_notifies_its_subscribers():
     # The platform refuses the reads of both readers of a failure domain. If
     # these only became silent, each subscriber would wait and then read the
     # platform itself. As they report the failure at once, two other routers
--- a/sycamorefall/direct/tests/test_relay.py
+++ b/sycamorefall/direct/tests/test_relay.py
@@ -80,7 +80,7 @@
 
 def test_freeze_before_the_system_call_does_not_count_as_stall(monkeypatch):
     # The VM freezes after the log record of a send and before its bytes leave.
-    # The whole freeze counted as silence of the upstream.
+    # The whole freeze counted towards a stall of the upstream.
     router = RecordingRouter(monkeypatch)
     router.freeze_in_send = FREEZE_SECONDS
     router.handle_call()
--- a/sycamorefall/direct/tests/test_shares.py
+++ b/sycamorefall/direct/tests/test_shares.py
@@ -18,20 +18,20 @@
 PARTS = (("dossier", 5000),)
 
 
-def deliver_load(state, now, sequence=1, claimed=(), **received):
+def deliver_load(state, now, sequence=1, awaited=(), **received):
     """Delivers a load message of another router.
 
     Args:
         state: Router that receives the message.
         now: Time of the delivery.
         sequence: Sequence number of the message.
-        claimed: Names of the engines awaited at the other router by a team that
+        awaited: Names of the engines awaited at the other router by a team that
             was refused there and received no service.
         **received: Cost units that the other router gave each team.
     """
     loads = tuple(
         messages.UpstreamLoad(name, 0, 0, 0, floor=0, short_floor=0)
-        for name in claimed
+        for name in awaited
     )
     teams = tuple(messages.TeamService(*entry) for entry in received.items())
     load = messages.RouterLoad(
@@ -63,11 +63,11 @@
     return state
 
 
-def test_flood_leaves_idle_engines_to_a_team_that_waits_elsewhere():
+def test_flood_leaves_idle_engines_to_a_team_that_waits_at_another_router():
     # Guards against a flood that takes each engine as soon as it is idle: the
     # flooding team waits at all routers, so one of them always comes first.
     state = create_state_with_running(2)
-    deliver_load(state, 0.0, claimed=ENGINES, mill=30_000)
+    deliver_load(state, 0.0, awaited=ENGINES, mill=30_000)
     _, sent = fakes.submit_request(state, 0.0, "draft", team="mill")
     assert sent is None
     _, sent = fakes.submit_request(state, 0.0, "draft", team="trader")
@@ -75,18 +75,18 @@
     assert [one.team for _, one in sends] == ["trader"]
 
 
-def test_idle_engine_is_left_for_a_moment_only():
+def test_idle_engine_is_reserved_only_briefly():
     # Guards against capacity that stays reserved for a request that does not
     # use it.
     state = create_state_with_running(2)
-    deliver_load(state, 0.0, claimed=ENGINES, mill=30_000)
+    deliver_load(state, 0.0, awaited=ENGINES, mill=30_000)
     fakes.submit_request(state, 0.0, "draft", team="mill")
     ((at, sent),) = run(state, 0.0, 0.39)
     assert sent.team == "mill"
     assert at <= 0.3
 
 
-def test_idle_engine_is_not_left_to_a_team_that_lacks_nothing():
+def test_idle_engine_is_not_reserved_for_a_team_without_refusals():
     # Guards against engines that are reserved for small teams whose requests
     # are all served.
     state = create_state_with_running(2)
@@ -104,7 +104,7 @@
     assert fakes.submit_request(state, 0.0, "draft", team="mill")[1]
 
 
-def test_router_tells_which_engines_a_refused_team_waits_for():
+def test_router_reports_which_engines_a_refused_team_waits_for():
     # Guards against a refused team that no other router reserves an idle engine
     # for.
     state, load_exchange = create_state_with_running(4), fakes.create_exchange()
@@ -119,7 +119,7 @@
     assert {one.short_floor for one in later.upstreams} == {0}
 
 
-def test_refusals_are_forgotten():
+def test_expired_refusals_are_dropped():
     # Guards against memory that grows with the number of teams ever refused.
     state, load_exchange = create_state_with_running(4), fakes.create_exchange()
     fakes.submit_request(state, 0.0, "draft")
@@ -131,7 +131,7 @@
     assert not state.accounts["engine"].refused_at
 
 
-def test_plain_services_keep_no_account_of_teams():
+def test_plain_services_have_no_team_accounts():
     # Guards against messages with accounts of services without engines.
     state = fakes.create_state()
     number, _ = fakes.submit_request(state, 0.0, "look", team="")
@@ -142,13 +142,13 @@
     assert (accounts.own, accounts.refused_at) == ({}, {})
 
 
-def test_team_that_is_behind_is_served_away_from_its_home():
+def test_team_below_the_idle_limit_is_served_away_from_its_home():
     # Guards against a team that settles at half of the best served team's
     # service: above that share, it could use no engine but its full home.
     for share in (0.0, 0.4, 0.5, 0.55):
         state = fakes.create_state()
-        asked = {"team": "trader", "tokens": 6000, "parts": PARTS}
-        number, sent = fakes.submit_request(state, 0.0, "draft", **asked)
+        fields = {"team": "trader", "tokens": 6000, "parts": PARTS}
+        number, sent = fakes.submit_request(state, 0.0, "draft", **fields)
         core.cancel_request(state, number, 0.0)
         home = state.table.by_name[sent.upstream]
         home.own_load.running = 4
@@ -161,27 +161,27 @@
         state.accounts["engine"].own.clear()
         deliver_load(state, 0.0, trader=int(share * 100_000), mill=100_000)
         state.accounts["engine"].max_received = 100_000
-        fakes.submit_request(state, 0.0, "draft", **asked)
+        fakes.submit_request(state, 0.0, "draft", **fields)
         ((at, sent),) = run(state, 0.0, 0.39)
         assert sent.upstream == other.listed.name
         wait = dispatching.MAX_WAIT_SHARE * 0.5
         assert at <= 0.5 * wait + 0.02
 
 
-def test_best_served_team_keeps_to_the_homes_of_its_parts():
+def test_best_served_team_stays_at_the_homes_of_its_parts():
     # Guards against parts that every engine computes once a service is full.
     state = fakes.create_state()
-    asked = {"team": "mill", "tokens": 6000, "parts": PARTS}
-    number, sent = fakes.submit_request(state, 0.0, "draft", **asked)
+    fields = {"team": "mill", "tokens": 6000, "parts": PARTS}
+    number, sent = fakes.submit_request(state, 0.0, "draft", **fields)
     core.cancel_request(state, number, 0.0)
     state.table.by_name[sent.upstream].own_load.running = 4
     deliver_load(state, 0.0, trader=10_000, mill=100_000)
     state.accounts["engine"].max_received = 100_000
-    fakes.submit_request(state, 0.0, "draft", **asked)
+    fakes.submit_request(state, 0.0, "draft", **fields)
     assert run(state, 0.0, 0.39) == []
 
 
-def test_team_is_not_charged_for_what_no_engine_began():
+def test_team_is_refunded_for_attempts_without_a_response():
     # Guards against a team that is charged for service it never received: while
     # engines are down, its requests are sent up to a dozen times.
     for end in (
@@ -199,7 +199,7 @@
         assert received == pytest.approx(0.0, abs=1.0)
 
 
-def test_team_is_charged_once_for_a_request_that_moves_from_a_silent_engine():
+def test_team_is_charged_once_for_a_request_retried_after_a_stall():
     # Guards against the same while an engine is stalled.
     state = fakes.create_state()
     number, first = fakes.submit_request(state, 0.0, "answer", tokens=9000)
@@ -214,7 +214,7 @@
     assert received <= first.cost
 
 
-def test_team_is_charged_for_an_answer_that_broke_off():
+def test_team_is_charged_for_a_broken_response():
     # Guards against free service for a team whose responses break off.
     state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
     number, sent = fakes.submit_request(state, 0.0, "draft", tokens=9000)
--- a/sycamorefall/direct/tests/test_sharing.py
+++ b/sycamorefall/direct/tests/test_sharing.py
@@ -28,7 +28,7 @@
     exchange.handle_load(load_exchange, state, now, envelope)
 
 
-def test_same_shared_part_goes_to_the_same_engine():
+def test_requests_with_the_same_shared_part_go_to_the_same_engine():
     # Guards against requests with the same shared part that go to different
     # engines: each engine computes the part again, and responses are late.
     listing = [
@@ -46,7 +46,7 @@
         assert len(chosen) == 1
 
 
-def test_part_that_many_ask_for_has_several_homes():
+def test_popular_part_has_several_homes():
     # Guards against a single home for a popular part. If one paper gets a third
     # of the traffic, its engine is full and callers are refused while all other
     # engines are idle.
@@ -65,7 +65,7 @@
     assert len(used) == 3
 
 
-def test_others_load_leaves_no_room():
+def test_engine_filled_by_other_routers_gets_no_request():
     # Guards against routers that ignore each other's load. Two of them fill an
     # engine twice, and requests wait inside it, where no team has priority.
     state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
@@ -75,7 +75,7 @@
     assert fakes.submit_request(state, 0.0, "draft")[1] is None
 
 
-def test_load_of_a_router_that_is_gone_counts_no_more():
+def test_load_of_a_lost_router_is_dropped():
     # Guards against slots that stay occupied after their router was killed.
     state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
     load_exchange = fakes.create_exchange()
@@ -86,7 +86,7 @@
     assert state.routers == 1
 
 
-def test_messages_out_of_order_and_of_an_older_process_are_dropped():
+def test_outdated_messages_and_those_of_an_older_process_are_ignored():
     # Guards against delayed and reordered control messages, which would restore
     # load that has ended, or that of a process that no longer exists.
     state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
@@ -102,7 +102,7 @@
     assert state.table.by_name["e1"].running == 0
 
 
-def test_routers_find_each_other_by_seeds_and_by_hearsay():
+def test_routers_discover_each_other_through_seeds_and_other_routers():
     # Guards against a router that no seed lists and that stays unknown: it
     # would overload engines that all other routers know to be full.
     state, load_exchange = fakes.create_state(), fakes.create_exchange()
@@ -115,7 +115,7 @@
     }
 
 
-def test_team_ahead_leaves_room_to_one_that_waits_elsewhere():
+def test_best_served_team_yields_to_one_that_waits_at_another_router():
     # Guards against a large team that one router serves at once while requests
     # of a small team wait at another, busier router.
     state, load_exchange = fakes.create_state(), fakes.create_exchange()
@@ -141,7 +141,7 @@
     assert sent.team == "trader"
 
 
-def test_idle_engine_takes_also_a_team_that_is_ahead():
+def test_idle_engine_accepts_the_best_served_team():
     # Guards against engines that stay idle while requests of any team wait.
     state, load_exchange = fakes.create_state(), fakes.create_exchange()
     demand = messages.ServiceDemand(
@@ -159,7 +159,7 @@
     assert fakes.submit_request(state, 0.0, "draft", team="mill")[1]
 
 
-def test_least_served_team_goes_first():
+def test_request_of_the_least_served_team_is_sent_first():
     # Guards against a small team's request that arrives last and waits behind
     # the flood of another team.
     state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
@@ -177,7 +177,7 @@
     assert sent.request == small
 
 
-def test_request_that_can_be_on_time_goes_before_one_that_comes_back():
+def test_request_that_can_be_on_time_is_sent_before_a_retried_one():
     # Guards against retrying callers that take the slots of requests that could
     # still be on time, so that no response is on time.
     state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
@@ -186,11 +186,11 @@
         state, 0.0, "draft", time_left=1.5, tokens=100
     )
     assert sent is None, "the engine is not idle"
-    prompt, sent = fakes.submit_request(
+    punctual, sent = fakes.submit_request(
         state, 0.0, "draft", time_left=3.0, tokens=100
     )
     (first, *_) = fakes.list_sends(core.run_timers(state, 0.02))
-    assert first.request == prompt
+    assert first.request == punctual
     assert late in state.requests
 
 
@@ -201,7 +201,7 @@
     ),
     routers=strategies.integers(1, 12),
 )
-def test_second_sends_stay_within_the_budget_of_all_routers(times, routers):
+def test_retries_stay_within_the_budget_of_all_routers(times, routers):
     # Guards against a multiple of a service's traffic while an upstream fails
     # and every router retries its requests. In every window, the retries of all
     # routers together must stay within one allowance.
@@ -228,7 +228,7 @@
         )
 
 
-def test_broken_stream_ends_with_a_whole_event_and_goes_on_after_it():
+def test_broken_stream_ends_with_a_complete_event_and_resumes_after_it():
     # Guards against an engine that stops within an event: the caller would read
     # the first event of the next engine as the rest of the broken one.
     splitter = streams.EventSplitter()
@@ -245,7 +245,7 @@
     cuts=strategies.lists(strategies.integers(0, 200), max_size=12),
     ending=strategies.sampled_from(["\n\n", "\r\n\r\n"]),
 )
-def test_events_are_the_same_however_they_are_cut(cuts, ending):
+def test_events_do_not_depend_on_packet_boundaries(cuts, ending):
     # Guards against events that are lost, repeated or changed depending on
     # where packets end.
     text = "".join(
@@ -262,7 +262,7 @@
     assert splitter.last_id == "8"
 
 
-def test_deprived_team_is_served_away_from_its_home():
+def test_underserved_team_is_served_away_from_its_home():
     # Guards against a small team whose parts all have the same home, which
     # other teams keep full. Its requests are refused for seconds although the
     # other engine has free slots. A team that is not underserved must stay at
@@ -293,7 +293,7 @@
         assert [one.team for one in sent] == expected
 
 
-def test_router_that_hears_nobody_does_not_take_the_whole_budget():
+def test_isolated_router_does_not_use_the_whole_budget():
     # Guards against a partitioned router that uses the retry allowance of all
     # routers while a service fails. As the others use their parts, the failing
     # service would get a multiple of its allowance.
@@ -308,7 +308,7 @@
     assert taken <= 56 / 4
 
 
-def test_router_that_was_replaced_is_forgotten():
+def test_replaced_router_is_forgotten():
     # Guards against a router that keeps a link to every VM that was replaced.
     # It would run out of file descriptors after some months.
     state, load_exchange = fakes.create_state(), fakes.create_exchange()
@@ -317,7 +317,7 @@
     assert "front-2" not in fakes.list_addresses(load_exchange)
 
 
-def test_flood_of_a_team_does_not_stand_in_its_own_way():
+def test_newest_requests_of_a_flooding_team_are_tried():
     # Guards against a dispatch pass that tries only the oldest requests of a
     # team, which can't be on time any more. If two teams flood one router, one
     # of them gets a third of the other's service, as its requests are sent
--- a/sycamorefall/direct/tests/test_upstreams.py
+++ b/sycamorefall/direct/tests/test_upstreams.py
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize("outcome", list(dialects.ResponseOutcome))
-def test_leaving_notice_is_read_from_any_answer_of_the_upstream(outcome):
+def test_leaving_notice_is_read_from_any_response_of_the_upstream(outcome):
     # Guards against missing a notice in a refusal or failure, and against
     # attributing one from another process at the address to the upstream.
     state = fakes.create_state()
--- a/sycamorefall/direct/tests/test_urgency.py
+++ b/sycamorefall/direct/tests/test_urgency.py
@@ -34,7 +34,7 @@
     engine.peer_load.unread = int(seconds * engine.prefill_rate)
 
 
-def test_patient_requests_leave_urgent_ones_room_in_the_queue():
+def test_patient_requests_leave_queue_capacity_for_urgent_ones():
     # Guards against patient requests that fill the prefill queues. If requests
     # due in 1.2 s queue 1 s of prefill at each engine, long prompts due in
     # 0.5 s are refused during the whole burst, though no work is more urgent.
@@ -91,7 +91,7 @@
     assert sent.request == urgent
 
 
-def test_routes_that_nobody_calls_reserve_nothing():
+def test_routes_without_traffic_do_not_limit_the_queue():
     # Guards against a published route without traffic that limits the queues.
     # A target of 20 ms would leave engines half empty.
     state = create_state()
--- a/sycamorefall/direct/totals.py
+++ b/sycamorefall/direct/totals.py
@@ -120,7 +120,7 @@
     Args:
         totals: The sums; changed.
         key: Key of the reported load.
-        now: This process's time.
+        now: Current time of this process's clock.
         envelope: A `RouterLoad` and its sender.
 
     Returns:
@@ -275,7 +275,7 @@
 
     Args:
         totals: The sums; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
 
     Returns:
         Whether any source was dropped.
--- a/sycamorefall/direct/upstream_selection.py
+++ b/sycamorefall/direct/upstream_selection.py
@@ -172,7 +172,7 @@
 
 
 def _find_obstacle(
-    one: Upstream,
+    upstream: Upstream,
     now: float,
     engine: catalog_module.Engine,
     constraints: eligibility.PlacementConstraints,
@@ -185,10 +185,10 @@
     """
     if (
         not constraints.allow_reread_if_idle
-        and eligibility.exceeds_reread_limit(one, constraints, is_home)
+        and eligibility.exceeds_reread_limit(upstream, constraints, is_home)
     ):
         return eligibility.Obstacle.READS_AGAIN
-    engine_load = eligibility.measure_engine_load(one, engine, now)
+    engine_load = eligibility.measure_engine_load(upstream, engine, now)
     return eligibility.find_obstacle(engine_load, engine, constraints, is_home)
 
 
@@ -227,16 +227,16 @@
         )
     ]
 
-    def estimate_cost(one: Upstream) -> float:
+    def estimate_cost(upstream: Upstream) -> float:
         return _estimate_cost(
-            one, now, constraints.prompt, service.engine, one in homes
+            upstream, now, constraints.prompt, service.engine, upstream in homes
         )
 
     return sorted(found, key=estimate_cost)
 
 
-def _has_room(one: Upstream) -> bool:
-    return one.running < PLAIN_QUEUE_FACTOR * one.listed.slots
+def _has_room(upstream: Upstream) -> bool:
+    return upstream.running < PLAIN_QUEUE_FACTOR * upstream.listed.slots
 
 
 def _choose_plain_upstream(
@@ -244,19 +244,23 @@
 ) -> Upstream | None:
     """Chooses the upstream of a plain service with the lowest cost."""
 
-    def estimate_cost(one: Upstream) -> float:
-        queued = PLAIN_REQUEST_SECONDS * one.running / max(1, one.listed.slots)
+    def estimate_cost(upstream: Upstream) -> float:
+        queued = (
+            PLAIN_REQUEST_SECONDS
+            * upstream.running
+            / max(1, upstream.listed.slots)
+        )
         remote = REMOTE_DOMAIN_COST * (
-            one.listed.failure_domain != failure_domain
+            upstream.listed.failure_domain != failure_domain
         )
-        failing = upstreams_module.compute_failure_rate(one, now)
+        failing = upstreams_module.compute_failure_rate(upstream, now)
         return queued + remote + FAILURE_COST * failing
 
     return min(filter(_has_room, usable), key=estimate_cost, default=None)
 
 
 def _estimate_cost(
-    one: Upstream,
+    upstream: Upstream,
     now: float,
     prompt: prompts.Prompt,
     engine: catalog_module.Engine,
@@ -264,10 +268,10 @@
 ) -> float:
     """Estimates the cost in seconds of sending a prompt to an engine."""
     own_tokens = prompt.tokens - prompt.shared
-    reread = eligibility.count_reread_tokens(one, prompt, is_home)
+    reread = eligibility.count_reread_tokens(upstream, prompt, is_home)
     prefill = (
-        one.unread + own_tokens + REREAD_WEIGHT * reread
-    ) / one.prefill_rate
-    batch = BATCH_COST * one.running / engine.slots
-    failing = upstreams_module.compute_failure_rate(one, now)
+        upstream.unread + own_tokens + REREAD_WEIGHT * reread
+    ) / upstream.prefill_rate
+    batch = BATCH_COST * upstream.running / engine.slots
+    failing = upstreams_module.compute_failure_rate(upstream, now)
     return prefill + batch + FAILURE_COST * failing
--- a/sycamorefall/direct/upstreams.py
+++ b/sycamorefall/direct/upstreams.py
@@ -79,7 +79,7 @@
     """Identifies an upstream's process across listings.
 
     Attributes:
-        name: The upstream's incarnation.
+        name: The upstream's name.
         start_time: Start time of the process; see `UpstreamEntry`.
     """
 
@@ -122,8 +122,8 @@
     """An upstream's entry in the platform's listing.
 
     Attributes:
-        name: The upstream's incarnation: an identifier that usually changes
-            with each start of its process.
+        name: Name of the upstream, which usually changes with each start of
+            its process.
         service: Service that the upstream belongs to.
         address: Address at which the upstream accepts requests.
         failure_domain: Failure domain that the upstream runs in.
@@ -170,10 +170,10 @@
         own_load: Load of the requests that this router sent.
         peer_load: Load of the requests that other routers sent, as last
             reported.
-        floor: Fewest cost units that a team has received lately whose requests
-            wait for this upstream at another router; infinity if none waits.
-        short_floor: Like `floor`, but only of teams that recently had a request
-            refused.
+        floor: Fewest cost units recently received by a team that waits for this
+            upstream at another router; infinity if no team does.
+        short_floor: Like `floor`, but only for teams that recently had a
+            request refused.
         idle_since: Time since which the upstream has been idle; infinity if it
             is not idle.
         last_byte_at: Time at which this router last received bytes from the
@@ -224,16 +224,17 @@
     """All upstreams.
 
     Attributes:
-        by_name: Upstreams by incarnation.
+        by_name: Upstreams by name.
         by_service: The same upstreams by service, without those that were
             replaced by another process at their address.
         proven_at: Latest time at which the listing was proven current; None if
             it never was.
         grace_ends_at: Time until which upstreams that are missing from the
             listing are kept.
-        missing: Incarnations that the latest listing lacks, and that are kept
-            until the grace period ends.
-        replaced: Incarnations at whose address another process answered.
+        missing: Names of the upstreams that the latest listing lacks, and that
+            are kept until the grace period ends.
+        replaced: Names of the upstreams at whose address another process
+            answered.
         notices: Notices by process, including processes that are currently
             not listed.
         rankings: Upstreams of a service in the order of preference for caching
@@ -269,11 +270,11 @@
 
     Args:
         table: The upstreams; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         listing: Entries of all upstreams that the platform lists.
 
     Returns:
-        Incarnations of the removed upstreams.
+        Names of the removed upstreams.
     """
     confirm_listing(table, now, table.proven_at)
     listed = {
@@ -325,7 +326,7 @@
 
     Args:
         table: The upstreams; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         proven_at: Time at which the listing was current; None if unknown.
     """
     known = table.proven_at
@@ -346,10 +347,10 @@
 
     Args:
         table: The upstreams; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
 
     Returns:
-        Incarnations of the dropped upstreams; empty during the grace period.
+        Names of the dropped upstreams; empty during the grace period.
     """
     if not table.missing or now < table.grace_ends_at:
         return []
@@ -379,7 +380,7 @@
 
     The entry of a crashed process stays listed for a while beside the entry of
     its successor at the same address. The successor refuses requests that are
-    addressed to the crashed incarnation.
+    addressed to the crashed process.
     """
     newest: dict[settings.Address, Upstream] = {}
     for upstream in table.by_name.values():
@@ -449,7 +450,7 @@
 
     Args:
         table: The upstreams; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         upstream: The upstream; changed.
         seconds: The delay; limited to `MAX_RETRY_DELAY`.
 
