--- a/benchmarks/direct.py
+++ b/benchmarks/direct.py
@@ -266,11 +266,11 @@
     change = busy.whole[0].message.upstreams[:3]
 
     def write_whole():
-        load_exchange.own.due = 0.0
+        load_exchange.own_group.due = 0.0
         exchange.build_load_message(load_exchange, state, NOW)
 
     def write_change():
-        load_exchange.own.due = NOW + 1.0
+        load_exchange.own_group.due = NOW + 1.0
         exchange.build_load_message(load_exchange, state, NOW)
 
     def take_whole():
--- a/sycamorefall/direct/eligibility.py
+++ b/sycamorefall/direct/eligibility.py
@@ -228,9 +228,9 @@
         now: Current time of this process's clock.
     """
     # Not by the properties of Upstream: three calls would double the time.
-    own, others = upstream.own_load, upstream.peer_load
-    running = own.running + others.running
-    unread = own.unread + others.unread
+    own_load, peer_load = upstream.own_load, upstream.peer_load
+    running = own_load.running + peer_load.running
+    unread = own_load.unread + peer_load.unread
     has_short_queue = unread <= IDLE_QUEUE_SECONDS * upstream.prefill_rate
     idle = has_short_queue and running <= IDLE_SLOT_SHARE * engine.slots
     upstream.idle_since = min(upstream.idle_since, now) if idle else math.inf
@@ -239,7 +239,7 @@
         upstream,
         running,
         unread,
-        own.memory + others.memory,
+        own_load.memory + peer_load.memory,
         upstream.floor,
         unread / upstream.prefill_rate,
         idle,
--- a/sycamorefall/direct/exchange.py
+++ b/sycamorefall/direct/exchange.py
@@ -149,11 +149,11 @@
         totals: Sums of the load and team usage of all other routers.
         role: Duties of this router as a delegate.
         sequence: Sequence number of the last message sent.
-        own: Receivers of this router's own load.
-        domain: Receivers of the load of its failure domain, if this router is
-            a delegate.
-        elsewhere: Receivers of the load of the other failure domains, if this
+        own_group: Receivers of this router's own load.
+        domain_group: Receivers of the load of its failure domain, if this
             router is a delegate.
+        elsewhere_group: Receivers of the load of the other failure domains, if
+            this router is a delegate.
         unread_covered: Total increase so far of the unread prompt tokens that
             covered routers reported.
         unread_remote: The same for the other failure domains.
@@ -175,13 +175,13 @@
     )
     role: DelegateRole = dataclasses.field(default_factory=DelegateRole)
     sequence: int = 0
-    own: receiver_groups.ReceiverGroup = dataclasses.field(
+    own_group: receiver_groups.ReceiverGroup = dataclasses.field(
         default_factory=receiver_groups.ReceiverGroup
     )
-    domain: receiver_groups.ReceiverGroup = dataclasses.field(
+    domain_group: receiver_groups.ReceiverGroup = dataclasses.field(
         default_factory=receiver_groups.ReceiverGroup
     )
-    elsewhere: receiver_groups.ReceiverGroup = dataclasses.field(
+    elsewhere_group: receiver_groups.ReceiverGroup = dataclasses.field(
         default_factory=receiver_groups.ReceiverGroup
     )
     unread_covered: int = 0
@@ -204,7 +204,7 @@
 ) -> float:
     spacing = DELTA_SPACING * (1 + len(exchange.totals.sources))
     return receiver_groups.compute_next_due(
-        exchange.own, state.total_unread_sent, spacing
+        exchange.own_group, state.total_unread_sent, spacing
     )
 
 
@@ -215,7 +215,9 @@
         return float("inf")
     unread = state.total_unread_sent + exchange.unread_covered
     spacing = DELTA_SPACING * len(exchange.role.remote_delegates)
-    return receiver_groups.compute_next_due(exchange.domain, unread, spacing)
+    return receiver_groups.compute_next_due(
+        exchange.domain_group, unread, spacing
+    )
 
 
 def _compute_elsewhere_due(exchange: Exchange) -> float:
@@ -223,7 +225,7 @@
         return float("inf")
     spacing = DELTA_SPACING * len(exchange.role.local_receivers)
     return receiver_groups.compute_next_due(
-        exchange.elsewhere, exchange.unread_remote, spacing
+        exchange.elsewhere_group, exchange.unread_remote, spacing
     )
 
 
@@ -294,8 +296,8 @@
 ) -> None:
     """Applies the other routers' load to newly listed upstreams.
 
-    An upstream may be listed here later than at other routers. It would count
-    as idle until another router reports its load there again.
+    This router may list an upstream later than others do. The upstream would
+    count as idle until another router reports its load there again.
     """
     totals_module.apply_totals(exchange.totals, state, names, teams=False)
 
@@ -469,10 +471,10 @@
     if load.scope is LoadScope.ROUTER:
         if envelope.sender in exchange.role.covered_routers:
             exchange.unread_covered += increase
-            receiver_groups.queue_prompts(exchange.domain, load.prompts)
+            receiver_groups.queue_prompts(exchange.domain_group, load.prompts)
     elif load.scope is LoadScope.DOMAIN:
         exchange.unread_remote += increase
-        receiver_groups.queue_prompts(exchange.elsewhere, load.prompts)
+        receiver_groups.queue_prompts(exchange.elsewhere_group, load.prompts)
 
 
 def _count_unread(
@@ -584,11 +586,11 @@
     Returns:
         A full update if one is due, otherwise a delta.
     """
-    group = exchange.own
+    group = exchange.own_group
     whole = now >= group.due
     receiver_groups.queue_prompts(group, _choose_prompts(exchange, state, now))
     prompts = receiver_groups.start_message(group, now, state.total_unread_sent)
-    receiver_groups.queue_prompts(exchange.domain, prompts)
+    receiver_groups.queue_prompts(exchange.domain_group, prompts)
     if not whole:
         loads = own_load_module.build_loads(state, group.sent_loads)
         return _build_delta(exchange, group, loads, prompts)
@@ -671,12 +673,12 @@
     exchange: Exchange, state: state_module.DirectState, now: float
 ) -> messages.RouterLoad:
     """Builds a report of the summed load of this router and those it covers."""
-    role, group = exchange.role, exchange.domain
+    role, group = exchange.role, exchange.domain_group
     sources = _list_covered_sources(exchange)
     whole = now >= group.due
     unread = state.total_unread_sent + exchange.unread_covered
     prompts = receiver_groups.start_message(group, now, unread)
-    own = own_load_module.build_loads(state, exchange.own.sent_loads)
+    own = own_load_module.build_loads(state, exchange.own_group.sent_loads)
     loads = totals_module.sum_loads(
         [own.values(), *(source.loads.values() for source in sources)]
     )
@@ -726,7 +728,7 @@
     exchange: Exchange, state: state_module.DirectState, now: float
 ) -> messages.RouterLoad:
     """Builds a report of the summed load of the other failure domains."""
-    group = exchange.elsewhere
+    group = exchange.elsewhere_group
     keys = totals_module.list_source_keys(exchange.totals, LoadScope.DOMAIN)
     sources = [exchange.totals.sources[key] for key in keys]
     whole = now >= group.due
--- a/sycamorefall/direct/fair_queue.py
+++ b/sycamorefall/direct/fair_queue.py
@@ -54,20 +54,20 @@
     """Recent service of each team at one service, in decaying cost units.
 
     Attributes:
-        own: Service given by this router and the time of its last update, by
-            team.
-        others: Service given by the other routers, as they last reported, by
-            team.
+        own_received: Service given by this router and the time of its last
+            update, by team.
+        peer_received: Service given by the other routers, as they last
+            reported, by team.
         max_received: Most service that any team received from all routers, as
             last computed.
         refused_at: When this router last refused a request for lack of
             capacity, by team.
     """
 
-    own: dict[str, tuple[float, float]] = dataclasses.field(
+    own_received: dict[str, tuple[float, float]] = dataclasses.field(
         default_factory=dict
     )
-    others: dict[str, float] = dataclasses.field(default_factory=dict)
+    peer_received: dict[str, float] = dataclasses.field(default_factory=dict)
     max_received: float = 0.0
     refused_at: dict[str, float] = dataclasses.field(default_factory=dict)
 
@@ -90,7 +90,7 @@
     accounts: TeamAccounts, now: float, team: str, cost: float
 ) -> None:
     """Adds the cost units of a request to a team's service."""
-    accounts.own[team] = (
+    accounts.own_received[team] = (
         _compute_own_received(accounts, now, team) + cost,
         now,
     )
@@ -122,13 +122,13 @@
     remaining = _compute_own_received(accounts, now, team) - _decay(
         cost, now - charged_at
     )
-    accounts.own[team] = (max(0.0, remaining), now)
+    accounts.own_received[team] = (max(0.0, remaining), now)
 
 
 def _compute_own_received(
     accounts: TeamAccounts, now: float, team: str
 ) -> float:
-    amount, updated_at = accounts.own.get(team, (0.0, now))
+    amount, updated_at = accounts.own_received.get(team, (0.0, now))
     return _decay(amount, now - updated_at)
 
 
@@ -138,9 +138,9 @@
 
 def compute_received(accounts: TeamAccounts, now: float, team: str) -> float:
     """Computes a team's recent service from all routers, in cost units."""
-    return _compute_own_received(accounts, now, team) + accounts.others.get(
-        team, 0.0
-    )
+    return _compute_own_received(
+        accounts, now, team
+    ) + accounts.peer_received.get(team, 0.0)
 
 
 def collect_own_received(
@@ -153,10 +153,10 @@
     """
     amounts = {
         team: _compute_own_received(accounts, now, team)
-        for team in accounts.own
+        for team in accounts.own_received
     }
     for team in [team for team, amount in amounts.items() if amount < 1.0]:
-        del accounts.own[team]
+        del accounts.own_received[team]
     return amounts
 
 
@@ -172,8 +172,8 @@
     """
     return max(
         (
-            own.get(team, 0.0) + accounts.others.get(team, 0.0)
-            for team in own.keys() | accounts.others.keys()
+            own.get(team, 0.0) + accounts.peer_received.get(team, 0.0)
+            for team in own.keys() | accounts.peer_received.keys()
         ),
         default=0.0,
     )
--- a/sycamorefall/direct/replica.py
+++ b/sycamorefall/direct/replica.py
@@ -105,7 +105,7 @@
         read_schedule: When to read the platform.
         readers: Subscriptions of this router, and of other routers to it.
         announced_revision: Latest revision announced by another router whose
-            records were missing here; 0 before any is announced.
+            records this replica lacked; 0 before any is announced.
         announced_proof: When that revision was certainly the newest.
         choose_readers_at: When the readers are chosen next.
     """
--- a/sycamorefall/direct/service_floors.py
+++ b/sycamorefall/direct/service_floors.py
@@ -31,7 +31,7 @@
 def compute_floors(
     state: state_module.DirectState, now: float, short: bool = False
 ) -> dict[str, int]:
-    """Computes the floors of engines from the requests that wait here.
+    """Computes the floors of engines from this router's waiting requests.
 
     Other routers keep an engine free for the team with its floor. They keep an
     idle engine free only briefly, and only for a team that had a request
@@ -40,8 +40,8 @@
     Args:
         state: The router's state.
         now: Current time of this process's clock.
-        short: Whether only teams that had a request refused here recently
-            count.
+        short: Whether to count only teams that recently had a request refused
+            by this router.
 
     Returns:
         Cost units by engine name; engines that no request waits for are left
--- a/sycamorefall/direct/tests/test_delegates.py
+++ b/sycamorefall/direct/tests/test_delegates.py
@@ -129,8 +129,8 @@
     fleet.run(0.5)
     for router in fleet.list_live():
         accounts = router.state.accounts["engine"]
-        received = accounts.others.get("mill", 0.0)
-        own = accounts.own.get("mill", (0.0, 0.0))[0]
+        received = accounts.peer_received.get("mill", 0.0)
+        own = accounts.own_received.get("mill", (0.0, 0.0))[0]
         assert received + own >= 3 * 10_000 * 0.7, router.name
 
 
--- a/sycamorefall/direct/tests/test_links.py
+++ b/sycamorefall/direct/tests/test_links.py
@@ -63,8 +63,8 @@
         late.links._names.told[to] = (1 << 20) - 1  # As if sent before.
     for turn in range(MAX_LOOP_PASSES):
         if turn % 10 == 0:
-            early.send_load(early.load_exchange.own.due)
-            late.send_load(late.load_exchange.own.due)
+            early.send_load(early.load_exchange.own_group.due)
+            late.send_load(late.load_exchange.own_group.due)
         loop.tick(0.001)
         if early.state.routers == 2:
             break
--- a/sycamorefall/direct/tests/test_loads.py
+++ b/sycamorefall/direct/tests/test_loads.py
@@ -59,7 +59,7 @@
 
 def list_engines_with_floor(load_exchange, state):
     load = exchange.build_load_message(
-        load_exchange, state, load_exchange.own.due
+        load_exchange, state, load_exchange.own_group.due
     )
     return {entry.upstream for entry in load.upstreams if entry.floor >= 0}
 
@@ -133,7 +133,8 @@
     deliver_load(first, remote_exchange, there, 0.0, sender="front-1")
     fakes.submit_request(here, 0.01, "draft", tokens=100)
     assert (
-        exchange.find_next_due(load_exchange, here) == load_exchange.own.due
+        exchange.find_next_due(load_exchange, here)
+        == load_exchange.own_group.due
     ), "too little to report early"
     _, sent = fakes.submit_request(here, 0.01, "draft", tokens=30_000)
     due = exchange.find_next_due(load_exchange, here)
@@ -200,10 +201,14 @@
                     load, remote_exchange, there, now, sender="front-1"
                 )
     load = exchange.build_load_message(
-        load_exchange, here, load_exchange.own.due
+        load_exchange, here, load_exchange.own_group.due
     )
     deliver_load(
-        load, remote_exchange, there, load_exchange.own.due, sender="front-1"
+        load,
+        remote_exchange,
+        there,
+        load_exchange.own_group.due,
+        sender="front-1",
     )
     for name, upstream in here.table.by_name.items():
         assert there.table.by_name[name].peer_load == upstream.own_load
@@ -224,10 +229,10 @@
             load, load_exchange, state, float(number), sender=f"front-{number}"
         )
     assert state.table.by_name["e1"].running == 3
-    assert state.accounts["engine"].others == {"mill": 300}
+    assert state.accounts["engine"].peer_received == {"mill": 300}
     exchange.build_load_message(load_exchange, state, 2 + peers.PEER_TIMEOUT)
     assert state.table.by_name["e1"].running == 2
-    assert state.accounts["engine"].others == {"mill": 200}
+    assert state.accounts["engine"].peer_received == {"mill": 200}
 
 
 def test_busy_router_of_a_large_fleet_reports_before_peer_timeout():
--- a/sycamorefall/direct/tests/test_shares.py
+++ b/sycamorefall/direct/tests/test_shares.py
@@ -114,7 +114,7 @@
     run(state, 0.0, 0.45)
     fakes.submit_request(state, 0.46, "draft", team="trader")
     later = exchange.build_load_message(
-        load_exchange, state, load_exchange.own.due
+        load_exchange, state, load_exchange.own_group.due
     )
     assert {one.short_floor for one in later.upstreams} == {0}
 
@@ -139,7 +139,7 @@
     outcomes.end_attempt(state, 0.1, number, end)
     run(state, 0.1, 0.5)
     accounts = state.accounts["ledger"]
-    assert (accounts.own, accounts.refused_at) == ({}, {})
+    assert (accounts.own_received, accounts.refused_at) == ({}, {})
 
 
 def test_team_below_the_idle_limit_is_served_away_from_its_home():
@@ -158,7 +158,7 @@
             if name != sent.upstream
         )
         other.own_load.running = 2
-        state.accounts["engine"].own.clear()
+        state.accounts["engine"].own_received.clear()
         deliver_load(state, 0.0, trader=int(share * 100_000), mill=100_000)
         state.accounts["engine"].max_received = 100_000
         fakes.submit_request(state, 0.0, "draft", **fields)
--- a/sycamorefall/direct/tests/test_totals.py
+++ b/sycamorefall/direct/tests/test_totals.py
@@ -70,7 +70,7 @@
         assert (upstream.peer_load, *floors) == sum_reported(
             load_exchange, name
         )
-    others = state.accounts["engine"].others if state.accounts else {}
+    others = state.accounts["engine"].peer_received if state.accounts else {}
     for team in TEAMS:
         assert others.get(team, 0) == sum_reported_team(load_exchange, team)
 
@@ -104,7 +104,7 @@
             check_totals(load_exchange, state, names)
         if rng.random() < 0.05:
             now += rng.choice([0.0, 2.0])
-            load_exchange.own.due = 0.0
+            load_exchange.own_group.due = 0.0
             exchange.build_load_message(load_exchange, state, now)
         if number == 200:
             core.apply_listing(state, now, listing)
@@ -113,7 +113,7 @@
             )
             check_totals(load_exchange, state, set(ENGINES))
     now += 10.0
-    load_exchange.own.due = 0.0
+    load_exchange.own_group.due = 0.0
     exchange.build_load_message(load_exchange, state, now)
     check_totals(load_exchange, state, set(ENGINES))
     assert not load_exchange.totals.loads
--- a/sycamorefall/direct/totals.py
+++ b/sycamorefall/direct/totals.py
@@ -405,6 +405,8 @@
 def _apply_team_totals(totals: Totals, state: state_module.DirectState) -> None:
     """Copies the other routers' team usage to the state's accounts."""
     for accounts in state.accounts.values():
-        accounts.others = {}
+        accounts.peer_received = {}
     for service, received in totals.services.items():
-        state_module.get_or_create_accounts(state, service).others = received
+        state_module.get_or_create_accounts(
+            state, service
+        ).peer_received = received
