--- a/sycamorefall/direct/backlog.py
+++ b/sycamorefall/direct/backlog.py
@@ -48,7 +48,7 @@
     """Lists the backlogs to log: the largest ones and the least served team's.
 
     Args:
-        state: State of the router.
+        state: The router's state.
         now: Current time of this process's clock.
 
     Returns:
@@ -84,5 +84,5 @@
         fair_queue.count_waiting(state.service_queues[service], team),
         round(now - oldest, 3),
         int(received),
-        int(received - accounts.others.get(team, 0.0)),
+        int(received - accounts.peer_received.get(team, 0.0)),
     )
--- a/sycamorefall/direct/crashes.py
+++ b/sycamorefall/direct/crashes.py
@@ -44,11 +44,11 @@
 
     Args:
         state: The router's state; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         number: Number of the request, whose attempt has not been ended yet.
 
     Returns:
-        Effects to be carried out.
+        Effects to perform.
     """
     request = state.requests.get(number)
     if request is None or request.attempt is None:
@@ -56,7 +56,7 @@
     upstream = state_module.find_upstream(state, request.attempt)
     if upstream is None or upstreams.is_leaving(upstream):
         return []
-    crash = Crash(upstream.listed.name, upstream.listed.born)
+    crash = Crash(upstream.listed.name, upstream.listed.start_time)
     fingerprint = fingerprints.get_fingerprint(request)
     known = state.disconnects.get(crash)
     if known is None:
@@ -87,12 +87,12 @@
 
     Args:
         state: The router's state; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         check: The check.
         reachability: The result.
 
     Returns:
-        Effects to be carried out.
+        Effects to perform.
     """
     known = state.disconnects.get(check.crash)
     if known is None:
@@ -100,7 +100,10 @@
     if reachability is transport.Reachability.REFUSED:
         known.crashed = True
         upstream = state.table.by_name.get(check.crash.upstream)
-        if upstream is not None and upstream.listed.born == check.crash.born:
+        if (
+            upstream is not None
+            and upstream.listed.start_time == check.crash.start_time
+        ):
             upstreams.suspend_upstream(upstream, now)
         return [
             effects.ReportCrash(check.crash, len(known.fingerprints)),
@@ -136,11 +139,11 @@
 
     Args:
         state: The router's state; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         added: Fingerprints of the newly quarantined requests.
 
     Returns:
-        Effects to be carried out.
+        Effects to perform.
     """
     added = list(added)
     if not added:
--- a/sycamorefall/direct/eligibility.py
+++ b/sycamorefall/direct/eligibility.py
@@ -228,9 +228,9 @@
         now: Current time of this process's clock.
     """
     # Not by the properties of Upstream: three calls would double the time.
-    own, others = upstream.own, upstream.others
-    running = own.running + others.running
-    unread = own.unread + others.unread
+    own_load, peer_load = upstream.own_load, upstream.peer_load
+    running = own_load.running + peer_load.running
+    unread = own_load.unread + peer_load.unread
     has_short_queue = unread <= IDLE_QUEUE_SECONDS * upstream.prefill_rate
     idle = has_short_queue and running <= IDLE_SLOT_SHARE * engine.slots
     upstream.idle_since = min(upstream.idle_since, now) if idle else math.inf
@@ -239,7 +239,7 @@
         upstream,
         running,
         unread,
-        own.memory + others.memory,
+        own_load.memory + peer_load.memory,
         upstream.floor,
         unread / upstream.prefill_rate,
         idle,
@@ -287,7 +287,7 @@
 def exceeds_reread_limit(
     upstream: Upstream, constraints: PlacementConstraints, is_home: bool
 ) -> bool:
-    """Tells whether a request would repeat too much prefill at an engine.
+    """Returns whether a request would repeat too much prefill at an engine.
 
     Args:
         upstream: The engine.
@@ -393,7 +393,7 @@
     constraints: PlacementConstraints,
     is_home: bool,
 ) -> bool:
-    """Tells whether a request could be sent to an engine with a lower load.
+    """Returns whether a request could be sent to an engine with a lower load.
 
     The other routers leave awaited engines to the request's team. A request
     that belongs at another engine, or that would be late even at an idle one,
--- a/sycamorefall/direct/placement_constraints.py
+++ b/sycamorefall/direct/placement_constraints.py
@@ -31,7 +31,7 @@
     """Computes under which conditions a request may be sent now.
 
     Args:
-        state: State of the router.
+        state: The router's state.
         now: Current time of this process's clock.
         request: A request without an attempt in progress.
     """
@@ -41,7 +41,7 @@
     slack = FAIRNESS_SLACK * state.catalog.tokens_per_second
     has_waited_long = _has_waited_long(request, now)
     return eligibility.PlacementConstraints(
-        request.new.prompt,
+        request.incoming.prompt,
         request.target_at - now,
         request.tried,
         yield_below=received - slack,
@@ -76,7 +76,7 @@
 
 
 def _has_waited_long(request: state_module.Request, now: float) -> bool:
-    """Tells whether a request has waited long enough to leave its homes.
+    """Returns whether a request has waited long enough to leave its homes.
 
     It may then have its shared parts computed again on another engine if its
     team is underserved. Otherwise a team whose homes are all full would get
--- a/sycamorefall/direct/stopping.py
+++ b/sycamorefall/direct/stopping.py
@@ -22,7 +22,7 @@
 accepted 3.2 s after the signal doesn't end before the process is killed."""
 
 KILL_MARGIN = 0.5
-"""Least seconds between the deadline of a request that is accepted after
+"""Minimum seconds between the deadline of a request that is accepted after
 `ACCEPT_ALL_PERIOD` and the kill of the process, for sending the response and a
 late event loop."""
 
@@ -54,15 +54,15 @@
     quiet_since: float | None = None
 
 
-def may_accept(stop: Stop, now: float, answer_by: float) -> bool:
-    """Tells whether a request may be accepted.
+def may_accept(stop: Stop, now: float, deadline: float) -> bool:
+    """Returns whether a request may be accepted.
 
     A request that arrives late in a stop must end before the process is killed.
 
     Args:
         stop: The stop.
         now: Current time of this process's clock.
-        answer_by: Deadline of the request.
+        deadline: Deadline of the request.
 
     Example:
         >>> stop = Stop(8.0, since=0.0)
@@ -73,11 +73,11 @@
     """
     if stop.since is None or now - stop.since < ACCEPT_ALL_PERIOD:
         return True
-    return answer_by <= stop.since + stop.grace - KILL_MARGIN
+    return deadline <= stop.since + stop.grace - KILL_MARGIN
 
 
 def may_end_listening(stop: Stop, now: float, last_request_at: float) -> bool:
-    """Tells whether callers use other routers, so that listening may end.
+    """Returns whether callers use other routers, so that listening may end.
 
     Args:
         stop: The stop; the signal has come.
@@ -91,10 +91,10 @@
 
 
 def may_exit(stop: Stop, now: float, quiet: bool) -> bool:
-    """Tells whether the process may exit, once it no longer listens.
+    """Returns whether the process may exit, once it no longer listens.
 
     Args:
-        stop: The stop; modified.
+        stop: The stop; changed.
         now: Current time of this process's clock.
         quiet: Whether no request and no response is in progress.
     """
--- a/sycamorefall/direct/tests/test_links.py
+++ b/sycamorefall/direct/tests/test_links.py
@@ -60,16 +60,18 @@
     loop.fire(events.started(loop))
     fakes.submit_request(late.state, 0.0, "draft", tokens=3000)
     for to in exchange.list_addresses(late.load_exchange):
-        late.links._names.told[to] = (1 << 20) - 1  # As if sent before.
+        late.links._names.defined_bits[to] = (1 << 20) - 1  # As if sent before.
     for turn in range(MAX_LOOP_PASSES):
         if turn % 10 == 0:
-            early.send_load(early.load_exchange.own.due)
-            late.send_load(late.load_exchange.own.due)
+            early.send_load(early.load_exchange.own_group.due)
+            late.send_load(late.load_exchange.own_group.due)
         loop.tick(0.001)
         if early.state.routers == 2:
             break
     assert early.state.routers == 2
-    loads = [upstream.others for upstream in early.state.table.by_name.values()]
+    loads = [
+        upstream.peer_load for upstream in early.state.table.by_name.values()
+    ]
     assert sum(load.running for load in loads) == 1
     for router in (early, late):
         router.links.close()
--- a/sycamorefall/direct/tests/test_loads.py
+++ b/sycamorefall/direct/tests/test_loads.py
@@ -44,7 +44,7 @@
     # because one floor was reported for the whole service.
     state, load_exchange = fakes.create_state(), fakes.create_exchange()
     for name in ("e1", "e2"):
-        state.table.by_name[name].own.running = 3
+        state.table.by_name[name].own_load.running = 3
     load = messages.RouterLoad(
         1,
         "127.0.0.1:2",
@@ -59,7 +59,7 @@
 
 def list_engines_with_floor(load_exchange, state):
     load = exchange.build_load_message(
-        load_exchange, state, load_exchange.own.due
+        load_exchange, state, load_exchange.own_group.due
     )
     return {entry.upstream for entry in load.upstreams if entry.floor >= 0}
 
@@ -74,7 +74,7 @@
     )
     core.cancel_request(state, number, 0.0)
     for name in ("e1", "e2"):
-        state.table.by_name[name].own.running = 4
+        state.table.by_name[name].own_load.running = 4
     fakes.submit_request(state, 0.0, "draft", tokens=6000, parts=parts)
     assert list_engines_with_floor(load_exchange, state) == {sent.upstream}
     fakes.submit_request(state, 0.0, "draft", tokens=100)
@@ -95,7 +95,7 @@
         fakes.create_exchange(),
     )
     for name in names:
-        state.table.by_name[name].own.running = 4
+        state.table.by_name[name].own_load.running = 4
     fakes.submit_request(state, 0.0, "draft", tokens=100)
     assert (
         len(list_engines_with_floor(load_exchange, state))
@@ -111,7 +111,7 @@
     # that are kept free for them are lost to requests that can be on time.
     state, load_exchange = fakes.create_state(), fakes.create_exchange()
     for name in ("e1", "e2"):
-        state.table.by_name[name].own.running = 4
+        state.table.by_name[name].own_load.running = 4
     number, _ = fakes.submit_request(
         state, 0.0, "draft", time_left=3.0, tokens=100
     )
@@ -122,7 +122,7 @@
 
 def test_long_prompt_is_reported_immediately():
     # Guards against two routers that send to the same idle engine within 0.1 s,
-    # so that both callers get their answer late. Loads were reported only at
+    # so that both callers get their response late. Loads were reported only at
     # fixed intervals.
     here, load_exchange = fakes.create_state(), fakes.create_exchange()
     there, remote_exchange = (
@@ -133,7 +133,8 @@
     deliver_load(first, remote_exchange, there, 0.0, sender="front-1")
     fakes.submit_request(here, 0.01, "draft", tokens=100)
     assert (
-        exchange.find_next_due(load_exchange, here) == load_exchange.own.due
+        exchange.find_next_due(load_exchange, here)
+        == load_exchange.own_group.due
     ), "too little to report early"
     _, sent = fakes.submit_request(here, 0.01, "draft", tokens=30_000)
     due = exchange.find_next_due(load_exchange, here)
@@ -169,7 +170,7 @@
 @given(
     steps=strategies.lists(
         strategies.tuples(
-            strategies.sampled_from(["take", "end", "tell"]),
+            strategies.sampled_from(["submit", "end", "report"]),
             strategies.booleans(),
         ),
         max_size=60,
@@ -189,24 +190,28 @@
         running = [
             request for request in here.requests.values() if request.attempt
         ]
-        if step == "take":
+        if step == "submit":
             fakes.submit_request(here, now, "draft", tokens=2000)
         elif step == "end" and running:
             core.cancel_request(here, running[0].number, now)
-        elif step == "tell":
+        elif step == "report":
             load = exchange.build_load_message(load_exchange, here, now)
             if arrives:
                 deliver_load(
                     load, remote_exchange, there, now, sender="front-1"
                 )
     load = exchange.build_load_message(
-        load_exchange, here, load_exchange.own.due
+        load_exchange, here, load_exchange.own_group.due
     )
     deliver_load(
-        load, remote_exchange, there, load_exchange.own.due, sender="front-1"
+        load,
+        remote_exchange,
+        there,
+        load_exchange.own_group.due,
+        sender="front-1",
     )
     for name, upstream in here.table.by_name.items():
-        assert there.table.by_name[name].others == upstream.own
+        assert there.table.by_name[name].peer_load == upstream.own_load
 
 
 def test_load_of_an_engine_is_the_sum_of_all_routers():
@@ -224,10 +229,10 @@
             load, load_exchange, state, float(number), sender=f"front-{number}"
         )
     assert state.table.by_name["e1"].running == 3
-    assert state.accounts["engine"].others == {"mill": 300}
+    assert state.accounts["engine"].peer_received == {"mill": 300}
     exchange.build_load_message(load_exchange, state, 2 + peers.PEER_TIMEOUT)
     assert state.table.by_name["e1"].running == 2
-    assert state.accounts["engine"].others == {"mill": 200}
+    assert state.accounts["engine"].peer_received == {"mill": 200}
 
 
 def test_busy_router_of_a_large_fleet_reports_before_peer_timeout():
@@ -244,7 +249,7 @@
 def test_prefill_rate_ignores_prompt_answered_right_after_another():
     # A short prompt arrives when the long one before it is almost processed,
     # and is answered immediately. The prefill rate was overestimated tenfold,
-    # the engine was sent ten times too much, and a sixth of the day's answers
+    # the engine was sent ten times too much, and a sixth of the day's responses
     # were late.
     state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
     engine = state.table.by_name["e1"]
@@ -268,8 +273,8 @@
 
 
 def test_prefill_rate_follows_an_engine_that_slows_down():
-    # An engine's prefill rate drops to a third. Answers may be late only until
-    # the routers have measured a few of them.
+    # An engine's prefill rate drops to a third. Responses may be late only
+    # until the routers have measured a few of them.
     state = fakes.create_state(listing=[fakes.create_upstream_entry("e1")])
     engine = state.table.by_name["e1"]
     true_rate, now = engine.prefill_rate / 3, 0.0
--- a/sycamorefall/direct/tests/test_relay.py
+++ b/sycamorefall/direct/tests/test_relay.py
@@ -23,8 +23,8 @@
             read_request=lambda _: result.Success(fakes.create_request("look")),
             read_request_id=self.read_request_id,
             write_headers=lambda _, send, last: self.sent.append(send) or (),
-            is_ours=lambda _, headers: True,
-            read_answer=lambda status, headers: None,
+            is_matching_response=lambda _, headers: True,
+            read_response_head=lambda status, headers: None,
         )
         client = types.SimpleNamespace(send=self.send)
         self.proxy = relay.Proxy(self.state, client, dialect)
@@ -80,7 +80,7 @@
 
 def test_freeze_before_the_system_call_does_not_count_as_stall(monkeypatch):
     # The VM freezes after the log record of a send and before its bytes leave.
-    # The whole freeze counted as silence of the upstream.
+    # The whole freeze counted towards a stall of the upstream.
     router = RecordingRouter(monkeypatch)
     router.freeze_in_send = FREEZE_SECONDS
     router.handle_call()
--- a/sycamorefall/direct/totals.py
+++ b/sycamorefall/direct/totals.py
@@ -120,7 +120,7 @@
     Args:
         totals: The sums; changed.
         key: Key of the reported load.
-        now: This process's time.
+        now: Current time of this process's clock.
         envelope: A `RouterLoad` and its sender.
 
     Returns:
@@ -275,7 +275,7 @@
 
     Args:
         totals: The sums; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
 
     Returns:
         Whether any source was dropped.
@@ -393,7 +393,7 @@
     for name in names & state.table.by_name.keys():
         upstream = state.table.by_name[name]
         total = totals.loads.get(name, _NO_LOAD)
-        upstream.others = upstreams.Load(
+        upstream.peer_load = upstreams.Load(
             total.running, total.unread, total.memory
         )
         upstream.floor = totals.floors.get(name, math.inf)
@@ -405,6 +405,8 @@
 def _apply_team_totals(totals: Totals, state: state_module.DirectState) -> None:
     """Copies the other routers' team usage to the state's accounts."""
     for accounts in state.accounts.values():
-        accounts.others = {}
+        accounts.peer_received = {}
     for service, received in totals.services.items():
-        state_module.get_or_create_accounts(state, service).others = received
+        state_module.get_or_create_accounts(
+            state, service
+        ).peer_received = received
--- a/sycamorefall/direct/upstreams.py
+++ b/sycamorefall/direct/upstreams.py
@@ -79,12 +79,12 @@
     """Identifies an upstream's process across listings.
 
     Attributes:
-        name: The upstream's incarnation.
-        born: Start time of the process; see `UpstreamEntry`.
+        name: The upstream's name.
+        start_time: Start time of the process; see `UpstreamEntry`.
     """
 
     name: str
-    born: int
+    start_time: int
 
 
 @dataclasses.dataclass(slots=True)
@@ -122,15 +122,15 @@
     """An upstream's entry in the platform's listing.
 
     Attributes:
-        name: The upstream's incarnation: an identifier that usually changes
-            with each start of its process.
+        name: Name of the upstream, which usually changes with each start of
+            its process.
         service: Service that the upstream belongs to.
         address: Address at which the upstream accepts requests.
         failure_domain: Failure domain that the upstream runs in.
         slots: Number of requests that the upstream runs concurrently.
         leaving: Whether the upstream is to get no new requests.
         listed_revision: Platform revision at which the entry was created.
-        born: Start time of the upstream's process by its own clock; 0 if
+        start_time: Start time of the upstream's process by its own clock; 0 if
             unknown. Distinguishes processes that use the same name.
     """
 
@@ -141,7 +141,7 @@
     slots: int
     leaving: bool
     listed_revision: int = 0
-    born: int = 0
+    start_time: int = 0
 
 
 @dataclasses.dataclass(slots=True)
@@ -167,12 +167,13 @@
 
     Attributes:
         listed: The upstream's entry in the platform's listing.
-        own: Load of the requests that this router sent.
-        others: Load of the requests that other routers sent, as last reported.
-        floor: Fewest cost units that a team has received lately whose requests
-            wait for this upstream at another router; infinity if none waits.
-        short_floor: Like `floor`, but only of teams that recently had a request
-            refused.
+        own_load: Load of the requests that this router sent.
+        peer_load: Load of the requests that other routers sent, as last
+            reported.
+        floor: Fewest cost units recently received by a team that waits for this
+            upstream at another router; infinity if no team does.
+        short_floor: Like `floor`, but only for teams that recently had a
+            request refused.
         idle_since: Time since which the upstream has been idle; infinity if it
             is not idle.
         last_byte_at: Time at which this router last received bytes from the
@@ -185,8 +186,8 @@
     """
 
     listed: UpstreamEntry
-    own: Load = dataclasses.field(default_factory=Load)
-    others: Load = dataclasses.field(default_factory=Load)
+    own_load: Load = dataclasses.field(default_factory=Load)
+    peer_load: Load = dataclasses.field(default_factory=Load)
     floor: float = math.inf
     short_floor: float = math.inf
     idle_since: float = math.inf
@@ -205,17 +206,17 @@
     @property
     def running(self) -> int:
         """Number of requests in progress, sent by all routers."""
-        return self.own.running + self.others.running
+        return self.own_load.running + self.peer_load.running
 
     @property
     def unread(self) -> int:
         """Prompt tokens yet to be processed, sent by all routers."""
-        return self.own.unread + self.others.unread
+        return self.own_load.unread + self.peer_load.unread
 
     @property
     def memory(self) -> int:
         """KV cache tokens of the requests in progress, sent by all routers."""
-        return self.own.memory + self.others.memory
+        return self.own_load.memory + self.peer_load.memory
 
 
 @dataclasses.dataclass(slots=True)
@@ -223,16 +224,17 @@
     """All upstreams.
 
     Attributes:
-        by_name: Upstreams by incarnation.
+        by_name: Upstreams by name.
         by_service: The same upstreams by service, without those that were
             replaced by another process at their address.
         proven_at: Latest time at which the listing was proven current; None if
             it never was.
         grace_ends_at: Time until which upstreams that are missing from the
             listing are kept.
-        missing: Incarnations that the latest listing lacks, and that are kept
-            until the grace period ends.
-        replaced: Incarnations at whose address another process answered.
+        missing: Names of the upstreams that the latest listing lacks, and that
+            are kept until the grace period ends.
+        replaced: Names of the upstreams at whose address another process
+            answered.
         notices: Notices by process, including processes that are currently
             not listed.
         rankings: Upstreams of a service in the order of preference for caching
@@ -268,11 +270,11 @@
 
     Args:
         table: The upstreams; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         listing: Entries of all upstreams that the platform lists.
 
     Returns:
-        Incarnations of the removed upstreams.
+        Names of the removed upstreams.
     """
     confirm_listing(table, now, table.proven_at)
     listed = {
@@ -284,8 +286,11 @@
     dropped = drop_missing(table, now)
     for name, entry in listed.items():
         known = table.by_name.get(name)
-        if known is None or known.listed.born != entry.born:
-            notice = table.notices.get(ProcessKey(name, entry.born)) or Notice()
+        if known is None or known.listed.start_time != entry.start_time:
+            notice = (
+                table.notices.get(ProcessKey(name, entry.start_time))
+                or Notice()
+            )
             table.by_name[name] = Upstream(
                 entry, last_byte_at=now, notice=notice
             )
@@ -301,7 +306,8 @@
 def _drop_notices(table: UpstreamTable, now: float) -> None:
     """Drops expired notices of unlisted processes."""
     listed = {
-        ProcessKey(name, one.listed.born) for name, one in table.by_name.items()
+        ProcessKey(name, one.listed.start_time)
+        for name, one in table.by_name.items()
     }
     table.notices = {
         process: notice
@@ -320,7 +326,7 @@
 
     Args:
         table: The upstreams; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         proven_at: Time at which the listing was current; None if unknown.
     """
     known = table.proven_at
@@ -341,10 +347,10 @@
 
     Args:
         table: The upstreams; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
 
     Returns:
-        Incarnations of the dropped upstreams; empty during the grace period.
+        Names of the dropped upstreams; empty during the grace period.
     """
     if not table.missing or now < table.grace_ends_at:
         return []
@@ -362,7 +368,11 @@
     Such an entry was written by another program. If it were taken for a
     restart of the upstream, all requests in progress there would be aborted.
     """
-    return known is not None and known.listed.born > 0 and not entry.born
+    return (
+        known is not None
+        and known.listed.start_time > 0
+        and not entry.start_time
+    )
 
 
 def _index_by_service(table: UpstreamTable) -> None:
@@ -370,7 +380,7 @@
 
     The entry of a crashed process stays listed for a while beside the entry of
     its successor at the same address. The successor refuses requests that are
-    addressed to the crashed incarnation.
+    addressed to the crashed process.
     """
     newest: dict[settings.Address, Upstream] = {}
     for upstream in table.by_name.values():
@@ -440,7 +450,7 @@
 
     Args:
         table: The upstreams; changed.
-        now: This process's time.
+        now: Current time of this process's clock.
         upstream: The upstream; changed.
         seconds: The delay; limited to `MAX_RETRY_DELAY`.
 
@@ -476,7 +486,7 @@
     table: UpstreamTable, now: float, upstream: Upstream
 ) -> Notice:
     listed = upstream.listed
-    table.notices[ProcessKey(listed.name, listed.born)] = upstream.notice
+    table.notices[ProcessKey(listed.name, listed.start_time)] = upstream.notice
     upstream.notice.updated_at = now
     return upstream.notice
 
