--- a/sycamorefall/observation/__init__.py
+++ b/sycamorefall/observation/__init__.py
@@ -1,4 +1,4 @@
-"""What a process shows of itself: logs, counters, histograms, reports."""
+"""Logs, metrics, status and reports of a process."""
 
 __all__ = [
     "Level",
--- a/sycamorefall/observation/heavy_hitters.py
+++ b/sycamorefall/observation/heavy_hitters.py
@@ -1,4 +1,4 @@
-"""Which keys are busiest, found in memory that does not grow with the keys."""
+"""Finds the most frequent keys, the heavy hitters, in bounded memory."""
 
 __all__ = [
     "HeavyHitters",
@@ -9,31 +9,31 @@
 import dataclasses
 
 MAX_COUNTED_KEYS = 256
-"""Keys that are counted at a time."""
+"""Maximum number of keys that have a count."""
 
 HALVING_INTERVAL = 8192
-"""Notes after which all counts are halved, so that old load is forgotten."""
+"""Recorded keys after which all counts are halved, so that old load decays."""
 
 DISPLACEMENT_RATIO = 2
-"""How many times busier a key must be than the one whose place it takes.
+"""Ratio of counts above which a key displaces the least frequent selected key.
 
-Without a lead, keys that are about equally busy would take each other's
-place all the time, and each change costs the histograms' continuity.
+With a ratio of 1, keys of about equal frequency would displace each other
+again and again, and each displacement interrupts the histograms of a key.
 """
 
 
 @dataclasses.dataclass(slots=True)
 class HeavyHitters:
-    """A bounded choice of the busiest keys.
+    """State of the selection of the most frequent keys.
 
-    The counts are those of the Space-Saving algorithm: a key that is not
-    counted takes the place, and the count, of the least one.
+    Keys are counted by the Space-Saving algorithm: if all counts are taken, a
+    key without a count replaces the least frequent key and inherits its count.
 
     Attributes:
-        capacity: Most keys that are chosen.
-        selected: The busiest keys.
-        counts: Counts of more keys than are chosen.
-        records_since_halving: Notes since the counts were halved.
+        capacity: Maximum number of selected keys.
+        selected: The most frequent keys.
+        counts: Counts by key, also of keys that are not selected.
+        records_since_halving: Keys recorded since the counts were halved.
     """
 
     capacity: int
@@ -42,45 +42,47 @@
     records_since_halving: int = 0
 
 
-def record_key(busiest: HeavyHitters, key: Hashable) -> Hashable | None:
-    """Counts a key once.
+def record_key(selection: HeavyHitters, key: Hashable) -> Hashable | None:
+    """Counts one occurrence of a key and updates the selection.
 
     Args:
-        busiest: The choice; changed.
+        selection: The selection; modified.
         key: The key.
 
     Returns:
-        The key that is no longer chosen because this one is now, if any.
+        The key that this one displaced from the selection; None if none.
 
     Example:
         >>> busiest = HeavyHitters(capacity=1)
         >>> [record_key(busiest, key) for key in "abbb"]
         [None, None, None, 'a']
     """
-    _count(busiest, key)
-    if key in busiest.selected:
+    _count(selection, key)
+    if key in selection.selected:
         return None
-    if len(busiest.selected) < busiest.capacity:
-        busiest.selected.add(key)
+    if len(selection.selected) < selection.capacity:
+        selection.selected.add(key)
         return None
-    counts = busiest.counts
-    least = min(busiest.selected, key=lambda other: counts.get(other, 0))
-    if counts[key] <= DISPLACEMENT_RATIO * counts.get(least, 0):
+    counts = selection.counts
+    least_frequent = min(
+        selection.selected, key=lambda other: counts.get(other, 0)
+    )
+    if counts[key] <= DISPLACEMENT_RATIO * counts.get(least_frequent, 0):
         return None
-    busiest.selected.remove(least)
-    busiest.selected.add(key)
-    return least
+    selection.selected.remove(least_frequent)
+    selection.selected.add(key)
+    return least_frequent
 
 
-def _count(busiest: HeavyHitters, key: Hashable) -> None:
-    counts = busiest.counts
+def _count(selection: HeavyHitters, key: Hashable) -> None:
+    counts = selection.counts
     if key not in counts and len(counts) >= MAX_COUNTED_KEYS:
-        least = min(counts, key=counts.get)
-        counts[key] = counts.pop(least)
+        least_frequent = min(counts, key=counts.get)
+        counts[key] = counts.pop(least_frequent)
     counts[key] = counts.get(key, 0) + 1
-    busiest.records_since_halving += 1
-    if busiest.records_since_halving >= HALVING_INTERVAL:
-        busiest.records_since_halving = 0
-        busiest.counts = {
+    selection.records_since_halving += 1
+    if selection.records_since_halving >= HALVING_INTERVAL:
+        selection.records_since_halving = 0
+        selection.counts = {
             other: count // 2 for other, count in counts.items() if count > 1
         }
--- a/sycamorefall/observation/histograms.py
+++ b/sycamorefall/observation/histograms.py
@@ -1,8 +1,8 @@
-"""Histograms of times, per team for the busiest and per service for the rest.
+"""Time histograms: per team for the busiest teams, per service for the others.
 
-At 31,000 teams a set of histograms for each would take many times a
-process's memory; so only the busiest teams have their own, and all others of
-a service share one set.
+With 31,000 teams, histograms for each team would need many times the memory
+of a process. Only the busiest teams have their own histograms; all other teams
+of a service share one set.
 """
 
 __all__ = [
@@ -26,37 +26,37 @@
 from sycamorefall.observation import heavy_hitters as heavy_hitters_module
 
 MAX_TEAMS = 20
-"""Teams, each at one service, that have histograms of their own."""
+"""Maximum number of (service, team) pairs that have their own histograms."""
 
 OTHER_TEAMS = ""
-"""In place of a team's name: all teams that have no histograms."""
+"""Team name of the histograms shared by all teams without their own."""
 
 UNITS_PER_SECOND = 10_000
-"""Times are recorded in units of 0.1 ms."""
+"""Recorded units per second; the unit is 0.1 ms."""
 
 MAX_TIME_UNITS = 3600 * UNITS_PER_SECOND
-"""Longest time recorded, in units; longer ones count as this."""
+"""Longest recorded time in units; longer times are recorded as this value."""
 
 SIGNIFICANT_DIGITS = 2
-"""Significant digits of a recorded time."""
+"""Decimal digits of precision of the histograms."""
 
 MAX_PENDING_VALUES = 256
-"""Different times that are counted before they go into the histogram."""
+"""Distinct pending values at which they are moved into the histogram."""
 
 COUNT_BYTES = 4
-"""Size of one count: up to 4 billion; 8 would double the memory."""
+"""Bytes of one histogram count: up to 4 billion; 8 would double the memory."""
 
 
 class TimeKind(enum.IntEnum):
-    """The times that are recorded of a request.
+    """The times that are recorded for a request.
 
-    An `IntEnum`, as the hash of a plain one is a slow Python function and is
-    taken for each token.
+    An `IntEnum` since members are hashed for each token, and the hash of a
+    plain `Enum` member is a slow Python function.
 
-    WAIT: from arrival to hand-out.
-    FIRST_TOKEN: from arrival to the first piece of a streamed answer.
-    BETWEEN_TOKENS: from one piece of a streamed answer to the next.
-    TOTAL: from arrival to the whole answer.
+    WAIT: from arrival to the start of the first attempt.
+    FIRST_TOKEN: from arrival to the first piece of a streamed response.
+    BETWEEN_TOKENS: from one piece of a streamed response to the next.
+    TOTAL: from arrival to the end of the response.
     """
 
     WAIT = 1
@@ -66,12 +66,12 @@
 
     @property
     def label(self) -> str:
-        """Its name in metrics and status."""
+        """Name of the time in metric names and in the status."""
         return self.name.lower()
 
     @property
     def text(self) -> str:
-        """Its description in metrics."""
+        """Description of the time in the help text of its metric."""
         return _TEXTS[self]
 
 
@@ -84,17 +84,17 @@
 
 
 class TimeHistogram:
-    """A histogram of times with their sum.
+    """A histogram of times and their sum.
 
-    Times are counted by their units first and put into the histogram many at
-    once: one at a time, the library takes as long for a streamed piece as its
-    system calls.
+    Recorded values are first counted in a dictionary and then moved into the
+    `HdrHistogram` in batches: recording each value there takes as long as the
+    system calls for one streamed piece.
 
     Attributes:
         seconds: Sum of the recorded times.
     """
 
-    __slots__ = ("_counts", "_new", "seconds")
+    __slots__ = ("_counts", "_pending", "seconds")
 
     def __init__(self):
         self._counts = histogram.HdrHistogram(
@@ -105,7 +105,7 @@
 
     @property
     def counts(self) -> histogram.HdrHistogram:
-        """The histogram, in units of 0.1 ms."""
+        """The histogram in units of 0.1 ms, including the pending values."""
         for units, count in self._pending.items():
             if not self._counts.record_value(units, count):
                 self._counts.record_value(MAX_TIME_UNITS, count)
@@ -113,7 +113,7 @@
         return self._counts
 
     def record(self, seconds: float) -> None:
-        """Records one time."""
+        """Records one time; times below one unit count as one unit."""
         units = int(seconds * UNITS_PER_SECOND) or 1
         self._pending[units] = self._pending.get(units, 0) + 1
         self.seconds += seconds
@@ -121,40 +121,41 @@
             _ = self.counts
 
     def merge(self, other: "TimeHistogram") -> None:
-        """Adds what another recorded."""
+        """Adds the recorded times of another histogram."""
         self.counts.add(other.counts)
         self.seconds += other.seconds
 
     def clear(self) -> None:
-        """Forgets what was recorded."""
+        """Removes all recorded times."""
         self._pending.clear()
         self._counts.reset()
         self.seconds = 0.0
 
     @property
     def count(self) -> int:
-        """How many times were recorded."""
+        """Number of recorded times."""
         return self.counts.get_total_count()
 
     def encode(self) -> str:
-        """Encodes the counts as HdrHistogram's V2 format in Base64."""
+        """Encodes the histogram in the V2 format of HdrHistogram, in Base64."""
         return self.counts.encode().decode("ascii")
 
     def compute_quantiles(self, quantiles: tuple[float, ...]) -> list[float]:
-        """Finds the times, in seconds, below which shares of all lie.
+        """Computes quantiles of the recorded times in seconds.
 
-        The library's own function reads one count after the other, which
-        takes more than twice as long; a scrape asks all histograms at once and
-        stops the loop meanwhile.
+        Equals `get_value_at_percentile` of the library, which takes more than
+        twice as long since it reads the counts one by one. A metrics scrape
+        computes the quantiles of all histograms at once and blocks the event
+        loop meanwhile.
         """
         counts = self.counts
-        # A slice becomes a list at once; iterating reads one by one too.
+        # Slicing copies all counts at once; iterating reads them one by one.
         sums = list(itertools.accumulate(counts.counts[:]))
         targets = (
             counts.get_target_count_at_percentile(100.0 * quantile)
             for quantile in quantiles
         )
-        # With nothing recorded no sum reaches a target.
+        # Without recorded times, no cumulative sum reaches a target.
         indexes = (bisect.bisect_left(sums, target) for target in targets)
         values = (
             counts.get_highest_equivalent_value(
@@ -175,12 +176,13 @@
     """Histograms by service, team and kind of time.
 
     Attributes:
-        by_team: Histograms by (service, team); the team `OTHER_TEAMS` has those
-            of all
-            teams that are not among the busiest.
-        busiest: The (service, team) pairs that have their own.
-        reusable: Histograms of teams that lost their place, to be used again:
-            an HdrHistogram refers to itself, so one that is dropped stays in
+        by_team: Histograms by (service, team); those of the team
+            `OTHER_TEAMS` are shared by all teams that aren't among the
+            busiest.
+        busiest: Selects the (service, team) pairs that have their own
+            histograms.
+        reusable: Cleared histograms of displaced teams. They are reused since
+            an `HdrHistogram` has a reference cycle: a dropped one stays in
             memory until the next run of the garbage collector.
     """
 
@@ -194,12 +196,12 @@
 def record_request(histograms: TeamHistograms, service: str, team: str) -> None:
     """Counts a team's request; the team may become one of the busiest.
 
-    A team that loses its place has its histograms added to the rest's, so
-    that no recorded time is lost.
+    The histograms of a team that is displaced from the busiest are merged into
+    the shared ones of its service, so that no recorded time is lost.
 
     Args:
-        histograms: The histograms; changed.
-        service: The service asked for.
+        histograms: The histograms; modified.
+        service: The requested service.
         team: The team.
     """
     displaced = heavy_hitters_module.record_key(
@@ -207,22 +209,22 @@
     )
     if displaced is None:
         return
-    for kind, own in histograms.by_team.pop(displaced, {}).items():
+    for kind, recorded in histograms.by_team.pop(displaced, {}).items():
         _get_or_create_histogram(
             histograms, (displaced[0], OTHER_TEAMS), kind
-        ).merge(own)
-        own.clear()
-        histograms.reusable.append(own)
+        ).merge(recorded)
+        recorded.clear()
+        histograms.reusable.append(recorded)
 
 
 def _get_or_create_histogram(
     histograms: TeamHistograms, key: tuple[str, str], kind: TimeKind
 ) -> TimeHistogram:
-    own = histograms.by_team.setdefault(key, {})
-    found = own.get(kind)
+    by_kind = histograms.by_team.setdefault(key, {})
+    found = by_kind.get(kind)
     if found is None:
         reusable = histograms.reusable
-        found = own[kind] = reusable.pop() if reusable else TimeHistogram()
+        found = by_kind[kind] = reusable.pop() if reusable else TimeHistogram()
     return found
 
 
@@ -236,11 +238,11 @@
     """Records one time of a team's request.
 
     Args:
-        histograms: The histograms; changed.
-        service: The service.
+        histograms: The histograms; modified.
+        service: The requested service.
         team: The team.
-        kind: Which time it is.
-        seconds: The time.
+        kind: Kind of the time.
+        seconds: The time in seconds.
     """
     key = (service, team)
     if key not in histograms.busiest.selected:
@@ -251,7 +253,7 @@
 def list_histograms(
     histograms: TeamHistograms,
 ) -> Iterator[tuple[str, str, TimeKind, TimeHistogram]]:
-    """Lists all histograms with service, team and kind."""
-    for (service, team), own in sorted(histograms.by_team.items()):
-        for kind, recorded in own.items():
+    """Lists all histograms with service, team and kind of time."""
+    for (service, team), by_kind in sorted(histograms.by_team.items()):
+        for kind, recorded in by_kind.items():
             yield service, team, kind, recorded
--- a/sycamorefall/observation/log.py
+++ b/sycamorefall/observation/log.py
@@ -1,8 +1,8 @@
-"""Structured logs: eliot records as JSON lines, written without waiting.
+"""Structured logging: eliot records as JSON lines, written without blocking.
 
-A record of what concerns a request carries the attempt's id and the caller's
-`X-Request-Id`, which router and sidecar both know. Bearer keys and bodies are
-never passed to a function of this module.
+Records about a request contain the ID of its attempt and the caller's
+`X-Request-Id`, which both router and sidecar know. Bearer keys and request
+bodies are never passed to the functions of this module.
 """
 
 __all__ = [
@@ -26,15 +26,16 @@
 from sycamorefall.observation import nonblocking_output
 
 BUFFER_BYTES = 1 << 18
-"""Most bytes that wait for a slow reader; further records are dropped."""
+"""Maximum bytes buffered for a slow reader; further records are dropped."""
 
 
 LIMIT_INTERVAL = 1.0
-"""Seconds between two records of a kind that strangers can provoke."""
+"""Minimum seconds between two records of a kind written by
+`write_rate_limited`."""
 
 
 class Level(enum.IntEnum):
-    """How much a record matters; `settings.LogSettings.level` by name."""
+    """Severity of a record; its names are values of `LogSettings.level`."""
 
     DEBUG = 10
     INFO = 20
@@ -46,13 +47,14 @@
 class LogWriter:
     """An eliot destination with a bounded buffer.
 
-    Guards against a reader of the log that stops reading, a pipe that is
-    closed and a disk that is full: a blocking write would stop the one loop
-    of the process, and all its callers with it. What the descriptor does not
-    take at once waits in the buffer; what does not fit there is counted.
+    Writes never block, since a log reader that stops reading would otherwise
+    stop the event loop of the process and with it all requests. Records that
+    can't be written at once are buffered; records that don't fit into the
+    buffer, or whose write fails (closed pipe, full disk), are dropped and
+    counted.
 
     Attributes:
-        dropped: Records lost so far.
+        dropped: Number of records dropped so far.
     """
 
     __slots__ = ("_buffer", "_reported", "_size", "_write", "dropped")
@@ -65,7 +67,7 @@
         self.dropped = 0
 
     def __call__(self, record: dict[str, object]) -> None:
-        """Takes an eliot record."""
+        """Adds a record to the buffer as a line of JSON and flushes it."""
         line = msgspec.json.encode(record, enc_hook=repr) + b"\n"
         if self._size + len(line) > BUFFER_BYTES:
             self.dropped += 1
@@ -75,7 +77,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Writes as much of the buffer as goes without waiting."""
+        """Writes as much of the buffer as possible without blocking."""
         while self._buffer:
             line = self._buffer[0]
             try:
@@ -83,7 +85,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Closed pipe or full disk: waiting would not help this line.
+                # Closed pipe or full disk: waiting wouldn't help this line.
                 self._drop_first()
                 return
             self._size -= written
@@ -98,7 +100,7 @@
         self.dropped += 1
 
     def _report_dropped(self) -> None:
-        """Says in the log itself that records are missing, once it flows."""
+        """Logs the number of records dropped since the last such report."""
         if self.dropped == self._reported:
             return
         lost, self._reported = self.dropped - self._reported, self.dropped
@@ -106,17 +108,18 @@
 
 
 _threshold = Level.OFF
-"""Least level that is written; eliot's destinations are as global."""
+"""Lowest level that is written; global, as eliot's destinations are."""
 
 
 def open_log(config: settings.LogSettings) -> LogWriter:
-    """Opens the process's log.
+    """Opens the log of the process and sets its level.
 
     Args:
-        config: Section `[log]` of its settings.
+        config: Section `[log]` of the settings.
 
     Returns:
-        The writer, to be flushed now and then and asked for its drops.
+        The log writer. The caller flushes it periodically and reports its
+        count of dropped records.
 
     Raises:
         errors.SettingsRefused: The destination can't be opened.
@@ -129,31 +132,33 @@
 
 
 def write_record(level: Level, kind: str, **fields: object) -> None:
-    """Writes one record.
+    """Writes a record to the log unless its level is below the log's level.
 
     Args:
-        level: How much it matters.
-        kind: What happened, such as `control.refused`.
-        fields: Details that JSON can show.
+        level: Severity of the record.
+        kind: Kind of the record, such as `control.refused`.
+        fields: Further fields of the record, encoded as JSON.
     """
     if level >= _threshold:
         eliot.log_message(kind, level=level.name.lower(), **fields)
 
 
 _rate_limits: dict[str, tuple[float, int]] = {}
-"""When a limited kind was last written, and how many were left out since."""
+"""Time of the last written record and number of suppressed records since, by
+kind."""
 
 
 def write_rate_limited(level: Level, kind: str, **fields: object) -> None:
-    """Writes at most one record of a kind a second.
+    """Writes at most one record of this kind per second.
 
-    Guards against a stranger who sends what is refused as fast as he can:
-    without the limit he would push all other records out of the log.
+    The next record that is written has the number of suppressed records in its
+    field `left_out`. Without the limit, a client that keeps sending requests
+    that are refused would push all other records out of the log.
 
     Args:
-        level: How much it matters.
-        kind: What happened.
-        fields: Details that JSON can show.
+        level: Severity of the record.
+        kind: Kind of the record.
+        fields: Further fields of the record, encoded as JSON.
     """
     now = time.monotonic()
     last, left_out = _rate_limits.get(kind, (-LIMIT_INTERVAL, 0))
@@ -165,14 +170,14 @@
 
 
 def start_action(kind: str, **fields: object) -> eliot.Action | None:
-    """Starts an action that ends later, by `end_action`.
+    """Logs the start of an action; `end_action` logs its end.
 
     Args:
-        kind: What is done, such as `request`.
-        fields: Details known at the start.
+        kind: Kind of the action, such as `request`.
+        fields: Fields of the start record.
 
     Returns:
-        The action; None if the level leaves actions out.
+        The action; None if the log level excludes actions.
     """
     if _threshold > Level.INFO:
         return None
@@ -180,11 +185,11 @@
 
 
 def end_action(action: eliot.Action | None, **fields: object) -> None:
-    """Ends an action.
+    """Logs the end of an action.
 
     Args:
-        action: What `start_action` gave; None does nothing.
-        fields: Details known at the end.
+        action: Return value of `start_action`; does nothing if None.
+        fields: Fields of the end record.
     """
     if action is not None:
         action.add_success_fields(level="info", **fields)
--- a/sycamorefall/observation/metrics.py
+++ b/sycamorefall/observation/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a process, for the Prometheus text format."""
+"""Metrics of a process in the Prometheus text format."""
 
 __all__ = [
     "CONTENT_TYPE",
@@ -18,19 +18,19 @@
 from sycamorefall.observation import recorder as recorder_module
 
 CONTENT_TYPE = prometheus_client.CONTENT_TYPE_PLAIN_0_0_4
-"""Media type of the format."""
+"""Media type of the Prometheus text format."""
 
 PREFIX = "sycamorefall_"
 
 QUANTILES = (0.5, 0.9, 0.95, 0.99, 1.0)
-"""Shares of all requests whose longest time is shown."""
+"""Quantiles of the times in the summary metrics."""
 
 ValuesByLabels = Mapping[tuple[str, ...], float]
-"""Values by those of the labels."""
+"""Values of a metric by its label values."""
 
 
 class _MetricCollector:
-    """Metrics in the shape of a registry."""
+    """Adapts metrics to the interface of a Prometheus registry."""
 
     __slots__ = ("_metrics",)
 
@@ -38,18 +38,18 @@
         self._metrics = metrics
 
     def collect(self) -> Iterable[metrics_core.Metric]:
-        """Lists the metrics."""
+        """Returns the metrics."""
         return self._metrics
 
 
 def format_metrics(metrics: Iterable[metrics_core.Metric]) -> bytes:
-    """Formats metrics as text.
+    """Formats metrics in the Prometheus text format.
 
     Args:
         metrics: The metrics.
 
     Returns:
-        The text, encoded.
+        The encoded text.
 
     Example:
         >>> held = create_gauge("held", "Held.", (), {(): 2.0})
@@ -62,13 +62,13 @@
 def create_gauge(
     name: str, text: str, labels: tuple[str, ...], values: ValuesByLabels
 ) -> metrics_core.Metric:
-    """Builds a metric that can go down.
+    """Creates a gauge: a metric whose value can go down.
 
     Args:
-        name: Its name without the common prefix.
-        text: One line for people.
-        labels: Names of its labels.
-        values: Its values by those of the labels.
+        name: Name of the metric without `PREFIX`.
+        text: Help text of one line.
+        labels: Names of the labels.
+        values: Values by label values.
 
     Returns:
         The metric.
@@ -82,7 +82,7 @@
 def create_counter(
     name: str, text: str, labels: tuple[str, ...], values: ValuesByLabels
 ) -> metrics_core.Metric:
-    """Builds a metric that only grows; as `create_gauge`."""
+    """Creates a counter, which never goes down; arguments as `create_gauge`."""
     metric = metrics_core.CounterMetricFamily(
         PREFIX + name, text, labels=labels
     )
@@ -94,7 +94,7 @@
 def list_recorder_metrics(
     recorder: recorder_module.Recorder,
 ) -> Iterator[metrics_core.Metric]:
-    """Lists the metrics of a process's records."""
+    """Lists the request counters, event counters and time summaries."""
     yield create_counter(
         "requests",
         "Requests that ended, by result.",
--- a/sycamorefall/observation/nonblocking_output.py
+++ b/sycamorefall/observation/nonblocking_output.py
@@ -1,4 +1,4 @@
-"""Writes to a file descriptor that never wait for its reader."""
+"""Non-blocking writes to files, pipes and sockets."""
 
 __all__ = [
     "NonBlockingWrite",
@@ -14,22 +14,25 @@
 from sycamorefall import errors
 
 NonBlockingWrite = Callable[[bytes], int]
-"""Writes what goes at once; returns its size, raises `OSError` if nothing."""
+"""Writes as much as possible without blocking and returns the bytes written.
+
+Raises `BlockingIOError` if nothing can be written now, or another `OSError`.
+"""
 
 STANDARD_STREAMS = {"stdout": 1, "stderr": 2}
-"""Destinations that are open already."""
+"""Descriptors of the standard streams by their name in the settings."""
 
 _FLAGS = os.O_WRONLY | os.O_APPEND | os.O_NONBLOCK | os.O_NOCTTY | os.O_CLOEXEC
 
 
 def open_destination(destination: str) -> NonBlockingWrite:
-    """Opens where log records go.
+    """Opens the destination of the log.
 
     Args:
         destination: `stderr`, `stdout` or the path of a file.
 
     Returns:
-        A function that writes without waiting.
+        A function that writes to it without blocking.
 
     Raises:
         errors.SettingsRefused: The file can't be opened.
@@ -44,32 +47,37 @@
 
 
 def reopen_nonblocking(descriptor: int) -> NonBlockingWrite:
-    """Makes a non-blocking writer for an open descriptor.
+    """Creates a function that writes to an open descriptor without blocking.
 
-    Setting the flag on the descriptor itself would set it for every process
-    that shares it, such as the shell; so the file behind it is opened anew.
+    Opens the file behind the descriptor again. `O_NONBLOCK` isn't set on the
+    descriptor itself since the flag would apply to every process that shares
+    the open file, such as the shell.
     """
     if stat.S_ISSOCK(os.fstat(descriptor).st_mode):
         return _write_socket(descriptor)
     try:
-        own = os.open(f"/proc/self/fd/{descriptor}", _FLAGS)
+        reopened = os.open(f"/proc/self/fd/{descriptor}", _FLAGS)
     except OSError:
         return _write_when_ready(descriptor)
-    return lambda data: os.write(own, data)
+    return lambda data: os.write(reopened, data)
 
 
 def _write_socket(descriptor: int) -> NonBlockingWrite:
-    """Writes to a socket, which can't be opened by path (journald's)."""
-    shared = socket.socket(fileno=os.dup(descriptor))
+    """Creates a function that sends to a socket without blocking.
+
+    Sockets, such as those of journald, can't be opened by path.
+    """
+    stream_socket = socket.socket(fileno=os.dup(descriptor))
     flags = socket.MSG_DONTWAIT | socket.MSG_NOSIGNAL
-    return lambda data: shared.send(data, flags)
+    return lambda data: stream_socket.send(data, flags)
 
 
 def _write_when_ready(descriptor: int) -> NonBlockingWrite:
-    """Writes to what another user opened and this one may not open anew.
+    """Creates a function that writes only if the descriptor polls as writable.
 
-    A pipe that polls as writable has room for this much, so the write does
-    not block unless another process fills it in between.
+    Used where this user has no permission to open the file behind the
+    descriptor. A pipe that polls as writable has room for `PIPE_BUF` bytes, so
+    the write blocks only if another process fills the pipe after the poll.
     """
     poller = select.poll()
     poller.register(descriptor, select.POLLOUT)
--- a/sycamorefall/observation/recorder.py
+++ b/sycamorefall/observation/recorder.py
@@ -1,7 +1,7 @@
-"""Records what happens to requests: log actions, counters, histograms.
+"""Records the progress of requests in the log, counters and histograms.
 
-The daemons call these functions at each step of a request. The decisions
-know nothing of them.
+The I/O code of routers and sidecars calls these functions at each step of a
+request; the decision logic doesn't depend on them.
 """
 
 __all__ = [
@@ -29,10 +29,10 @@
     """Counters and histograms of one process.
 
     Attributes:
-        histograms: Times of requests.
-        requests: Ended requests by (service, result).
-        events: Counts of other events by (event, detail).
-        open: Requests in progress.
+        histograms: Histograms of the requests' times.
+        requests: Number of ended requests by (service, result).
+        events: Number of other events by (event, detail).
+        open: Number of requests in progress.
     """
 
     histograms: histograms_module.TeamHistograms = dataclasses.field(
@@ -49,19 +49,22 @@
 
 @dataclasses.dataclass(slots=True)
 class RequestTrace:
-    """One request in progress.
+    """Log and metric data of one request in progress.
+
+    Times are those of this process's clock in seconds, None before the event.
 
     Attributes:
-        service: Its service.
-        team: Its team.
-        arrived_at: When it arrived, by this process's clock.
-        action: Its log action; None if the log's level leaves it out.
-        attempt_id: Its last attempt.
-        sent_at: When that was handed out.
-        first_piece_at: When the first piece of its answer came.
-        last_piece_at: When the last one came.
-        pieces: Pieces of its answer so far.
-        ended: Whether its end is recorded.
+        service: The requested service.
+        team: The team whose request it is.
+        arrived_at: Time at which the request arrived.
+        action: Log action of the request; None if the log level excludes it.
+        attempt_id: ID of the last attempt.
+        sent_at: Time at which the last attempt was sent.
+        first_piece_at: Time at which the first piece of the streamed response
+            was received.
+        last_piece_at: Time at which the last piece so far was received.
+        pieces: Number of pieces received so far.
+        ended: Whether the end of the request was recorded.
     """
 
     service: str
@@ -83,17 +86,17 @@
     team: str,
     **fields: object,
 ) -> RequestTrace:
-    """Records that a request, or an attempt at a sidecar, begins.
+    """Records the arrival of a request at a router or an attempt at a sidecar.
 
     Args:
-        recorder: The process's records; changed.
-        now: This process's time.
-        service: The service.
-        team: The team.
-        fields: Further details for the log, such as `request_id`.
+        recorder: Counters and histograms of the process; modified.
+        now: Current time of this process's clock.
+        service: The requested service.
+        team: The team whose request it is.
+        fields: Additional fields for the log record, such as `request_id`.
 
     Returns:
-        The request's track, for the other functions.
+        Trace of the request, to be passed to the other functions.
     """
     histograms_module.record_request(recorder.histograms, service, team)
     recorder.open += 1
@@ -120,15 +123,17 @@
     sidecar: str,
     **fields: object,
 ) -> None:
-    """Records that a request is handed out.
+    """Logs that an attempt is sent; records the wait before the first one.
 
     Args:
-        recorder: The process's records; changed.
-        trace: The request.
-        now: This process's time.
-        attempt_id: The attempt.
-        sidecar: VM name of the sidecar, or the upstream that gets it.
-        fields: What decided it, for the log.
+        recorder: Counters and histograms of the process; modified.
+        trace: Trace of the request; modified.
+        now: Current time of this process's clock.
+        attempt_id: ID of the attempt.
+        sidecar: Receiver of the attempt: VM name of a sidecar, or name of an
+            upstream.
+        fields: Additional fields for the log record: the data that the
+            decision was based on.
     """
     first = trace.sent_at is None
     trace.sent_at, trace.attempt_id = now, attempt_id
@@ -151,8 +156,8 @@
     """Counts the end of an attempt and logs it unless the attempt succeeded.
 
     Args:
-        recorder: The process's records; changed.
-        trace: The request.
+        recorder: Counters and histograms of the process; modified.
+        trace: Trace of the request.
         end: How the attempt ended; one of a fixed set of values.
         fields: Additional fields for the log record.
     """
@@ -168,12 +173,12 @@
 
 
 def record_piece(recorder: Recorder, trace: RequestTrace, now: float) -> None:
-    """Records that a piece of a streamed answer came.
+    """Records the receipt of a piece of a streamed response.
 
     Args:
-        recorder: The process's records; changed.
-        trace: The request.
-        now: This process's time.
+        recorder: Counters and histograms of the process; modified.
+        trace: Trace of the request; modified.
+        now: Current time of this process's clock.
     """
     trace.pieces += 1
     if trace.last_piece_at is None:
@@ -195,14 +200,14 @@
     result: str,
     **fields: object,
 ) -> None:
-    """Records the end of a request, once.
+    """Records the end of a request; does nothing after the first call.
 
     Args:
-        recorder: The process's records; changed.
-        trace: The request.
-        now: This process's time.
+        recorder: Counters and histograms of the process; modified.
+        trace: Trace of the request; modified.
+        now: Current time of this process's clock.
         result: `answered`, `cancelled` or the value of an error kind.
-        fields: Further details for the log.
+        fields: Additional fields for the log record.
     """
     if trace.ended:
         return
@@ -231,11 +236,12 @@
 
 
 def count_event(recorder: Recorder, event: str, detail: str = "") -> None:
-    """Counts something that is no request's end.
+    """Counts an event other than the end of a request.
 
     Args:
-        recorder: The process's records; changed.
-        event: What happened, of a closed set of words.
-        detail: Which kind of it, of a closed set too.
+        recorder: Counters and histograms of the process; modified.
+        event: Kind of the event; one of a fixed set of values, since each is a
+            label value of a metric.
+        detail: Subkind of the event; also one of a fixed set.
     """
     recorder.events[event, detail] += 1
--- a/sycamorefall/observation/report.py
+++ b/sycamorefall/observation/report.py
@@ -1,4 +1,4 @@
-"""Draws histograms and the fairness gap from saved statuses."""
+"""Plots time histograms and the fairness gap from saved statuses."""
 
 __all__ = ["write_report"]
 
@@ -16,10 +16,10 @@
 from sycamorefall.observation import tables
 
 MAX_CURVES = 8
-"""Teams drawn in one panel: those with the most requests."""
+"""Maximum number of teams in one panel; those with the most requests."""
 
 POINTS = 64
-"""Points of a drawn curve."""
+"""Number of points of a plotted curve."""
 
 _PAGE = """\
 <!doctype html>
@@ -42,15 +42,16 @@
 def write_report(
     snapshots: Sequence[snapshots_module.Snapshot], path: str
 ) -> None:
-    """Writes a report as a self-contained HTML page or as a PNG picture.
+    """Writes a report as a self-contained HTML page or a PNG image.
 
     Args:
         snapshots: Statuses in the order in which they were taken.
-        path: The file; its ending, `.html` or `.png`, tells which.
+        path: Path of the file; its suffix, `.html` or `.png`, selects the
+            format.
 
     Raises:
-        errors.SettingsRefused: There is nothing to draw, the file can't be
-            written, or matplotlib is missing.
+        errors.SettingsRefused: There is nothing to plot, the file can't be
+            written, or matplotlib isn't installed.
     """
     suffix = pathlib.Path(path).suffix.lower()
     if suffix not in (".html", ".png"):
@@ -74,7 +75,7 @@
     gaps = snapshots_module.compute_gaps(snapshots)
     panels = len(times) + len(gaps)
     if not panels:
-        raise errors.SettingsRefused("the statuses hold nothing to draw")
+        raise errors.SettingsRefused("the statuses contain nothing to plot")
     rows = (panels + 1) // 2
     drawing = figure.Figure(figsize=(13, 3.6 * rows), layout="constrained")
     axes = drawing.subplots(rows, 2, squeeze=False).flat
@@ -91,7 +92,7 @@
 
 
 def _choose_colours(times: snapshots_module.TimesByKind) -> dict[str, str]:
-    """Gives each team one colour in all panels."""
+    """Assigns each team a colour that is the same in all panels."""
     teams = sorted({team for panel in times.values() for team in panel})
     return {team: f"C{number % 10}" for number, team in enumerate(teams)}
 
@@ -111,13 +112,13 @@
         label = f"{name}: {counts.get_total_count()}"
         axis.plot(seconds, shares, label=label, color=colours[team])
     left_out = len(busiest) - MAX_CURVES
-    more = f", {left_out} more teams not drawn" if left_out > 0 else ""
+    more = f", {left_out} more teams not shown" if left_out > 0 else ""
     axis.set_title(f"{service}: {time.replace('_', ' ')}{more}")
     axis.set_xscale("log")
-    # Labels of minor ticks would overlap where an axis spans one decade.
+    # Labels of minor ticks would overlap on an axis that spans one decade.
     axis.xaxis.set_minor_formatter("")
     axis.set_xlabel("seconds")
-    axis.set_ylabel("share that took no longer")
+    axis.set_ylabel("cumulative fraction")
     axis.set_ylim(0, 1.02)
     axis.grid(alpha=0.3)
     axis.legend(fontsize="small", loc="lower right")
@@ -162,7 +163,7 @@
     return _PAGE.format(
         title="sycamorefall report",
         summary=f"{len(snapshots)} statuses of {len(last)} processes over "
-        f"{seconds:.0f} s. Below the picture: the last status of each.",
+        f"{seconds:.0f} s. Below the plots: the last status of each process.",
         image=base64.b64encode(picture).decode(),
         statuses=shown,
     ).encode()
--- a/sycamorefall/observation/request_explanation.py
+++ b/sycamorefall/observation/request_explanation.py
@@ -1,4 +1,4 @@
-"""What several processes' logs tell of one request, in order."""
+"""Collects the records of one request from the logs of several processes."""
 
 __all__ = [
     "Explanation",
@@ -17,8 +17,11 @@
 from sycamorefall import errors
 
 CONTEXT_SECONDS = 3.0
-"""Seconds before a request whose process-wide records are shown with it: the
-longest time after which a lost dependency still decides over it."""
+"""Seconds before a request from which process-wide records are included.
+
+This is the longest time after which the loss of a dependency still affects a
+request.
+"""
 
 _REQUEST = "request"
 _HIDDEN = frozenset(
@@ -35,7 +38,7 @@
 
 
 class _Record(msgspec.Struct):
-    """The fields that all log records share."""
+    """Fields common to all log records."""
 
     timestamp: float
     task_uuid: str
@@ -49,12 +52,13 @@
     """One record of a log.
 
     Attributes:
-        log: Name of the log.
-        at: Time of day, in seconds, by the clock of its process.
-        kind: What happened.
-        fields: Its details, as text.
-        task: The task that it belongs to.
-        of_request: Whether it belongs to the request, not to the process.
+        log: File name of the log.
+        at: Time of the record in seconds since 1970, by its process's clock.
+        kind: Kind of the record.
+        fields: Further fields of the record, formatted as text.
+        task: UUID of the eliot task that the record belongs to.
+        of_request: Whether the record is about the explained request; if not,
+            it is about the whole process.
     """
 
     log: str
@@ -67,63 +71,73 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Explanation:
-    """What the logs tell of a request.
+    """What the logs contain about a request.
 
     Attributes:
-        request_id: The caller's id.
-        lines: Records of the request, and of its processes meanwhile.
-        causes: What follows, one sentence for each process that had it.
-        missing: What the logs lack.
+        request_id: ID or fingerprint that was searched for.
+        records: Records of the request and, from the same time, process-wide
+            records of the processes that handled it.
+        causes: How the request ended and why; one sentence for each task with
+            the ID or fingerprint.
+        missing: Records that the logs lack.
     """
 
     request_id: str
-    lines: tuple[LogRecord, ...]
+    records: tuple[LogRecord, ...]
     causes: tuple[str, ...]
     missing: tuple[str, ...]
 
 
 def explain_request(request_id: str, paths: Sequence[str]) -> Explanation:
-    """Collects and orders what logs tell of a request.
+    """Collects and orders the log records about a request.
 
     Args:
-        request_id: The id that the caller sent, or got; or the fingerprint of
-            requests that lost their upstream connection or are quarantined.
-        paths: Logs of one or more processes, as they wrote them.
+        request_id: Request ID that the caller sent or received; or fingerprint
+            of requests that lost their upstream connection or are quarantined.
+        paths: Paths of the logs of one or more processes.
 
     Returns:
-        The records of the request and those that concern the whole process
-        shortly before it and meanwhile.
+        The records of the request, and the process-wide records from
+        `CONTEXT_SECONDS` before the request until its end.
 
     Raises:
-        errors.SettingsRefused: A log can't be read, or none has the request.
+        errors.SettingsRefused: A log can't be read, or none contains the
+            request.
     """
     found: list[LogRecord] = []
     missing: list[str] = []
     causes: list[str] = []
     for path in paths:
-        lines = list(_read_lines(path))
+        records = list(_read_records(path))
         tasks = {
-            line.task
-            for line in lines
+            record.task
+            for record in records
             if request_id
-            in (line.fields.get("request_id"), line.fields.get("fingerprint"))
+            in (
+                record.fields.get("request_id"),
+                record.fields.get("fingerprint"),
+            )
         }
         if not tasks:
             continue
-        found += _select_lines(lines, tasks)
-        missing += _find_gaps(lines, tasks)
-        causes += [_explain_task(lines, task) for task in sorted(tasks)]
+        found += _select_records(records, tasks)
+        missing += _list_missing_records(records, tasks)
+        causes += [_explain_task(records, task) for task in sorted(tasks)]
     if not found:
         raise errors.SettingsRefused(
             f"no log has the request {request_id!r}; it reached another "
-            "process, or its record was dropped (see log.dropped)"
+            "process, or its records were dropped (see log.dropped)"
         )
-    found.sort(key=lambda line: line.at)
+    found.sort(key=lambda record: record.at)
     return Explanation(request_id, tuple(found), tuple(causes), tuple(missing))
 
 
-def _read_lines(path: str) -> Iterator[LogRecord]:
-    """Reads a log; what stands before a record, and other text, is skipped."""
+def _read_records(path: str) -> Iterator[LogRecord]:
+    """Reads the records of a log.
+
+    Text before a record, such as a log collector's prefix, and lines without a
+    record are skipped.
+    """
     try:
         data = pathlib.Path(path).read_bytes()
     except OSError as fault:
@@ -134,11 +148,11 @@
             continue
         try:
             fields = msgspec.json.decode(text[start:])
-            record = msgspec.convert(fields, _Record)
+            common = msgspec.convert(fields, _Record)
         except (msgspec.DecodeError, UnicodeDecodeError):
             continue
-        action = f"{record.action_type} {record.action_status}".strip()
-        kind = record.message_type or action
+        action = f"{common.action_type} {common.action_status}".strip()
+        kind = common.message_type or action
         details = {
             name: _format_value(value)
             for name, value in fields.items()
@@ -146,10 +160,10 @@
         }
         yield LogRecord(
             pathlib.Path(path).name,
-            record.timestamp,
+            common.timestamp,
             kind,
             details,
-            record.task_uuid,
+            common.task_uuid,
         )
 
 
@@ -159,42 +173,48 @@
     return msgspec.json.encode(value).decode()
 
 
-def _select_lines(
-    lines: Sequence[LogRecord], tasks: set[str]
+def _select_records(
+    records: Sequence[LogRecord], tasks: set[str]
 ) -> list[LogRecord]:
-    """Selects the lines of tasks, and of the process around them."""
-    own = [line for line in lines if line.task in tasks]
-    first, last = own[0].at - CONTEXT_SECONDS, own[-1].at
+    """Selects the records of tasks and the process-wide records around them."""
+    task_records = [record for record in records if record.task in tasks]
+    first, last = task_records[0].at - CONTEXT_SECONDS, task_records[-1].at
     around = [
-        line
-        for line in lines
-        if line.task not in tasks
-        and first <= line.at <= last
-        and not line.kind.startswith(_REQUEST)
+        record
+        for record in records
+        if record.task not in tasks
+        and first <= record.at <= last
+        and not record.kind.startswith(_REQUEST)
     ]
-    return [dataclasses.replace(line, of_request=True) for line in own] + around
+    return [
+        dataclasses.replace(record, of_request=True) for record in task_records
+    ] + around
 
 
-def _find_gaps(lines: Sequence[LogRecord], tasks: set[str]) -> Iterator[str]:
-    name = lines[0].log
+def _list_missing_records(
+    records: Sequence[LogRecord], tasks: set[str]
+) -> Iterator[str]:
+    name = records[0].log
     for task in sorted(tasks):
-        kinds = [line.kind for line in lines if line.task == task]
+        kinds = [record.kind for record in records if record.task == task]
         if f"{_REQUEST} started" not in kinds:
             yield f"{name}: the record of the request's arrival"
         if f"{_REQUEST} succeeded" not in kinds:
             yield (
-                f"{name}: the record of its end; the process ended, or still "
-                "had it when the log was taken"
+                f"{name}: the record of its end; the process ended, or the "
+                "request was still in progress when the log was copied"
             )
-    dropped = [line for line in lines if line.kind == "log.dropped"]
+    dropped = [record for record in records if record.kind == "log.dropped"]
     if dropped:
-        count = sum(int(line.fields.get("records", "0")) for line in dropped)
-        yield f"{name}: {count} records that its reader was too slow for"
+        count = sum(
+            int(record.fields.get("records", "0")) for record in dropped
+        )
+        yield f"{name}: {count} records dropped since the log reader was slow"
 
 
-_KINDS = {kind.value: kind for kind in errors.ErrorKind}
+_KINDS_BY_VALUE = {kind.value: kind for kind in errors.ErrorKind}
 
-_ENDS = {
+_RESULT_TEXTS = {
     "no_upstream": "refused, it has not run",
     "not_ready": (
         "refused, it has not run: the router could not prove that its "
@@ -203,10 +223,10 @@
     "outcome_unknown": (
         "its upstream broke off; whether it ran, only the upstream knows"
     ),
-    "retries_exhausted": "all upstreams that it may be sent to failed it",
+    "retries_exhausted": "all upstreams that it may be sent to failed",
     "deadline_exceeded": "its time was over before an answer came",
     "broken_off": "its answer was broken off after it had begun",
-    "cancelled": "its caller left before the answer was whole",
+    "cancelled": "its caller disconnected before the response was complete",
     "dropped": "not begun: its caller had left when it was read",
     "quarantined": (
         "refused, it has not run: upstreams that ran it crashed, see "
@@ -215,39 +235,43 @@
 }
 
 
-def _explain_task(lines: Sequence[LogRecord], task: str) -> str:
-    own = [line for line in lines if line.task == task]
-    sends = [line for line in own if line.kind == "request.handed_out"]
+def _explain_task(records: Sequence[LogRecord], task: str) -> str:
+    task_records = [record for record in records if record.task == task]
+    sends = [
+        record for record in task_records if record.kind == "request.handed_out"
+    ]
     merged: dict[str, str] = dict(
-        itertools.chain.from_iterable(line.fields.items() for line in own)
+        itertools.chain.from_iterable(
+            record.fields.items() for record in task_records
+        )
     )
     result = merged.get("result", "")
-    at = sends[-1].fields.get("sidecar", "?") if sends else ""
-    where = f"{own[0].log}: "
+    receiver = sends[-1].fields.get("sidecar", "?") if sends else ""
+    prefix = f"{task_records[0].log}: "
     if result == "answered":
-        return where + _explain_answer(merged, len(sends))
-    end = _ENDS.get(result) or _describe_kind(result)
-    sent = f"; sent {len(sends)} times, last to {at}" if sends else ""
-    return where + end + _explain_refusal(merged) + sent
+        return prefix + _explain_response(merged, len(sends))
+    end = _RESULT_TEXTS.get(result) or _describe_result(result)
+    sent = f"; sent {len(sends)} times, last to {receiver}" if sends else ""
+    return prefix + end + _explain_refusal(merged) + sent
 
 
-def _describe_kind(result: str) -> str:
-    """Describes an end that callers read a sentence for, or none."""
-    kind = _KINDS.get(result)
+def _describe_result(result: str) -> str:
+    """Describes the result of a request that ended with an `ErrorKind`."""
+    kind = _KINDS_BY_VALUE.get(result)
     if kind is None:
         return result or "no end is recorded"
     return f"{result}: {errors.MEANINGS[kind]}"
 
 
-def _explain_answer(merged: dict[str, str], sends: int) -> str:
+def _explain_response(merged: dict[str, str], sends: int) -> str:
     first = merged.get("first_seconds", "null")
     target = merged.get("target", "null")
     text = f"answered with status {merged.get('status', '?')}"
     if "null" not in (first, target) and float(first) > float(target):
         text += f", late: it began after {first} s, {target} s were allowed"
         if "begins_in" in merged:
-            text += f" (reckoned when it was sent: {merged['begins_in']} s)"
-    return text + (f", by its upstream number {sends}" if sends > 1 else "")
+            text += f" (estimated when it was sent: {merged['begins_in']} s)"
+    return text + (f", on attempt {sends}" if sends > 1 else "")
 
 
 def _explain_refusal(merged: dict[str, str]) -> str:
@@ -256,28 +280,32 @@
     counts = msgspec.json.decode(merged["obstacles"], type=dict[str, int])
     upstreams = ", ".join(f"{count} {name}" for name, count in counts.items())
     return (
-        f": upstreams: {upstreams or 'none listed'}; its team received "
-        f"{merged.get('received')}, the best served one {merged.get('most')}, "
-        "the least that waited elsewhere "
-        f"{merged.get('floor')}; {merged.get('routers')} routers heard, "
-        f"configuration {merged.get('configuration')}, upstreams listed "
-        f"{merged.get('listing_age')} s before"
+        f": upstreams: {upstreams or 'none listed'}; cost units received: its "
+        f"team {merged.get('received')}, the best served team "
+        f"{merged.get('most')}, the least served team that waits at another "
+        f"router {merged.get('floor')}; loads of {merged.get('routers')} "
+        f"routers counted, configuration {merged.get('configuration')}, "
+        f"upstream list last confirmed {merged.get('listing_age')} s before"
     )
 
 
 def format_explanation(explanation: Explanation) -> str:
-    """Formats an explanation for a terminal."""
-    first = min(line.at for line in explanation.lines)
+    """Formats an explanation as text, with times since the first record."""
+    first = min(record.at for record in explanation.records)
     parts = [f"request {explanation.request_id}"]
     parts += [
-        _format_line(line, first, line.of_request) for line in explanation.lines
+        _format_record(record, first, record.of_request)
+        for record in explanation.records
     ]
     parts += [f"cause: {cause}" for cause in explanation.causes]
     parts += [f"missing: {gap}" for gap in explanation.missing]
     return "\n".join(parts)
 
 
-def _format_line(line: LogRecord, first: float, of_request: bool) -> str:
-    details = " ".join(f"{name}={text}" for name, text in line.fields.items())
+def _format_record(record: LogRecord, first: float, of_request: bool) -> str:
+    details = " ".join(f"{name}={text}" for name, text in record.fields.items())
     mark = "*" if of_request else " "
-    return f"{mark} {line.at - first:8.3f} s {line.log} {line.kind} {details}"
+    return (
+        f"{mark} {record.at - first:8.3f} s {record.log} {record.kind} "
+        f"{details}"
+    )
--- a/sycamorefall/observation/snapshots.py
+++ b/sycamorefall/observation/snapshots.py
@@ -1,4 +1,4 @@
-"""Saved statuses, and what follows from several of them."""
+"""Reads saved statuses and aggregates them: histograms and fairness gaps."""
 
 __all__ = [
     "GapPoint",
@@ -25,10 +25,10 @@
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """Decodes a status.
+    """Decodes a status from JSON.
 
     Raises:
-        errors.SettingsRefused: The bytes are no status.
+        errors.SettingsRefused: The data is not a status.
     """
     try:
         return _decoder.decode(data)
@@ -37,16 +37,16 @@
 
 
 def read_snapshots(paths: Iterable[str]) -> list[Snapshot]:
-    """Reads files with one status a line, as `status --json` prints them.
+    """Reads files with one status per line, as printed by `status --json`.
 
     Args:
-        paths: The files.
+        paths: Paths of the files.
 
     Returns:
-        The statuses in the order in which they were taken.
+        The statuses, ordered by the time at which they were taken.
 
     Raises:
-        errors.SettingsRefused: A file can't be read, or a line is no status.
+        errors.SettingsRefused: A file can't be read, or a line isn't a status.
     """
     found = [status for path in paths for status in _read_file(path)]
     return sorted(found, key=lambda status: status.taken_at)
@@ -68,19 +68,21 @@
 
 
 TimesByKind = dict[tuple[str, str], dict[str, histogram.HdrHistogram]]
-"""Histograms by team, by (service, time)."""
+"""Histograms by (service, kind of time), then by team."""
 
 
 def merge_times(snapshots: Sequence[Snapshot]) -> TimesByKind:
-    """Adds up the histograms of several processes.
+    """Merges the histograms of several processes.
 
-    Callers wait at routers, so those are shown if there are any.
+    If there are statuses of routers, only their histograms are merged: their
+    times include the wait of the callers.
 
     Args:
-        snapshots: Statuses, the last one of each process counts.
+        snapshots: Statuses in the order in which they were taken; only the
+            last one of each process is used.
 
     Returns:
-        Histograms by team, by service and kind of time.
+        Histograms by (service, kind of time), then by team.
     """
     last = {(s.vm, s.incarnation): s for s in snapshots}.values()
     routers = [s for s in last if isinstance(s, status_module.RouterStatus)]
@@ -99,11 +101,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class GapPoint:
-    """The fairness gap at a time.
+    """Fairness gap at one time.
 
     Attributes:
-        at: When, in seconds since 1970.
-        gap: The gap over all windows that end then, in cost units.
+        at: Time in seconds since 1970.
+        gap: Largest gap over all windows that end at this time, in cost units
+            per weight.
     """
 
     at: float
@@ -112,12 +115,15 @@
 
 @dataclasses.dataclass(slots=True)
 class _LeadRange:
-    """How far one team is ahead of another while both have work waiting.
+    """Lead of one team over another while both have waiting requests.
+
+    The lead is the difference of their received service per weight. `least`
+    and `most` cover the statuses since both teams have waiting requests.
 
     Attributes:
-        now: At the last status.
-        least: The least since both have work waiting.
-        most: The most since then.
+        now: Lead at the last status.
+        least: Smallest lead.
+        most: Largest lead.
     """
 
     now: float
@@ -128,18 +134,18 @@
 def compute_gaps(snapshots: Sequence[Snapshot]) -> dict[str, list[GapPoint]]:
     """Computes the fairness gap over time, by service.
 
-    The gap is the largest difference in service per weight that two teams
-    received over a window in which both had work waiting. It is an estimate,
-    as fine as the statuses are frequent: a queue that was empty between two
-    of them goes unseen, and so does a gap that came and went.
+    The gap is the largest difference in received service per weight between
+    two teams over a window in which both had waiting requests. It is an
+    estimate whose resolution is the interval between statuses: queues that
+    were empty and gaps that occurred only between two statuses are missed.
 
     Args:
-        snapshots: Statuses in the order in which they were taken. Of each
-            service, those of the sidecar with the most are used: each
-            sidecar knows the accounts of all.
+        snapshots: Statuses in the order in which they were taken. For each
+            service, those of the sidecar with the most statuses are used;
+            one sidecar is enough since each knows the accounts of all.
 
     Returns:
-        Points in the order of time, by service.
+        Gaps in chronological order, by service.
     """
     sidecars = [
         s for s in snapshots if isinstance(s, status_module.SidecarStatus)
--- a/sycamorefall/observation/status.py
+++ b/sycamorefall/observation/status.py
@@ -1,4 +1,4 @@
-"""What a process tells of itself at `/status`: structs, encoded as JSON."""
+"""Status of a process: the JSON body of `/status`."""
 
 __all__ = [
     "ControlStatus",
@@ -24,18 +24,18 @@
 from sycamorefall.observation import histograms as histograms_module
 
 MAX_TEAMS_SHOWN = 200
-"""Teams listed in a status, those with the most waiting first."""
+"""Maximum number of teams in a status; those with most requests are kept."""
 
 _QUANTILES = (0.5, 0.95, 0.99, 1.0)
 
 
 class PeerState(enum.Enum):
-    """What a process thinks of another.
+    """State of another process as seen by this one.
 
-    OK: heard from lately.
-    SUSPECT: silent for longer than `membership.SUSPECT_AFTER`.
-    UNHEARD: listed by the platform, never heard from.
-    STOPPING: it said that it takes nothing new.
+    OK: a message from it was received recently.
+    SUSPECT: no message for longer than `membership.SUSPECT_AFTER`.
+    UNHEARD: in the platform's VM list, but no message was received yet.
+    STOPPING: it announced that it accepts no new work.
     LEAVING: the operators marked its VM as leaving.
     """
 
@@ -47,7 +47,11 @@
 
 
 class PeerStatus(msgspec.Struct, frozen=True):
-    """Another process; `silent_for` is in seconds, null if never heard."""
+    """State of another process.
+
+    `silent_for` is the time since its last message in seconds, null if none was
+    received.
+    """
 
     vm: str
     role: membership.VmRole
@@ -58,7 +62,7 @@
 
 
 class ControlStatus(msgspec.Struct, frozen=True):
-    """Control traffic: bytes, and messages dropped or refused."""
+    """Control traffic: bytes, and counts of messages dropped or refused."""
 
     bytes_sent: int
     bytes_received: int
@@ -67,7 +71,7 @@
 
 
 class PlatformStatus(msgspec.Struct, frozen=True):
-    """Reads of the platform's configuration service."""
+    """Counts of reads from the platform's configuration service."""
 
     reads: int
     failures: int
@@ -75,18 +79,21 @@
 
 
 class ReplicationStatus(msgspec.Struct, frozen=True):
-    """What this process holds of the platform's values, and from whom.
+    """State of the replication of the configuration text and the VM list.
 
     Attributes:
-        settled: Whether peers and platform were asked since the start.
+        settled: Whether the process has asked peers and platform for the
+            newest documents since its start.
         watching: Whether this process watches the platform.
-        digest: Start of the digest of the text in force.
-        conflict: Which two texts came under its revision, if any did.
-        alarms: What operators have to mend at the platform.
-        older_lists: VM lists of a lower revision, ignored.
-        outdated: Messages of replaced processes, ignored.
+        digest: First characters of the digest of the configuration text in
+            force.
+        conflict: Describes two different texts that were received with the
+            revision in force; empty if there is no such conflict.
+        alarms: Problems of the platform that operators have to fix.
+        older_lists: Ignored VM lists with a lower revision.
+        outdated: Ignored messages of processes that have been replaced.
         fetches: Requests sent to peers.
-        failures: Of these, those that gave nothing usable.
+        failures: Requests to peers without a usable response.
         bytes_sent: Bytes sent to peers.
         bytes_received: Bytes received from peers.
     """
@@ -105,16 +112,20 @@
 
 
 class TeamStatus(msgspec.Struct, frozen=True):
-    """A team at a service.
+    """Waiting requests and received service of a team at one service.
 
     Attributes:
         service: The service.
         team: The team.
-        waiting: Requests waiting: here at a router, anywhere at a sidecar.
-        oldest_age: Seconds that the oldest has waited; null if not known.
+        waiting: Number of waiting requests: in a router's status those at this
+            router, in a sidecar's status those at all routers.
+        oldest_age: Seconds that the oldest of them has waited; null if not
+            known.
         weight: The team's weight.
-        key: Its order key, at a sidecar: the least is served next.
-        served: Cost units charged, over all sidecars known here.
+        key: The team's order key, in a sidecar's status only; the team with
+            the lowest key is served next.
+        served: Cost units charged to the team, summed over the sidecars known
+            to this process.
     """
 
     service: str
@@ -127,10 +138,11 @@
 
 
 class TimeStatus(msgspec.Struct, frozen=True):
-    """A histogram in short, in seconds; an empty team is all others.
+    """Summary of a time histogram in seconds.
 
-    `encoded` is the whole of it, in units of 0.1 ms, as HdrHistogram's V2
-    format in Base64; empty unless it was asked for.
+    An empty `team` stands for all teams without their own histograms.
+    `encoded` is the full histogram in units of 0.1 ms, in the V2 format of
+    HdrHistogram, in Base64; empty unless it was requested.
     """
 
     service: str
@@ -145,28 +157,34 @@
 
 
 class ProcessStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """What routers and sidecars have in common.
+    """Fields of the status that routers and sidecars have in common.
 
     Attributes:
-        vm: This VM.
-        incarnation: Number of this process.
+        vm: Name of this VM.
+        incarnation: Number of this process; a restarted process has a higher
+            one.
         taken_at: Wall-clock time of this status, in seconds since 1970.
         revision: Revision of the configuration in force; 0 if there is none.
-        refused_revision: Revision of a later text that was refused, else 0.
-        refusal: Why it was refused, with the line.
-        older_seen: Offers of a lower revision, ignored.
-        vms_revision: Revision of the list of VMs in use.
-        unready: Why the process can't be used; empty if it can.
-        stopping: Whether it takes nothing new.
-        teams: Teams with work waiting, those with the most first.
-        teams_total: How many there are; more than listed, if there are many.
-        peers: The other processes that this one speaks with.
+        refused_revision: Revision of a newer configuration text that was
+            refused; 0 if none.
+        refusal: Why that text was refused, with the line number; empty if none
+            was.
+        older_seen: Ignored configuration texts with a lower revision.
+        vms_revision: Revision of the VM list in use.
+        unready: Reasons why the process isn't ready; empty if it is ready.
+        stopping: Whether the process is stopping and accepts no new work.
+        teams: Teams with waiting requests, those with the most first; in a
+            sidecar's status also teams that only have an account.
+        teams_total: Number of such teams; higher than the length of `teams` if
+            that list is truncated.
+        peers: Other processes that this one exchanges messages with.
         control: Control traffic.
-        platform: Reads of the platform.
-        replication: What it publishes, as it is held here.
-        times: Histograms in short.
-        log_dropped: Log records lost.
-        shared_key: Whether only holders of the shared key are believed.
+        platform: Reads from the platform.
+        replication: Replication of the configuration text and the VM list.
+        times: Summaries of the time histograms.
+        log_dropped: Log records dropped.
+        shared_key: Whether messages and orders must be signed with the shared
+            key.
     """
 
     vm: str
@@ -196,10 +214,10 @@
     """Status of a router.
 
     Attributes:
-        services: Services with an upstream that can get work.
-        waiting: Requests waiting here.
-        requests: Requests not yet answered, waiting ones among them.
-        late_answers: Answers that matched no attempt, dropped.
+        services: Services with at least one usable upstream.
+        waiting: Requests waiting at this router.
+        requests: Requests in progress, including the waiting ones.
+        late_answers: Dropped responses that belonged to no current attempt.
         limits: Section `[limits]` of the configuration in force.
     """
 
@@ -216,10 +234,10 @@
     """Status of a sidecar.
 
     Attributes:
-        service: The upstream's service.
+        service: Service of the upstream.
         running: Requests in progress at the upstream.
-        claimed: Claims whose request has not come yet.
-        limit: Most requests in progress.
+        claimed: Claims for which no request was received yet.
+        limit: Maximum number of requests in progress.
     """
 
     service: str
@@ -231,15 +249,16 @@
 def summarize_peers(
     directory: membership.Directory, now: float, linked: Collection[str]
 ) -> tuple[PeerStatus, ...]:
-    """Describes the processes that this one should hear from.
+    """Summarizes the state of the processes that this one has contact with.
 
     Args:
         directory: This process's view of the fleet.
-        now: This process's time.
+        now: Current time of this process's clock.
         linked: Names of the VMs that this process has a link to.
 
     Returns:
-        Those processes, and any other that was heard from lately.
+        The processes on the linked VMs and all others from which a message was
+        received within `membership.SUSPECT_AFTER`.
     """
     heard = {
         name
@@ -275,14 +294,14 @@
 def summarize_times(
     histograms: histograms_module.TeamHistograms, full_histograms: bool
 ) -> tuple[TimeStatus, ...]:
-    """Describes all histograms.
+    """Summarizes all time histograms.
 
     Args:
         histograms: The histograms.
-        full_histograms: Whether to encode each whole, and not only in short.
+        full_histograms: Whether to include the full histograms, encoded.
 
     Returns:
-        One entry for each service, team and kind of time.
+        One summary for each service, team and kind of time.
     """
     return tuple(
         TimeStatus(
--- a/sycamorefall/observation/status_client.py
+++ b/sycamorefall/observation/status_client.py
@@ -1,4 +1,4 @@
-"""Asks running processes for their status."""
+"""HTTP client for the status of running processes."""
 
 __all__ = ["fetch_status"]
 
@@ -8,38 +8,41 @@
 from sycamorefall.observation import snapshots as snapshots_module
 
 TIMEOUT = 3.0
-"""Seconds to wait for a process's answer."""
+"""Socket timeout of the request in seconds."""
 
 _PATH = "/status?histograms"
 
 
 def fetch_status(address: settings.Address) -> tuple[bytes, object]:
-    """Asks a process for its status, with whole histograms.
+    """Requests the status of a process, including its full histograms.
 
     Args:
-        address: Its operators' address, or its data address on the same VM.
+        address: Operators' address of the process, or its data address if it
+            has no operators' address and runs on this VM.
 
     Returns:
-        The status as JSON on one line, and decoded.
+        The status as one line of JSON, and the decoded status.
 
     Raises:
-        errors.SettingsRefused: It gives none.
+        errors.SettingsRefused: The process can't be reached or its response
+            is not a status.
     """
     connection = http.client.HTTPConnection(*address.pair, timeout=TIMEOUT)
     try:
         connection.request("GET", _PATH)
-        answer = connection.getresponse()
-        data = answer.read()
+        response = connection.getresponse()
+        data = response.read()
     except (OSError, http.client.HTTPException) as fault:
         raise errors.SettingsRefused(
             f"no status from {address}: {fault}"
         ) from fault
     finally:
         connection.close()
-    if answer.status == 404:
+    if response.status == 404:
         raise errors.SettingsRefused(
-            f"no status from {address}: it is told at the operators' address "
-            "only ([listen] operators), or without one on the same VM"
+            f"no status from {address}: a process serves its status only at "
+            "its operators' address ([listen] operators) or, without one, at "
+            "its data address to clients on the same VM"
         )
     try:
         return data, snapshots_module.decode_snapshot(data)
--- a/sycamorefall/observation/tables.py
+++ b/sycamorefall/observation/tables.py
@@ -1,4 +1,4 @@
-"""A process's status as tables for people."""
+"""Formats the status of a process as text tables."""
 
 __all__ = ["format_status"]
 
@@ -7,24 +7,25 @@
 from sycamorefall.observation import status as status_module
 
 OTHER_TEAMS_LABEL = "(all others)"
-"""Shown in place of a team for those without histograms of their own."""
+"""Label of the histograms shared by teams without their own."""
 
 Rows = Iterable[Sequence[object]]
 
 
 def format_status(status: status_module.ProcessStatus) -> str:
-    """Formats a status.
+    """Formats a status as text.
 
     Args:
-        status: What a process told of itself.
+        status: Status of a router or sidecar.
 
     Returns:
-        Lines of text: the process, its teams, times and peers.
+        Lines of text: facts about the process, then tables of its teams, times
+        and peers.
     """
     parts = [
         _format_facts(status),
         *_format_section(
-            f"teams with work or an account, {status.teams_total} in all",
+            f"teams with requests or an account, {status.teams_total} in total",
             ("service", "team", "waiting", "oldest", "weight", "key", "served"),
             _list_teams(status),
         ),
@@ -70,7 +71,9 @@
         )
         or "none",
         "log lost": status.log_dropped,
-        "shared key": "yes" if status.shared_key else "NO, all are believed",
+        "shared key": "yes"
+        if status.shared_key
+        else "NO, every sender is trusted",
     }
     return "\n".join(_align(facts.items()))
 
@@ -156,7 +159,7 @@
 
 
 def _align(rows: Rows) -> list[str]:
-    """Pads the columns of a table to the width of their longest entry."""
+    """Formats rows with each column padded to the width of its longest cell."""
     cells = [[str(cell) for cell in row] for row in rows]
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     return [
--- a/sycamorefall/observation/tests/test_log.py
+++ b/sycamorefall/observation/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log never stops the process, whatever its reader does."""
+"""The log never blocks the process, whatever its reader does."""
 
 import contextlib
 import json
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def opened():
-    """Opens logs as a process does, and closes them afterwards."""
+    """Opens logs as a process does and removes them after the test."""
     writers = []
 
     def open_at(destination, level="info"):
@@ -42,10 +42,10 @@
     return b"".join(parts)
 
 
-def test_slow_reader_neither_stops_nor_fills_the_process(opened):
-    """The reader of the log's pipe stops, and later reads on.
+def test_slow_reader_neither_blocks_process_nor_fills_memory(opened):
+    """The reader of the log's pipe stops reading and later continues.
 
-    A blocking write would stop the one loop with all its requests; an
+    A blocking write would stop the event loop with all its requests; an
     unbounded buffer would grow until the process is killed.
     """
     reader, writer = os.pipe()
@@ -75,7 +75,7 @@
     assert log_writer.dropped >= 100
 
 
-def test_shared_descriptor_keeps_its_flags():
+def test_shared_descriptor_keeps_blocking_mode():
     reader, writer = os.pipe()
     write = nonblocking_output.reopen_nonblocking(writer)
     assert write(b"a line\n") == 7
@@ -83,8 +83,8 @@
     assert os.read(reader, 100) == b"a line\n"
 
 
-def test_strangers_can_not_flood_the_log(opened, tmp_path, monkeypatch):
-    """Refusals that anybody can provoke leave room for other records."""
+def test_clients_can_not_flood_the_log(opened, tmp_path, monkeypatch):
+    """Records that any client can cause don't displace all other records."""
     now = 100.0
     monkeypatch.setattr(log.time, "monotonic", lambda: now)
     log._rate_limits.clear()
@@ -98,7 +98,7 @@
     assert [record["left_out"] for record in records] == [0, 49]
 
 
-def test_level_leaves_lesser_records_out(opened, tmp_path):
+def test_records_below_the_level_are_excluded(opened, tmp_path):
     path = tmp_path / "log"
     opened(str(path), level="warning")
     observation.write_record(observation.Level.INFO, "lesser")
--- a/sycamorefall/observation/tests/test_recorder.py
+++ b/sycamorefall/observation/tests/test_recorder.py
@@ -1,4 +1,4 @@
-"""Counters and histograms: right for each team, bounded for all of them."""
+"""Counters and histograms: correct for each team, bounded memory for all."""
 
 import random
 import tracemalloc
@@ -13,8 +13,8 @@
 
 TEAMS = 31_000
 SERVICES = 19
-MOST_MEMORY = 3 << 20
-"""Bytes that the records may hold at the size of two years."""
+MAX_MEMORY = 3 << 20
+"""Maximum bytes of a recorder with the team count expected in two years."""
 
 
 def run_request(recorder, now, service, team, pieces=3):
@@ -37,7 +37,7 @@
     }
 
 
-def test_times_of_a_request_reach_the_metrics():
+def test_times_of_a_request_appear_in_the_metrics():
     recorder = observation.Recorder()
     run_request(recorder, 10.0, "assistant", 'mill "a"')
     samples = read_samples(recorder)
@@ -59,11 +59,11 @@
     assert recorder.open == 0
 
 
-def test_busy_team_takes_a_place_and_nothing_is_lost():
-    """A team that becomes busy is shown by name; whom it displaces is kept.
+def test_busy_team_displaces_quiet_team_without_loss():
+    """A busy team gets its own histograms; the displaced ones are merged.
 
-    Twenty teams have histograms; a quiet one of them must give way to a new
-    busy team, and its times must go on counting among the rest.
+    Twenty teams have histograms. A new busy team must displace a quiet one,
+    whose times must be merged into the histograms of the other teams.
     """
     recorder = observation.Recorder()
     for index in range(histograms.MAX_TEAMS):
@@ -77,8 +77,8 @@
     assert sum(own.count for own in kinds) == histograms.MAX_TEAMS + 5
 
 
-def test_memory_is_bounded_at_the_size_of_two_years():
-    """A histogram for each team would take the memory of many processes."""
+def test_memory_is_bounded_with_all_teams():
+    """Histograms for each team would need the memory of many processes."""
     rng = random.Random(7)
     names = [f"team-{number}" for number in range(TEAMS)]
     recorder = observation.Recorder()
@@ -86,10 +86,10 @@
     for _ in range(5_000):
         service = f"model-{rng.randrange(SERVICES)}"
         run_request(recorder, 1.0, service, rng.choice(names), pieces=2)
-    held, _ = tracemalloc.get_traced_memory()
+    allocated, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     assert len(recorder.histograms.by_team) <= histograms.MAX_TEAMS + SERVICES
-    assert held < MOST_MEMORY
+    assert allocated < MAX_MEMORY
 
 
 @given(st.lists(st.floats(0.0, 5000.0), max_size=30))
@@ -106,7 +106,7 @@
     assert recorded.compute_quantiles(shares) == expected
 
 
-def test_times_out_of_range_are_kept_at_its_ends():
+def test_times_out_of_range_are_recorded_as_its_limits():
     recorder = observation.Recorder()
     for seconds in (0.0, 7200.0):
         histograms.record_time(
--- a/sycamorefall/observation/tests/test_request_explanation.py
+++ b/sycamorefall/observation/tests/test_request_explanation.py
@@ -1,4 +1,4 @@
-"""What is told of a request whose logs are not whole."""
+"""Explanations of requests from complete, incomplete and unusual logs."""
 
 import json
 
@@ -31,25 +31,26 @@
     return common | fields
 
 
-def test_request_whose_process_was_killed_is_told_as_such(tmp_path):
-    # A router is killed while it streams an answer: no line tells the end.
+def test_missing_end_of_killed_process_is_reported(tmp_path):
+    # A router is killed while it streams a response, so its log has no record
+    # of the end.
     log = write_log(tmp_path / "front-1.log", START, SENT)
     found = request_explanation.explain_request("r1", [log])
     assert "no end is recorded" in found.causes[0]
     assert "the process ended" in found.missing[0]
 
 
-def test_dropped_records_are_told(tmp_path):
-    # The reader of a log was too slow, and lines are missing; an engineer
-    # must not take their absence for proof that nothing happened.
+def test_dropped_records_are_reported(tmp_path):
+    # Records are missing since the log reader was too slow. Their absence must
+    # not look as if nothing had happened.
     lost = {"message_type": "log.dropped", "records": 7, "task_uuid": "x"}
     log = write_log(tmp_path / "a.log", START, lost, end(result="cancelled"))
     found = request_explanation.explain_request("r1", [log])
     assert "7 records" in found.missing[0]
 
 
-def test_lines_of_several_logs_are_ordered_by_time(tmp_path):
-    # A caller was refused by one router and served by the next.
+def test_records_of_several_logs_are_ordered_by_time(tmp_path):
+    # A request was refused by one router and served by another.
     away = {"message_type": "platform.lost", "task_uuid": "x"}
     first = write_log(
         tmp_path / "a.log", away, START, end(result="not_ready", ran="no")
@@ -59,17 +60,20 @@
         tmp_path / "b.log", {"task_uuid": "y"}, START, SENT, late
     )
     found = request_explanation.explain_request("r1", [second, first])
-    kinds = [(line.log, line.kind) for line in found.lines if line.kind]
+    kinds = [
+        (record.log, record.kind) for record in found.records if record.kind
+    ]
     assert kinds[0] == ("a.log", "platform.lost")
-    assert [line.at for line in found.lines] == sorted(
-        line.at for line in found.lines
+    assert [record.at for record in found.records] == sorted(
+        record.at for record in found.records
     )
     text = request_explanation.format_explanation(found)
     assert "late: it began after 0.9 s, 0.5 s were allowed" in text
 
 
-def test_text_that_is_no_record_is_skipped(tmp_path):
-    # Collectors put text before records, and other programs write between.
+def test_text_other_than_records_is_skipped(tmp_path):
+    # Log collectors put a prefix before records, and other programs write to
+    # the same log.
     path = tmp_path / "a.log"
     log = write_log(path, START, end(result="answered", status=200))
     lines = path.read_text().splitlines()
@@ -82,7 +86,7 @@
 
 
 def test_unknown_request_is_refused(tmp_path):
-    # A mistyped id must not give an empty explanation.
+    # A mistyped ID must not result in an empty explanation.
     log = write_log(tmp_path / "a.log", START)
     with pytest.raises(errors.SettingsRefused):
         request_explanation.explain_request("r2", [log])
--- a/sycamorefall/observation/tests/test_snapshots.py
+++ b/sycamorefall/observation/tests/test_snapshots.py
@@ -1,4 +1,4 @@
-"""What follows from saved statuses."""
+"""Fairness gaps and merged histograms computed from saved statuses."""
 
 import msgspec
 import pytest
@@ -44,8 +44,8 @@
     )
 
 
-def test_gap_counts_only_while_both_teams_wait():
-    """A team that was idle has no claim on what the other got meanwhile."""
+def test_gap_covers_only_times_when_both_teams_wait():
+    """Service that a team receives while the other is idle is no gap."""
     series = [
         make_sidecar(0.0, {"x": (1, 1.0, 0.0), "y": (0, 2.0, 0.0)}),
         make_sidecar(1.0, {"x": (1, 1.0, 900.0), "y": (1, 2.0, 0.0)}),
