--- a/sycamorefall/__init__.py
+++ b/sycamorefall/__init__.py
@@ -1,8 +1,9 @@
-"""A router fleet for teams who share model engines and plain services fairly.
+"""Router fleet with fair sharing of model engines and plain services by teams.
 
-The decisions (`sharing`, `admission`, `dispatch`, `membership`,
-`configuration`, `router.core`, `sidecar.core`) do no I/O and take the time as
-an argument; `router.daemon` and `sidecar.daemon` wire them to sockets.
+The decision logic (`sharing`, `admission`, `dispatch`, `membership`,
+`configuration`, `router.core`, `sidecar.core`) performs no I/O and takes the
+current time as an argument; `router.daemon` and `sidecar.daemon` connect it to
+sockets.
 """
 
 __all__ = ["__version__"]
--- a/sycamorefall/checking.py
+++ b/sycamorefall/checking.py
@@ -1,4 +1,4 @@
-"""Checks the files that operators write, before they are put to use."""
+"""Validates configuration and settings files for `sycamorefall check`."""
 
 __all__ = ["check_file"]
 
@@ -18,26 +18,29 @@
     "security",
     "log",
 }
-"""Sections that only settings files have."""
+"""Sections by which a settings file is recognized; `[limits]` is in both."""
 
 
 def check_file(path: str) -> str:
-    """Checks a settings file or an operators' text, told by its sections.
+    """Validates a settings file or an operators' configuration text.
+
+    The sections of the file determine which of them it is.
 
     Args:
-        path: The file.
+        path: Path of the file.
 
     Returns:
-        One line that says what it is.
+        One line that describes the valid file.
 
     Raises:
-        errors.SettingsRefused: It can't be used; one line says where and why.
+        errors.SettingsRefused: The file is not valid; the message is one line
+            with the place and the reason.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
-    except (OSError, UnicodeDecodeError) as fault:
-        raise errors.SettingsRefused(f"{path}: {fault}") from fault
-    kind = _guess_settings_kind(text)
+    except (OSError, UnicodeDecodeError) as error:
+        raise errors.SettingsRefused(f"{path}: {error}") from error
+    kind = _detect_settings_type(text)
     if kind is None:
         return f"{path}: {_check_configuration(path, text)}"
     settings.read_settings(path, kind)
@@ -45,7 +48,7 @@
     return f"{path}: valid settings of a {role}"
 
 
-def _guess_settings_kind(text: str) -> type | None:
+def _detect_settings_type(text: str) -> type | None:
     parser = configparser.ConfigParser(interpolation=None, strict=False)
     try:
         parser.read_string(text)
@@ -62,21 +65,21 @@
 def _check_configuration(path: str, text: str) -> str:
     match configuration.parse_configuration(text):
         case result.Success(valid):
-            return _describe(valid)
-        case result.Failure(fault):
-            raise errors.SettingsRefused(f"{path}: {fault}")
+            return _format_summary(valid)
+        case result.Failure(error):
+            raise errors.SettingsRefused(f"{path}: {error}")
 
 
-def _describe(valid: configuration.Configuration) -> str:
+def _format_summary(valid: configuration.Configuration) -> str:
     counts = f"{len(valid.services)} services, {len(valid.teams)} teams"
     notes = [
         note
-        for note, holds in {
+        for note, applies in {
             "without a service, every request is refused": not valid.services,
             "without a team's key, every request is refused": (
                 not valid.team_by_key
             ),
         }.items()
-        if holds
+        if applies
     ]
     return "; ".join([f"valid configuration, {counts}", *notes])
--- a/sycamorefall/command.py
+++ b/sycamorefall/command.py
@@ -1,4 +1,4 @@
-"""The `sycamorefall` command."""
+"""Command line interface: the `sycamorefall` command."""
 
 __all__ = ["main"]
 
@@ -21,53 +21,57 @@
 from sycamorefall.sidecar import daemon as sidecar_daemon
 
 EXIT_REFUSED = 2
-"""Exit status when input or surroundings can't be used."""
+"""Exit status after a `SycamorefallError`, such as invalid input."""
 
 _DESCRIPTION = """\
-A router fleet for teams who share model engines and plain services fairly.
+Router fleet with fair sharing of model engines and plain services by teams.
 
-One `router` runs on each entry VM, one `sidecar` beside each upstream. Both
+One `router` runs on each entry VM, one `sidecar` next to each upstream. Both
 read their settings from an INI file and the operators' configuration text
-from the platform. Operators drive the fleet by editing that text and by
-marking VMs as joining or leaving; `check` tells whether a file is good,
-`status` and `report` show what runs."""
+from the platform. Operators control the fleet by editing that text and by
+marking VMs as joining or leaving. `check` validates files, `status`, `report`
+and `explain` show the state and history of running processes."""
 
 _EPILOG = """\
 examples:
-  sycamorefall check fleet.ini            check an operators' text
-  sycamorefall check router.ini           check a settings file
+  sycamorefall check fleet.ini            validate a configuration text
+  sycamorefall check router.ini           validate a settings file
   sycamorefall router router.ini          run a router
-  sycamorefall status 127.0.0.1:7400      ask a running process
+  sycamorefall status 127.0.0.1:7400      show the status of a process
 
-`sycamorefall COMMAND --help` tells more of each command.
-exit status: 0 done, 2 refused (one line on standard error says why)"""
+`sycamorefall COMMAND --help` describes each command.
+exit status: 0 success, 2 error (one line on standard error gives the reason)"""
 
 _ROUTER_HELP = """\
-Runs a router in the foreground until SIGTERM or SIGINT. Then it takes nothing
-new (/ready says 503), serves what it has accepted to its end, and exits 0.
+Runs a router in the foreground until SIGTERM or SIGINT. The router then
+accepts no new requests (/ready returns 503), completes those it has accepted,
+and exits with status 0.
 
-The settings file has the sections [vm], [listen] and [platform], and may have
-[limits], [security] and [log]; examples/router.ini shows them."""
+The settings file requires the sections [vm], [listen] and [platform]; the
+sections [peers], [limits], [security] and [log] are optional. For an example,
+see examples/router.ini."""
 
 _SIDECAR_HELP = """\
-Runs a sidecar in the foreground until SIGTERM or SIGINT. Then it claims
-nothing new, lets what runs at its upstream end, and exits 0.
+Runs a sidecar in the foreground until SIGTERM or SIGINT. The sidecar then
+claims no new requests, completes those that run at its upstream, and exits
+with status 0.
 
-The settings file has the sections [vm], [listen], [platform] and [upstream],
-and may have [limits], [security] and [log]; examples/sidecar.ini shows
-them."""
+The settings file requires the sections [vm], [listen], [platform] and
+[upstream]; the sections [peers], [limits], [security] and [log] are optional.
+For an example, see examples/sidecar.ini."""
 
 _CHECK_HELP = """\
-Checks an operators' text or a settings file and names the line and the reason
-if it can't be used. Which of both it is shows from its sections. A text that
-this command accepts is accepted by every process of the same version."""
+Validates a configuration text or a settings file, which are told apart by
+their sections. If the file is not valid, the command prints the line and the
+reason. A configuration text that this command accepts is accepted by every
+process of the same version."""
 
 _STATUS_HELP = """\
-Asks running processes for their status and prints tables: the process, the
-teams with work waiting, times, and the other processes it hears or misses.
+Requests the status of running processes and prints it as tables: facts about
+the process, teams with waiting requests, times, and the state of its peers.
 
 ADDRESS is the process's [listen] operators address; if it has none, its data
-address, which answers on the same VM only."""
+address, which serves the status to clients on the same VM only."""
 
 _STATUS_EPILOG = """\
 examples:
@@ -77,19 +81,22 @@
       10.0.0.4:7402 10.0.1.4:7502 >> snapshots.jsonl"""
 
 _REPORT_HELP = """\
-Draws, from statuses that `status --json --repeat` saved, how long requests
+Plots statuses that were saved with `status --json --repeat`: how long requests
 waited and ran, by team, and the fairness gap between teams over time. The gap
-is drawn from statuses of sidecars, the times from those of routers.
-Needs matplotlib: pip install 'sycamorefall[report]'."""
+is computed from statuses of sidecars, the times from those of routers if there
+are any.
+Requires matplotlib: pip install 'sycamorefall[report]'."""
 
 
 _EXPLAIN_HELP = """\
-Collects what the logs of several processes say of one request, orders it, adds
-what concerned the whole process shortly before and meanwhile (a lost platform,
-changed upstreams), and says the cause and what the logs lack.
+Collects the records of one request from the logs of several processes, in
+order of time, and the process-wide records from shortly before the request
+until its end (platform unreachable, changed upstreams). Then prints why the
+request ended as it did, and which records are missing.
 
-Lines of the request begin with an asterisk. Times are by each process's own
-clock. Text in front of a record, as log collectors put it, does no harm."""
+Records of the request are marked with an asterisk. Times are those of each
+process's own clock. Text before a record, such as the prefix of a log
+collector, is ignored."""
 
 _EXPLAIN_EPILOG = """\
 examples:
@@ -97,11 +104,11 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Runs the command.
+    """Parses the command line and runs the selected command.
 
     Args:
-        arguments: Command line without the program's name; that of the
-            process if None.
+        arguments: Command-line arguments without the program name; those of
+            the process if None.
 
     Returns:
         The exit status.
@@ -109,8 +116,8 @@
     options = _create_parser().parse_args(arguments)
     try:
         options.run(options)
-    except errors.SycamorefallError as fault:
-        print(f"sycamorefall: {fault}", file=sys.stderr)
+    except errors.SycamorefallError as error:
+        print(f"sycamorefall: {error}", file=sys.stderr)
         return EXIT_REFUSED
     return 0
 
@@ -137,10 +144,10 @@
     check = _add_command(
         commands,
         "check",
-        "check an operators' text or a settings file",
+        "validate a configuration text or a settings file",
         _CHECK_HELP,
     )
-    check.add_argument("file", help="the INI file")
+    check.add_argument("file", help="INI file to validate")
     check.set_defaults(run=_check_file)
     _add_status(commands)
     _add_report(commands)
@@ -164,7 +171,7 @@
     status = _add_command(
         commands,
         "status",
-        "ask running processes",
+        "show the status of running processes",
         _STATUS_HELP,
         _STATUS_EPILOG,
     )
@@ -174,29 +181,33 @@
     status.add_argument(
         "--json",
         action="store_true",
-        help="print one JSON object a line, histograms whole, not tables",
+        help="print one JSON object per line, with full histograms, instead of "
+        "tables",
     )
     status.add_argument(
         "--repeat",
-        type=_read_count,
+        type=_parse_count,
         default=1,
         metavar="N",
-        help="ask N times; with --json, a process that does not answer is "
-        "named on standard error and asked again the next time",
+        help="repeat the requests N times; if N > 1, an unreachable process is "
+        "reported on standard error and requested again the next time",
     )
     status.add_argument(
         "--interval",
-        type=_read_seconds,
+        type=_parse_seconds,
         default=1.0,
         metavar="S",
-        help="seconds between two times (default: 1)",
+        help="seconds between two repetitions (default: 1)",
     )
     status.set_defaults(run=_show_status)
 
 
 def _add_report(commands) -> None:
     command = _add_command(
-        commands, "report", "draw histograms and the gap", _REPORT_HELP
+        commands,
+        "report",
+        "plot time histograms and the fairness gap",
+        _REPORT_HELP,
     )
     command.add_argument(
         "files", metavar="FILE", nargs="+", help="saved statuses"
@@ -205,7 +216,7 @@
         "-o",
         "--output",
         required=True,
-        help="the page or picture to write: .html or .png",
+        help="file to write: a page (.html) or an image (.png)",
     )
     command.set_defaults(run=_write_report)
 
@@ -214,32 +225,36 @@
     command = _add_command(
         commands,
         "explain",
-        "tell from logs what became of a request",
+        "show from logs how a request was handled",
         _EXPLAIN_HELP,
         _EXPLAIN_EPILOG,
     )
     command.add_argument(
-        "request", metavar="REQUEST-ID", help="the id that its caller sent"
+        "request",
+        metavar="REQUEST-ID",
+        help="ID of the request, or its fingerprint",
     )
     command.add_argument(
-        "logs", metavar="LOG", nargs="+", help="log of a process"
+        "logs", metavar="LOG", nargs="+", help="log file of a process"
     )
     command.set_defaults(run=_explain_request)
 
 
-def _read_count(text: str) -> int:
+def _parse_count(text: str) -> int:
     if not text.isdecimal() or int(text) < 1:
-        raise argparse.ArgumentTypeError("expected a whole number above 0")
+        raise argparse.ArgumentTypeError("expected an integer above 0")
     return int(text)
 
 
-def _read_seconds(text: str) -> float:
+def _parse_seconds(text: str) -> float:
     try:
         seconds = float(text)
     except ValueError:
         seconds = -1.0
     if not 0.0 <= seconds < float("inf"):
-        raise argparse.ArgumentTypeError("expected seconds, not below 0")
+        raise argparse.ArgumentTypeError(
+            "expected a finite number of seconds, at least 0"
+        )
     return seconds
 
 
@@ -247,24 +262,23 @@
     router_daemon.run_router(
         settings.read_settings(options.settings, settings.RouterSettings)
     )
-    _end_process()
+    _exit_process()
 
 
 def _run_sidecar(options: argparse.Namespace) -> None:
     sidecar_daemon.run_sidecar(
         settings.read_settings(options.settings, settings.SidecarSettings)
     )
-    _end_process()
+    _exit_process()
 
 
-def _end_process() -> None:
-    """Ends a daemon's process without the clean-up of the interpreter.
+def _exit_process() -> None:
+    """Exits a daemon's process without the interpreter's exit handlers.
 
-    Guards against an abort after a flawless stop: pynng has nng cleaned up
-    at the interpreter's exit, while nng's own threads may still be taking
-    connections down; nng then panics in `nni_aio_stop`, and the supervisor
-    sees SIGABRT in place of status 0. All sockets are closed by now and the
-    log is written, so there is nothing left to clean up.
+    pynng registers an exit handler that shuts nng down. If nng's threads are
+    still closing connections then, nng panics in `nni_aio_stop`, and the
+    supervisor sees SIGABRT instead of exit status 0. All sockets are closed
+    and the log is written before, so nothing else needs the exit handlers.
     """
     sys.stdout.flush()
     sys.stderr.flush()
@@ -278,11 +292,11 @@
 def _show_status(options: argparse.Namespace) -> None:
     try:
         addresses = [settings.parse_address(one) for one in options.addresses]
-    except ValueError as fault:
-        raise errors.SettingsRefused(str(fault)) from fault
+    except ValueError as error:
+        raise errors.SettingsRefused(str(error)) from error
     with contextlib.suppress(KeyboardInterrupt):
-        for turn in range(options.repeat):
-            if turn:
+        for repetition in range(options.repeat):
+            if repetition:
                 time.sleep(options.interval)
             _print_statuses(addresses, options)
 
@@ -293,16 +307,16 @@
     for number, address in enumerate(addresses):
         try:
             data, status = status_client.fetch_status(address)
-        except errors.SettingsRefused as fault:
+        except errors.SettingsRefused as error:
             if options.repeat == 1:
                 raise
-            print(f"sycamorefall: {fault}", file=sys.stderr)
+            print(f"sycamorefall: {error}", file=sys.stderr)
             continue
         if options.json:
             print(data.decode(), flush=True)
         else:
-            gap = "\n" if number else ""
-            print(gap + tables.format_status(status), flush=True)
+            separator = "\n" if number else ""
+            print(separator + tables.format_status(status), flush=True)
 
 
 def _explain_request(options: argparse.Namespace) -> None:
@@ -313,9 +327,9 @@
 def _write_report(options: argparse.Namespace) -> None:
     found = snapshots.read_snapshots(options.files)
     if not found:
-        raise errors.SettingsRefused("the files hold no status")
+        raise errors.SettingsRefused("the files contain no status")
     report.write_report(found, options.output)
-    print(f"{options.output}: {len(found)} statuses drawn")
+    print(f"{options.output}: {len(found)} statuses plotted")
 
 
 if __name__ == "__main__":
--- a/sycamorefall/errors.py
+++ b/sycamorefall/errors.py
@@ -1,8 +1,9 @@
-"""The closed list of error kinds and the answer that each one gets.
+"""Error kinds of responses to callers, and the package's exceptions.
 
-Every failure that a caller can meet is one member of `ErrorKind`; the table
-`ANSWERS` maps it to an HTTP status and to what the caller may conclude about
-its request. Faults found at start-up are exceptions below `SycamorefallError`.
+Each error response to a caller has one `ErrorKind`; the table `ANSWERS` maps
+it to an HTTP status and to whether the request was run. Errors in settings,
+configuration, command input and messages are subclasses of
+`SycamorefallError`.
 """
 
 __all__ = [
@@ -31,19 +32,26 @@
 
 
 class SettingsRefused(SycamorefallError):
-    """A settings file can't be used; the text says which key and why."""
+    """A settings file, or another input or address of a command, can't be used.
+
+    The message names the file, key or address and the reason.
+    """
 
 
 class AddressInUse(SycamorefallError):
-    """A listening address of the settings is taken or can't be bound."""
+    """A listening address from the settings can't be bound.
+
+    Usually another process is listening there.
+    """
 
 
 class ConfigurationRefused(SycamorefallError):
     """An operators' configuration text is not valid.
 
     Attributes:
-        line: Number of the offending line, from 1; 0 if it has no one line.
-        reason: What is wrong with it.
+        line: Number of the invalid line, from 1; 0 if the error isn't in a
+            single line.
+        reason: Why the text is not valid.
     """
 
     def __init__(self, line: int, reason: str):
@@ -53,11 +61,11 @@
 
 
 class MessageRefused(SycamorefallError):
-    """Bytes from another process are not a message of ours."""
+    """Data from another process is not a valid message."""
 
 
 class Ran(enum.Enum):
-    """Whether the request was run by an upstream."""
+    """Whether an upstream ran the request."""
 
     NO = "no"
     YES = "yes"
@@ -65,7 +73,7 @@
 
 
 class ErrorKind(enum.Enum):
-    """Everything that can be answered to a caller in place of its answer."""
+    """Reasons for which a caller gets an error instead of a response."""
 
     MALFORMED_REQUEST = "malformed_request"
     UNKNOWN_TEAM = "unknown_team"
@@ -92,12 +100,12 @@
 
 
 class ErrorAnswer(msgspec.Struct, frozen=True):
-    """How an error kind is put to the caller.
+    """Response to a caller for one error kind.
 
     Attributes:
         status: HTTP status code.
-        ran: Whether the request was run.
-        retry: Whether sending the request again can help.
+        ran: Whether an upstream ran the request.
+        retry: Whether a retry can succeed; the response then has `Retry-After`.
     """
 
     status: int
@@ -165,16 +173,16 @@
     ErrorKind.STOPPING: "The router is stopping and takes nothing new.",
     ErrorKind.INTERNAL: "A fault in the router; its log has the traceback.",
 }
-"""What each kind means, as callers and the reference read it."""
+"""Descriptions of the kinds in responses to callers and in the reference."""
 
 
 class ErrorDetail(msgspec.Struct, frozen=True):
     """The fields of an error body.
 
     Attributes:
-        kind: Value of the `ErrorKind`.
-        ran: Value of the `Ran`.
-        message: One sentence for people.
+        kind: Value of an `ErrorKind`.
+        ran: Value of a `Ran`.
+        message: Human-readable description, one sentence.
     """
 
     kind: str
@@ -183,7 +191,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """The JSON body of every failure, in the shape OpenAI clients expect."""
+    """JSON body of all error responses, in the format of the OpenAI API."""
 
     error: ErrorDetail
 
@@ -191,15 +199,17 @@
 def create_error_body(
     kind: ErrorKind, message: str = "", ran: Ran | None = None
 ) -> ErrorBody:
-    """Builds the JSON body for an error kind.
+    """Creates the JSON body of an error response.
 
     Args:
-        kind: What went wrong.
-        message: One sentence for people; the kind's meaning if empty.
-        ran: Overrides the table where a case is known more exactly.
+        kind: Kind of the error.
+        message: Human-readable description, one sentence; if empty, the one in
+            `MEANINGS`.
+        ran: Whether an upstream ran the request, if that is known more
+            precisely than the entry in `ANSWERS` says.
 
     Returns:
-        The body, ready to be encoded.
+        The body, not yet encoded.
 
     Example:
         >>> create_error_body(ErrorKind.UNKNOWN_TEAM).error.ran
--- a/sycamorefall/ini.py
+++ b/sycamorefall/ini.py
@@ -1,4 +1,4 @@
-"""Line numbers of INI texts, and where in one a fault lies."""
+"""Line numbers of INI texts, for error messages."""
 
 __all__ = [
     "LineIndex",
@@ -15,10 +15,11 @@
 
 
 class LineIndex:
-    """Line numbers of sections and options of an INI text.
+    """Line numbers of the sections and options of an INI text.
 
-    They are wanted only where a text is refused, so they are counted then;
-    kept for all blocks they would take more memory than what these say.
+    Lines are only counted at the first lookup, since the numbers are needed
+    only if a text is refused. Stored for all blocks, they would take more
+    memory than the parsed content of the blocks.
     """
 
     __slots__ = ("_numbers", "_parts", "_text")
@@ -29,7 +30,7 @@
         self._parts: list[tuple[int, LineIndex]] = []
 
     def add(self, other: "LineIndex", before: int) -> None:
-        """Adds those of a block that has this many lines before it."""
+        """Adds the index of a block that has `before` lines before it."""
         self._parts.append((before, other))
 
     def find(self, section: str, option: str = "") -> int:
@@ -55,37 +56,40 @@
     return numbers
 
 
-def format_validation_error(text: str, fault: str) -> str:
-    r"""Says in terms of an INI text what msgspec says in terms of structs.
+def format_validation_error(text: str, message: str) -> str:
+    r"""Converts an error message of msgspec to the terms of an INI text.
 
     Args:
         text: The INI text.
-        fault: Text of the `msgspec.ValidationError`.
+        message: Message of the `msgspec.ValidationError`, which names structs
+            and fields.
 
     Returns:
-        One line with the text's line, section and key, and what is wrong.
+        One line with line number, section, key and reason.
 
     Example:
         >>> error = "unknown field `size` - at `$.vm`"
         >>> format_validation_error("[vm]\nsize = 3", error)
         'line 2: [vm] size: unknown key'
     """
-    path = _PATH.search(fault)
-    reason = _PATH.sub("", fault)
+    path = _PATH.search(message)
+    reason = _PATH.sub("", message)
     section = path["section"] if path else ""
     key = (path["key"] or "") if path else ""
     level = "key" if section else "section"
-    if unknown := _UNKNOWN.search(fault):
+    if unknown := _UNKNOWN.search(message):
         key, reason = unknown["key"], f"unknown {level}"
-    elif missing := _MISSING.search(fault):
+    elif missing := _MISSING.search(message):
         name = missing["key"] if section else f"[{missing['key']}]"
-        return " ".join(filter(None, [_bracket(section), "misses", name]))
+        return " ".join(
+            filter(None, [_format_section(section), "misses", name])
+        )
     if not section:
         section, key = key, ""
-    where = " ".join(filter(None, [_bracket(section), key]))
+    where = " ".join(filter(None, [_format_section(section), key]))
     line = LineIndex(text).find(section, key)
     return f"line {line}: {where}: {reason}"
 
 
-def _bracket(section: str) -> str:
+def _format_section(section: str) -> str:
     return f"[{section}]" if section else ""
--- a/sycamorefall/observation/nonblocking_output.py
+++ b/sycamorefall/observation/nonblocking_output.py
@@ -41,8 +41,8 @@
         return reopen_nonblocking(STANDARD_STREAMS[destination])
     try:
         descriptor = os.open(destination, _FLAGS | os.O_CREAT, 0o640)
-    except (OSError, ValueError) as fault:
-        raise errors.SettingsRefused(f"log destination: {fault}") from fault
+    except (OSError, ValueError) as error:
+        raise errors.SettingsRefused(f"log destination: {error}") from error
     return lambda data: os.write(descriptor, data)
 
 
--- a/sycamorefall/observation/report.py
+++ b/sycamorefall/observation/report.py
@@ -60,17 +60,17 @@
     data = picture if suffix == ".png" else _format_page(snapshots, picture)
     try:
         pathlib.Path(path).write_bytes(data)
-    except OSError as fault:
-        raise errors.SettingsRefused(f"{path}: {fault}") from fault
+    except OSError as error:
+        raise errors.SettingsRefused(f"{path}: {error}") from error
 
 
 def _draw(snapshots: Sequence[snapshots_module.Snapshot]) -> bytes:
     try:
         from matplotlib import figure
-    except ImportError as fault:
+    except ImportError as error:
         raise errors.SettingsRefused(
             "report needs matplotlib: pip install 'sycamorefall[report]'"
-        ) from fault
+        ) from error
     times = snapshots_module.merge_times(snapshots)
     gaps = snapshots_module.compute_gaps(snapshots)
     panels = len(times) + len(gaps)
--- a/sycamorefall/observation/request_explanation.py
+++ b/sycamorefall/observation/request_explanation.py
@@ -140,8 +140,8 @@
     """
     try:
         data = pathlib.Path(path).read_bytes()
-    except OSError as fault:
-        raise errors.SettingsRefused(f"{path}: {fault.strerror}") from fault
+    except OSError as error:
+        raise errors.SettingsRefused(f"{path}: {error.strerror}") from error
     for text in data.splitlines():
         start = text.find(b"{")
         if start < 0:
--- a/sycamorefall/observation/snapshots.py
+++ b/sycamorefall/observation/snapshots.py
@@ -32,8 +32,8 @@
     """
     try:
         return _decoder.decode(data)
-    except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise errors.SettingsRefused(f"not a status: {fault}") from fault
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise errors.SettingsRefused(f"not a status: {error}") from error
 
 
 def read_snapshots(paths: Iterable[str]) -> list[Snapshot]:
@@ -55,16 +55,16 @@
 def _read_file(path: str) -> Iterator[Snapshot]:
     try:
         lines = pathlib.Path(path).read_bytes().splitlines()
-    except OSError as fault:
-        raise errors.SettingsRefused(f"{path}: {fault}") from fault
+    except OSError as error:
+        raise errors.SettingsRefused(f"{path}: {error}") from error
     for number, line in enumerate(lines, start=1):
         if line.strip():
             try:
                 yield decode_snapshot(line)
-            except errors.SettingsRefused as fault:
+            except errors.SettingsRefused as error:
                 raise errors.SettingsRefused(
-                    f"{path}: line {number}: {fault}"
-                ) from fault
+                    f"{path}: line {number}: {error}"
+                ) from error
 
 
 TimesByKind = dict[tuple[str, str], dict[str, histogram.HdrHistogram]]
--- a/sycamorefall/observation/status_client.py
+++ b/sycamorefall/observation/status_client.py
@@ -32,10 +32,10 @@
         connection.request("GET", _PATH)
         response = connection.getresponse()
         data = response.read()
-    except (OSError, http.client.HTTPException) as fault:
+    except (OSError, http.client.HTTPException) as error:
         raise errors.SettingsRefused(
-            f"no status from {address}: {fault}"
-        ) from fault
+            f"no status from {address}: {error}"
+        ) from error
     finally:
         connection.close()
     if response.status == 404:
@@ -46,7 +46,7 @@
         )
     try:
         return data, snapshots_module.decode_snapshot(data)
-    except errors.SettingsRefused as fault:
+    except errors.SettingsRefused as error:
         raise errors.SettingsRefused(
-            f"no status from {address}: {fault}"
-        ) from fault
+            f"no status from {address}: {error}"
+        ) from error
--- a/sycamorefall/pages.py
+++ b/sycamorefall/pages.py
@@ -1,4 +1,4 @@
-"""The operators' pages of a process: live, ready, status, metrics."""
+"""HTTP pages for the balancer and operators: live, ready, status, metrics."""
 
 __all__ = [
     "Pages",
@@ -33,14 +33,14 @@
 METRICS_PATH = "/metrics"
 
 FULL_HISTOGRAMS_QUERY = "histograms"
-"""Query of `/status` that asks for whole histograms."""
+"""Query string of `/status` that requests full histograms."""
 
 _JSON = (("Content-Type", "application/json"),)
 _TEXT = (("Content-Type", metrics_module.CONTENT_TYPE),)
 
 
 class Readiness(msgspec.Struct, frozen=True):
-    """Body of `/ready`: whether the process can be used, and why not."""
+    """JSON body of `/ready`: whether the process is ready, and if not, why."""
 
     ready: bool
     reasons: tuple[str, ...] = ()
@@ -48,13 +48,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Pages:
-    """What the pages of a process show.
+    """Sources of the content of a process's pages.
 
     Attributes:
-        listen: The process's addresses.
-        list_unready_reasons: Lists why the process can't be used.
-        build_status: Builds the status, with whole histograms if told so.
-        list_metrics: Lists the metrics.
+        listen: Addresses at which the process listens.
+        list_unready_reasons: Returns the reasons why the process isn't ready.
+        build_status: Returns the status; its argument tells whether full
+            histograms are included.
+        list_metrics: Returns the metrics.
     """
 
     listen: settings.ListenSettings
@@ -66,20 +67,20 @@
 def handle_page_call(
     pages: Pages, call: transport.IncomingCall, for_operators: bool
 ) -> bool:
-    """Answers a call if it asks for one of the pages.
+    """Answers an HTTP call if it requests one of the pages.
 
-    `/live` and `/ready` are for the balancer and answered everywhere. The
-    others name teams and VMs, so callers don't get them: they are answered
-    at the operators' address, or, if the settings name none, at the data
-    address to callers on this VM.
+    `/live` and `/ready` are for the balancer and served at all HTTP addresses.
+    `/status` and `/metrics` contain names of teams and VMs, so callers must not
+    get them: they are served at the operators' address or, if the settings have
+    none, at the data address to clients on this VM.
 
     Args:
-        pages: What they show.
-        call: The call.
-        for_operators: Whether it came in at the operators' address.
+        pages: Sources of the pages' content.
+        call: The HTTP call.
+        for_operators: Whether the call was received at the operators' address.
 
     Returns:
-        Whether the call is answered.
+        Whether the call was answered.
     """
     if call.path == LIVE_PATH:
         call.respond(200, b"{}", _JSON)
@@ -89,7 +90,7 @@
         call.respond(503 if reasons else 200, body, _JSON)
     elif call.path not in (STATUS_PATH, METRICS_PATH):
         return False
-    elif not (for_operators or _is_trusted(pages.listen, call)):
+    elif not (for_operators or _is_local_operator(pages.listen, call)):
         call.fail(errors.ErrorKind.UNKNOWN_SERVICE)
     elif call.path == STATUS_PATH:
         shown = pages.build_status(call.query == FULL_HISTOGRAMS_QUERY)
@@ -100,7 +101,7 @@
     return True
 
 
-def _is_trusted(
+def _is_local_operator(
     listen: settings.ListenSettings, call: transport.IncomingCall
 ) -> bool:
     if listen.operators is not None:
@@ -115,17 +116,18 @@
     linked: Collection[str],
     full_histograms: bool,
 ) -> dict[str, object]:
-    """Collects the fields of a status that all processes have.
+    """Collects the status fields that routers and sidecars have in common.
 
     Args:
         node: The process.
-        recorder: Its records.
-        now: This process's time.
-        linked: VMs that the process has a link to.
-        full_histograms: Whether to include whole histograms.
+        recorder: Counters and histograms of the process.
+        now: Current time of this process's clock.
+        linked: Names of the VMs that the process has a link to.
+        full_histograms: Whether to include full histograms.
 
     Returns:
-        Arguments of a `status.ProcessStatus`, but for teams and readiness.
+        Keyword arguments of `status.ProcessStatus`, except those about teams
+        and readiness.
     """
     core = node.core
     versions = core.versions
@@ -149,7 +151,7 @@
         "platform": status_module.PlatformStatus(
             node.reader.reads, node.reader.failures, node.reader.bytes_read
         ),
-        "replication": _describe_replication(node),
+        "replication": _build_replication_status(node),
         "times": status_module.summarize_times(
             recorder.histograms, full_histograms
         ),
@@ -158,7 +160,7 @@
     }
 
 
-def _describe_replication(
+def _build_replication_status(
     node: node_module.Node,
 ) -> status_module.ReplicationStatus:
     versions = node.replica.current_versions
@@ -179,7 +181,7 @@
 
 
 def list_common_unready_reasons(node: node_module.Node) -> tuple[str, ...]:
-    """Lists why a process of either role can't be used."""
+    """Lists the reasons why a process isn't ready that both roles share."""
     core = node.core
     own = core.directory.vms.get(core.vm)
     reasons = {
@@ -189,7 +191,7 @@
         and own.state is membership.VmState.LEAVING,
         "stopping": node.stopping,
     }
-    return tuple(reason for reason, holds in reasons.items() if holds)
+    return tuple(reason for reason, applies in reasons.items() if applies)
 
 
 def list_metrics(
@@ -198,13 +200,13 @@
     now: float,
     linked: Collection[str],
 ) -> Iterator[metrics_core.Metric]:
-    """Lists the metrics that all processes have.
+    """Lists the metrics that routers and sidecars have in common.
 
     Args:
         node: The process.
-        recorder: Its records.
-        now: This process's time.
-        linked: VMs that the process has a link to.
+        recorder: Counters and histograms of the process.
+        now: Current time of this process's clock.
+        linked: Names of the VMs that the process has a link to.
 
     Yields:
         The metrics.
--- a/sycamorefall/settings.py
+++ b/sycamorefall/settings.py
@@ -1,7 +1,8 @@
-"""Settings of one process, read from an INI file and checked whole.
+"""Settings of one process, read from an INI file and validated.
 
-Each section of the file is one struct below; an unknown section or key, a
-missing key or a value of the wrong type refuses the file with one line.
+Each section of the file is decoded into one of the structs below. A file with
+an unknown section or key, a missing key or a value of the wrong type is
+refused with a one-line message.
 """
 
 __all__ = [
@@ -39,7 +40,7 @@
 
 
 class Address:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     __slots__ = ("host", "port")
 
@@ -60,19 +61,21 @@
 
     @property
     def pair(self) -> tuple[str, int]:
-        """Host and port as the socket functions take them."""
+        """Tuple of host and port, as socket functions take it."""
         return self.host, self.port
 
 
 class VmSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Section `[vm]`: where this process runs.
+    """Section `[vm]`: the VM on which this process runs.
 
     Attributes:
-        name: The VM, as the platform's list names it.
-        failure_domain: The failure domain it stands in.
-        cores: Processor cores of the VM.
-        cpu_share: Part of them that the process may use. The largest VMs do
-            what one router of several has to do for the others.
+        name: Name of the VM in the platform's list.
+        failure_domain: Failure domain of the VM.
+        cores: Number of processor cores of the VM.
+        cpu_share: Fraction of the cores that the process may use. Of the
+            routers that send directly, those with the highest product of
+            `cores` and `cpu_share` are preferred for tasks that one router
+            performs for its failure domain.
     """
 
     name: Name
@@ -82,13 +85,14 @@
 
 
 class ListenSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Section `[listen]`: addresses this process is reached at.
+    """Section `[listen]`: addresses at which this process listens.
 
     Attributes:
-        data: HTTP: callers at a router, attempts at a sidecar.
-        control: Messages of the other processes.
-        operators: HTTP: `/status` and `/metrics`. Without it, the data
-            address answers them to callers on the same VM only.
+        data: HTTP address for callers at a router and for attempts at a
+            sidecar.
+        control: Address for control messages of the other processes.
+        operators: HTTP address for `/status` and `/metrics`. Without it, they
+            are served at the data address, to clients on the same VM only.
     """
 
     data: Address
@@ -100,12 +104,13 @@
     """Section `[platform]`: the configuration service.
 
     Attributes:
-        address: Where it answers.
-        poll_interval: Seconds between two polls of a process that holds no
-            watch, before jitter.
-        start_spread: Seconds over which the first reads of a fleet that
-            starts at once are spread.
-        watchers: Processes of the fleet that watch at a time.
+        address: Address of the configuration service.
+        poll_interval: Seconds between two polls by a process that doesn't watch
+            the platform, before jitter.
+        start_spread: Seconds over which the first reads of processes that
+            start at the same time are spread.
+        watchers: Number of processes of the fleet that watch the platform at a
+            time.
     """
 
     address: Address
@@ -115,10 +120,10 @@
 
 
 class PeerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Section `[peers]`: processes to ask before any list of VMs is known.
+    """Section `[peers]`: peers to ask as long as no VM list is known.
 
     Attributes:
-        addresses: Their data addresses, `IP:port`, separated by commas.
+        addresses: Data addresses of the peers, `IP:port`, separated by commas.
     """
 
     addresses: str = ""
@@ -128,17 +133,17 @@
             parse_address(address)
 
     def list_addresses(self) -> tuple[str, ...]:
-        """Lists the addresses one by one."""
+        """Splits `addresses` into single addresses."""
         parts = (part.strip() for part in self.addresses.split(","))
         return tuple(part for part in parts if part)
 
 
 class UpstreamSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Section `[upstream]` of a sidecar: the upstream beside it.
+    """Section `[upstream]`: the upstream of a sidecar.
 
     Attributes:
-        service: The service of the operators' text that it belongs to.
-        address: Where it answers.
+        service: Service of the upstream, as named in the configuration text.
+        address: HTTP address of the upstream.
     """
 
     service: Name
@@ -146,18 +151,19 @@
 
 
 class LimitSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Section `[limits]`: bounds on what one process holds.
+    """Section `[limits]`: limits on requests and connections of one process.
 
     Attributes:
-        max_body_bytes: Largest request body.
-        max_header_bytes: Largest request head.
-        max_connections: Open connections of callers.
-        header_timeout: Seconds a caller may take to send a whole request,
-            and to take what is left of an answer on a closing connection.
-        idle_timeout: Seconds a connection stays open without a request.
-        default_timeout: Seconds until the deadline of a request that names
-            none.
-        max_timeout: Longest deadline a caller may name, in seconds.
+        max_body_bytes: Maximum size of a request body in bytes.
+        max_header_bytes: Maximum size of a request head in bytes.
+        max_connections: Maximum number of open connections of callers.
+        header_timeout: Seconds within which a caller must send a complete
+            request, and receive the rest of a response on a connection that is
+            being closed.
+        idle_timeout: Seconds after which a connection without a request is
+            closed.
+        default_timeout: Timeout in seconds of a request that specifies none.
+        max_timeout: Maximum timeout in seconds that a caller may specify.
     """
 
     max_body_bytes: Count = 1 << 20
@@ -170,24 +176,25 @@
 
 
 class SecuritySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Section `[security]`: who may speak between the processes.
+    """Section `[security]`: authentication between the processes.
 
     Attributes:
-        shared_key_file: File with the fleet's shared keys, one a line; the
-            first one signs, all are accepted. Without it, every process that
-            reaches this one is believed.
+        shared_key_file: Path of a file with the fleet's shared keys, one per
+            line; messages are signed with the first key and accepted with any
+            of them. Without it, messages from every process that can reach
+            this one are accepted.
     """
 
     shared_key_file: str = ""
 
 
 class LogSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Section `[log]`: where log records go and how many.
+    """Section `[log]`: destination and level of the log.
 
     Attributes:
         destination: `stderr`, `stdout` or the path of a file.
-        level: Least level that is written; `warning` and above leave the
-            records of single requests out.
+        level: Lowest level that is written; `warning` and above exclude the
+            records of single requests.
     """
 
     destination: str = "stderr"
@@ -195,15 +202,19 @@
 
 
 class BoundSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Section `[bounds]`: what the operators demand of direct sending.
+    """Section `[bounds]`: bounds for routers that send directly to upstreams.
+
+    A retry is any send of a request after its first.
 
     Attributes:
-        revocation: Seconds after which a key that was taken away must not
-            work any more, wherever the process is.
-        retry_ratio: Second sends to a service allowed for each request.
-        retry_extra: Second sends allowed besides, of all routers together.
-        retry_window: Seconds over which both are counted.
-        grace: Seconds between SIGTERM and the process's being killed.
+        revocation: Seconds after its revocation within which a key must stop
+            being accepted, even by a router that can't reach the platform.
+        retry_ratio: Allowed retries to a service per request to it.
+        retry_extra: Additional allowed retries to a service per window, for all
+            routers together.
+        retry_window: Length in seconds of the window over which requests and
+            retries are counted.
+        grace: Seconds between SIGTERM and SIGKILL when a process is stopped.
     """
 
     revocation: Positive = 5.0
@@ -258,13 +269,13 @@
     """Parses `IP:port`.
 
     Args:
-        text: An IP number and a port, such as `127.0.0.1:7400`.
+        text: An IP address and a port, such as `127.0.0.1:7400`.
 
     Returns:
         The address.
 
     Raises:
-        ValueError: The text is not of this form.
+        ValueError: The text does not have this format.
 
     Example:
         >>> parse_address("127.0.0.1:7400").port
@@ -284,44 +295,45 @@
 
 
 def parse_settings(text: str, kind: type[Settings]) -> Settings:
-    """Parses and checks the text of a settings file.
+    """Parses and validates the text of a settings file.
 
     Args:
         text: INI text.
-        kind: `RouterSettings` or `SidecarSettings`.
+        kind: `RouterSettings`, `SidecarSettings` or `DirectSettings`.
 
     Returns:
-        The checked settings.
+        The valid settings.
 
     Raises:
-        errors.SettingsRefused: The text can't be used; one line says why.
+        errors.SettingsRefused: The text is not valid; the message is one line
+            with the reason.
     """
     parser = configparser.ConfigParser(interpolation=None, default_section="")
     try:
         parser.read_string(text)
-    except configparser.ParsingError as fault:
-        line = fault.errors[0][0]
-        raise errors.SettingsRefused(f"line {line}: not an INI line") from fault
-    except configparser.Error as fault:
-        reason = " ".join(fault.message.replace("\n", " ").split())
-        raise errors.SettingsRefused(reason) from fault
+    except configparser.ParsingError as error:
+        line = error.errors[0][0]
+        raise errors.SettingsRefused(f"line {line}: not an INI line") from error
+    except configparser.Error as error:
+        reason = " ".join(error.message.replace("\n", " ").split())
+        raise errors.SettingsRefused(reason) from error
     sections = {name: dict(parser[name]) for name in parser.sections()}
     try:
         checked = msgspec.convert(
             sections, kind, strict=False, dec_hook=_decode_hook
         )
-    except (msgspec.ValidationError, ValueError) as fault:
+    except (msgspec.ValidationError, ValueError) as error:
         raise errors.SettingsRefused(
-            ini.format_validation_error(text, str(fault))
-        ) from fault
-    _check_addresses(checked)
+            ini.format_validation_error(text, str(error))
+        ) from error
+    _check_distinct_addresses(checked)
     return checked
 
 
-def _check_addresses(
+def _check_distinct_addresses(
     checked: RouterSettings | SidecarSettings | DirectSettings,
 ) -> None:
-    """Refuses settings by which a process would meet itself."""
+    """Raises `SettingsRefused` if two of the addresses are equal."""
     listen = checked.listen
     named = {
         "[listen] data": listen.data,
@@ -343,23 +355,23 @@
 
 
 def read_settings(path: str, kind: type[Settings]) -> Settings:
-    """Reads, parses and checks a settings file.
+    """Reads, parses and validates a settings file.
 
     Args:
-        path: The file.
-        kind: `RouterSettings` or `SidecarSettings`.
+        path: Path of the file.
+        kind: `RouterSettings`, `SidecarSettings` or `DirectSettings`.
 
     Returns:
-        The checked settings.
+        The valid settings.
 
     Raises:
-        errors.SettingsRefused: The file can't be read or used.
+        errors.SettingsRefused: The file can't be read or is not valid.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
-    except (OSError, UnicodeDecodeError) as fault:
-        raise errors.SettingsRefused(f"{path}: {fault}") from fault
+    except (OSError, UnicodeDecodeError) as error:
+        raise errors.SettingsRefused(f"{path}: {error}") from error
     try:
         return parse_settings(text, kind)
-    except errors.SettingsRefused as fault:
-        raise errors.SettingsRefused(f"{path}: {fault}") from fault
+    except errors.SettingsRefused as error:
+        raise errors.SettingsRefused(f"{path}: {error}") from error
--- a/sycamorefall/tests/test_messages_fuzz.py
+++ b/sycamorefall/tests/test_messages_fuzz.py
@@ -1,7 +1,7 @@
-"""Bytes from elsewhere: refused as a kind of ours, never a crash.
+"""Fuzz tests of message decoding: invalid data raises `MessageRefused` only.
 
-A process would die, or drop a link, at one bad packet: cut short, garbled,
-nested without end, or well-formed with values that nobody sends.
+Any other exception would end the process or a link because of one packet that
+is truncated, corrupted, deeply nested, or well-formed with unusual values.
 """
 
 import base64
@@ -16,7 +16,7 @@
 from sycamorefall.router import core as router_core
 from sycamorefall.sidecar import core as sidecar_core
 
-steady = hypothesis.settings(
+fuzz_settings = hypothesis.settings(
     derandomize=True, database=None, deadline=None, max_examples=150
 )
 
@@ -37,8 +37,8 @@
 
 
 @st.composite
-def garbled(draw, data):
-    """Cuts bytes short, or changes some of them."""
+def corrupt_data(draw, data):
+    """Truncates data and overwrites some of its bytes."""
     changed = bytearray(data)
     for _ in range(draw(st.integers(0, 4))):
         place = draw(st.integers(0, len(changed) - 1))
@@ -62,38 +62,38 @@
         return None
 
 
-@steady
+@fuzz_settings
 @hypothesis.given(st.binary() | VALUES.map(msgspec.msgpack.encode))
-def test_any_bytes_are_a_message_or_refused(data):
+def test_arbitrary_bytes_are_decoded_or_refused(data):
     decode(messages.decode_envelope, data)
     decode(messages.decode_order, base64.b64encode(data).decode())
 
 
-@steady
+@fuzz_settings
 @hypothesis.given(st.text())
-def test_any_header_is_an_order_or_refused(text):
+def test_arbitrary_header_is_decoded_or_refused(text):
     decode(messages.decode_order, text)
 
 
-@steady
+@fuzz_settings
 @hypothesis.given(st.data())
-def test_garbled_messages_are_read_or_refused(data):
+def test_corrupted_messages_are_decoded_or_refused(data):
     team = messages.TeamWaiting("mill", 1, 1)
     waiting = messages.Waiting("ledger", 1, (team,), True)
     sent = messages.encode_envelope(messages.Envelope("r", 1, 1, waiting))
-    decode(messages.decode_envelope, data.draw(garbled(sent)))
+    decode(messages.decode_envelope, data.draw(corrupt_data(sent)))
     order = messages.encode_order(make_order()).encode()
-    text = data.draw(garbled(order)).decode("latin-1")
+    text = data.draw(corrupt_data(order)).decode("latin-1")
     decode(messages.decode_order, text)
 
 
 @pytest.mark.parametrize("kind", ["envelope", "order"])
-def test_endless_nesting_in_an_unknown_field_is_refused(kind):
-    """A field that a later version may have holds a list in a list in a ..."""
+def test_deep_nesting_in_an_unknown_field_is_refused(kind):
+    """A field that this version doesn't know contains 100,000 nested lists."""
     nested = b"\x91" * 100_000
     envelope = messages.Envelope("r", 1, 1, messages.Heartbeat())
     sent = messages.encode_envelope(envelope)
-    # One element more than the array of four that an envelope is.
+    # One element more than the four of the array that encodes an envelope.
     data = bytes([sent[0] + 1]) + sent[1:] + nested
     read = messages.decode_envelope
     if kind == "order":
@@ -103,8 +103,8 @@
         read(data)
 
 
-def build(kind):
-    """Draws messages of a kind with any values that its types allow."""
+def build_messages(kind):
+    """Returns a strategy for messages of a type with arbitrary values."""
     strategies = {
         str: NAMES,
         messages.Name: NAMES | st.integers(-(1 << 63), (1 << 63) - 1),
@@ -113,12 +113,14 @@
         float: st.floats(),
         messages.AttemptState: st.sampled_from(messages.AttemptState),
         tuple[messages.TeamWaiting, ...]: st.deferred(
-            lambda: st.lists(build(messages.TeamWaiting), max_size=3).map(tuple)
+            lambda: st.lists(
+                build_messages(messages.TeamWaiting), max_size=3
+            ).map(tuple)
         ),
         tuple[messages.AccountEntry, ...]: st.deferred(
-            lambda: st.lists(build(messages.AccountEntry), max_size=3).map(
-                tuple
-            )
+            lambda: st.lists(
+                build_messages(messages.AccountEntry), max_size=3
+            ).map(tuple)
         ),
     }
     fields = msgspec.structs.fields(kind)
@@ -137,7 +139,7 @@
 )
 
 
-@steady
+@fuzz_settings
 @hypothesis.given(
     st.lists(
         st.builds(
@@ -145,12 +147,12 @@
             sender=NAMES,
             incarnation=st.integers(0, 9),
             revision=st.integers(0, 9),
-            message=st.one_of(*map(build, KINDS)),
+            message=st.one_of(*map(build_messages, KINDS)),
         ),
         max_size=5,
     )
 )
-def test_well_formed_messages_with_odd_values_stop_no_core(envelopes):
+def test_cores_handle_well_formed_messages_with_unusual_values(envelopes):
     fleet = model.Fleet()
     fleet.advance_connected(1.0)
     fleet.submit("router-0", 30.0, idempotent=True)
--- a/sycamorefall/tests/test_pages.py
+++ b/sycamorefall/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Which pages are answered to whom."""
+"""Addresses and clients to which each page is served."""
 
 import types
 
@@ -9,11 +9,11 @@
 DATA = settings.Address("0.0.0.0", 7400)
 CONTROL = settings.Address("0.0.0.0", 7401)
 OPERATORS = settings.Address("10.0.0.1", 7409)
-LOCAL, DISTANT = "127.0.0.1", "10.0.0.9"
+LOCAL, REMOTE = "127.0.0.1", "10.0.0.9"
 
 
 class Call:
-    """A call that keeps its answer."""
+    """An HTTP call that stores the status of its response."""
 
     def __init__(self, path, remote):
         self.path, self.remote, self.query = path, remote, ""
@@ -39,15 +39,15 @@
 
 
 @pytest.mark.parametrize("path", ["/status", "/metrics"])
-def test_operators_pages_are_not_for_callers(path):
-    """A caller must not learn the teams and VMs of the fleet."""
-    assert ask(path, DISTANT) == 404
+def test_operators_pages_are_not_served_to_callers(path):
+    """Callers must not get the names of teams and VMs."""
+    assert ask(path, REMOTE) == 404
     assert ask(path, LOCAL) == 200
     assert ask(path, LOCAL, OPERATORS) == 404
-    assert ask(path, DISTANT, OPERATORS, for_operators=True) == 200
+    assert ask(path, REMOTE, OPERATORS, for_operators=True) == 200
 
 
-def test_balancer_gets_its_pages_everywhere():
-    assert ask("/live", DISTANT) == 200
-    assert ask("/ready", DISTANT, OPERATORS) == 200
-    assert ask("/ready", DISTANT, unready=("stopping",)) == 503
+def test_balancer_pages_are_served_at_all_addresses():
+    assert ask("/live", REMOTE) == 200
+    assert ask("/ready", REMOTE, OPERATORS) == 200
+    assert ask("/ready", REMOTE, unready=("stopping",)) == 503
