--- a/sycamorefall/ini.py
+++ b/sycamorefall/ini.py
@@ -29,19 +29,19 @@
         self._numbers: dict[tuple[str, str], int] | None = None
         self._parts: list[tuple[int, LineIndex]] = []
 
-    def add(self, other: "LineIndex", before: int) -> None:
-        """Adds the index of a block that has `before` lines before it."""
-        self._parts.append((before, other))
+    def add(self, other: "LineIndex", lines_before: int) -> None:
+        """Adds the index of a block that has `lines_before` lines before it."""
+        self._parts.append((lines_before, other))
 
     def find(self, section: str, option: str = "") -> int:
         """Returns the line of an option, else of its section, else 0."""
-        for before, lines in self._parts:
+        for lines_before, lines in self._parts:
             if line := lines.find(section, option):
-                return before + line
+                return lines_before + line
         if self._numbers is None:
             self._numbers = _number_lines(self._text)
-        whole = self._numbers.get((section, ""), 0)
-        return self._numbers.get((section, option), whole)
+        section_line = self._numbers.get((section, ""), 0)
+        return self._numbers.get((section, option), section_line)
 
 
 def _number_lines(text: str) -> dict[tuple[str, str], int]:
--- a/sycamorefall/observation/recorder.py
+++ b/sycamorefall/observation/recorder.py
@@ -32,7 +32,7 @@
         histograms: Histograms of the requests' times.
         requests: Number of ended requests by (service, result).
         events: Number of other events by (event, detail).
-        open: Number of requests in progress.
+        in_progress: Number of requests in progress.
     """
 
     histograms: histograms_module.TeamHistograms = dataclasses.field(
@@ -44,7 +44,7 @@
     events: collections.Counter = dataclasses.field(
         default_factory=collections.Counter
     )
-    open: int = 0
+    in_progress: int = 0
 
 
 @dataclasses.dataclass(slots=True)
@@ -99,7 +99,7 @@
         Trace of the request, to be passed to the other functions.
     """
     histograms_module.record_request(recorder.histograms, service, team)
-    recorder.open += 1
+    recorder.in_progress += 1
     action = log.start_action("request", service=service, team=team, **fields)
     return RequestTrace(service, team, now, action)
 
@@ -212,7 +212,7 @@
     if trace.ended:
         return
     trace.ended = True
-    recorder.open -= 1
+    recorder.in_progress -= 1
     recorder.requests[trace.service, result] += 1
     if result == "answered":
         kind = histograms_module.TimeKind.TOTAL
--- a/sycamorefall/observation/tests/test_recorder.py
+++ b/sycamorefall/observation/tests/test_recorder.py
@@ -56,7 +56,7 @@
         assert samples[(f"{name}_sum", *team)] == pytest.approx(seconds * count)
     key = (("result", "answered"), ("service", "assistant"))
     assert samples[("sycamorefall_requests_total", *key)] == 1
-    assert recorder.open == 0
+    assert recorder.in_progress == 0
 
 
 def test_busy_team_displaces_quiet_team_without_loss():
--- a/sycamorefall/pages.py
+++ b/sycamorefall/pages.py
@@ -217,7 +217,7 @@
     versions = core.versions
     gauge, count = metrics_module.create_gauge, metrics_module.create_counter
     yield from metrics_module.list_recorder_metrics(recorder)
-    yield gauge("open", "In progress.", (), {(): recorder.open})
+    yield gauge("open", "In progress.", (), {(): recorder.in_progress})
     yield gauge(
         "revision", "Configuration in force.", (), {(): versions.in_force}
     )
