--- a/sycamorefall/configuration/text.py
+++ b/sycamorefall/configuration/text.py
@@ -315,8 +315,7 @@
             if dependency not in services:
                 raise errors.ConfigurationRefused(
                     lines.find(f"service {service.name}", "depends_on"),
-                    f"service {service.name} depends on unknown "
-                    f"service {dependency}",
+                    f"service {service.name} depends on unknown {dependency}",
                 )
     dependencies = {
         name: service.depends_on for name, service in services.items()
--- a/sycamorefall/direct/relay.py
+++ b/sycamorefall/direct/relay.py
@@ -71,7 +71,7 @@
         "buffered",
         "splitter",
         "streamed",
-        "track",
+        "trace",
     )
 
     def __init__(
--- a/sycamorefall/sidecar/daemon.py
+++ b/sycamorefall/sidecar/daemon.py
@@ -51,7 +51,7 @@
         "order",
         "started_at",
         "streamed",
-        "track",
+        "trace",
     )
 
     def __init__(
