--- a/sycamorefall/platform/__init__.py
+++ b/sycamorefall/platform/__init__.py
@@ -1,5 +1,6 @@
-"""Adapter to the users' platform: translation only.
+"""Adapter to the users' platform; it only translates.
 
-Every name of the platform's wire stands in this folder and is read once, into
-the product's own types.
+The names that the platform uses on the wire (headers, keys and fields) occur
+in this folder only. They are translated once, to and from the router's own
+types.
 """
--- a/sycamorefall/platform/__main__.py
+++ b/sycamorefall/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Runs a process of the system on the users' platform."""
+"""Runs a router that sends directly to the upstreams of the platform."""
 
 __all__ = ["main"]
 
@@ -13,11 +13,11 @@
 """Environment variable with the path of the settings file."""
 
 EXIT_REFUSED = 2
-"""Exit status when the settings can't be used."""
+"""Exit status when the router can't start, e.g. with invalid settings."""
 
 
 def main() -> int:
-    """Runs the router; returns its exit status."""
+    """Runs the router until it is told to stop; returns the exit status."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     try:
         config = settings.read_settings(path, settings.DirectSettings)
@@ -25,7 +25,7 @@
             config,
             headers.create_dialect(),
             lambda running: store.StoreReader(config.platform.address, running),
-            lambda: _reload(path),
+            lambda: _check_settings(path),
         )
     except errors.SycamorefallError as fault:
         print(f"sycamorefall: {fault}", file=sys.stderr)
@@ -33,11 +33,12 @@
     return 0
 
 
-def _reload(path: str) -> None:
-    """Checks a settings file that has changed.
+def _check_settings(path: str) -> None:
+    """Reads the settings file on SIGHUP and logs whether it is valid.
 
-    Its addresses are those of the running process, so nothing of it comes
-    into force before a restart; a bad file is told at once.
+    Changed settings take effect only at the next start, because they hold the
+    addresses that the running process listens on. The check reports an invalid
+    file before that.
     """
     try:
         settings.read_settings(path, settings.DirectSettings)
--- a/sycamorefall/platform/documents.py
+++ b/sycamorefall/platform/documents.py
@@ -1,4 +1,4 @@
-"""The platform's documents, decoded into the product's types."""
+"""Decodes the platform's documents into the router's own types."""
 
 __all__ = [
     "ItemPage",
@@ -18,13 +18,13 @@
 
 
 class Item(msgspec.Struct, rename="pascal"):
-    """An entry of the store.
+    """An item of the platform's store.
 
     Attributes:
-        key: Its key.
-        value: Its bytes, in base64.
-        create_rev: Revision at which the key was made.
-        revision: Revision of its last change.
+        key: Key of the item.
+        value: Value of the item, in base64.
+        create_rev: Revision of the store at which the key was created.
+        revision: Revision of the store at which the value was last changed.
     """
 
     key: str
@@ -34,12 +34,12 @@
 
 
 class ItemPage(msgspec.Struct, rename="pascal"):
-    """Answer to a read of a range.
+    """Response to a read of a range of keys, or one page of it.
 
     Attributes:
-        items: The entries.
-        current_rev: The store's revision.
-        more_pages: Whether the answer is cut, and goes on after its last key.
+        items: Items of this page, in the order of their keys.
+        current_rev: Revision of the store.
+        more_pages: Whether the next page starts after the last key of this one.
     """
 
     items: list[Item] = []
@@ -48,14 +48,19 @@
 
 
 class _Upstream(msgspec.Struct, rename="pascal"):
-    """An entry of an upstream; all of its fields are always there.
+    """Entry that an upstream writes about itself.
+
+    All fields but `born` are required, so that an entry of another program
+    isn't decoded as an upstream.
 
     Attributes:
-        slots: Requests that it runs at once.
-        cold_remaining_ms: How much longer it is slow after its start.
-        sequence: Counts what it wrote; starts anew with the process.
-        born: When the process started, by its own clock in milliseconds; 0
-            on platforms that don't tell.
+        slots: Number of requests that the upstream runs concurrently.
+        cold_remaining_ms: Remaining time in milliseconds for which the upstream
+            is slow after its start.
+        sequence: Counter of the entries that the upstream wrote; restarts with
+            its process.
+        born: Start time of the process by its own clock, in milliseconds; None
+            on platforms that don't state it.
     """
 
     service: str
@@ -120,7 +125,7 @@
     tenants: list[_Team] = []
 
 
-_KINDS = {
+_ROUTE_KINDS = {
     "safe": catalog.RouteKind.IDEMPOTENT,
     "unsafe": catalog.RouteKind.AT_MOST_ONCE,
     "streaming": catalog.RouteKind.STREAM,
@@ -128,15 +133,15 @@
 
 _BYTES_PER_MEGABIT = 125_000
 
-_LEAVING = "draining"
-"""State of an upstream that is to get no new work."""
+_DRAINING_STATE = "draining"
+"""State of an upstream that is to get no new requests."""
 
 
 def translate_item(item: Item) -> messages.Record:
-    """Translates an entry of the store.
+    """Translates an item of the store into a record.
 
-    One whose bytes can't be read has none, so it is refused as any other
-    that can't be used.
+    If the value is not valid base64, the record's value is empty. Decoding the
+    record then fails as it does for any invalid document.
     """
     try:
         value = base64.b64decode(item.value, validate=True)
@@ -145,44 +150,45 @@
     return messages.Record(item.key, item.create_rev, item.revision, value)
 
 
-def _decode(record: messages.Record, kind: type) -> object:
+def _decode(record: messages.Record, struct_type: type) -> object:
     try:
-        return msgspec.json.decode(record.value, type=kind)
+        return msgspec.json.decode(record.value, type=struct_type)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
         reason = f"{record.key}: {fault}"
         raise errors.ConfigurationRefused(0, reason) from fault
 
 
 def decode_catalog(record: messages.Record) -> catalog.Catalog:
-    """Decodes the configuration.
+    """Decodes the configuration into a catalog.
 
     Args:
-        record: The record that holds it.
+        record: Record that holds the configuration as JSON.
 
     Returns:
-        The configuration.
+        The catalog of routes, services and teams.
 
     Raises:
-        errors.ConfigurationRefused: It can't be used; the text says why.
+        errors.ConfigurationRefused: The configuration is invalid; the message
+            names the record's key or the route.
     """
-    read = _decode(record, _Configuration)
+    configuration = _decode(record, _Configuration)
     keys = {
         key: catalog.Team(team.name)
-        for team in read.tenants
+        for team in configuration.tenants
         for key in team.api_keys
     }
     return catalog.create_catalog(
-        read.version,
-        [_translate_route(route) for route in read.routes],
-        [_translate_service(service) for service in read.services],
+        configuration.version,
+        [_translate_route(route) for route in configuration.routes],
+        [_translate_service(service) for service in configuration.services],
         keys,
-        bool(read.tenants),
-        read.limits.tokens_per_s,
+        bool(configuration.tenants),
+        configuration.limits.tokens_per_s,
     )
 
 
 def _translate_route(route: _Route) -> catalog.Route:
-    kind = _KINDS.get(route.kind)
+    kind = _ROUTE_KINDS.get(route.kind)
     if kind is None:
         reason = f"route {route.name}: unknown kind {route.kind!r}"
         raise errors.ConfigurationRefused(0, reason)
@@ -209,12 +215,12 @@
     engine = service.engine and catalog.Engine(
         service.engine.slots,
         service.engine.kv_capacity_tokens,
-        _read_fetch_rate(service.engine),
+        _compute_fetch_rate(service.engine),
     )
     return catalog.Service(service.name, service.max_connections, engine)
 
 
-def _read_fetch_rate(engine: _Engine) -> float:
+def _compute_fetch_rate(engine: _Engine) -> float:
     if engine.kv_token_bytes <= 0:
         return 0.0
     return engine.link_mbps * _BYTES_PER_MEGABIT / engine.kv_token_bytes
@@ -226,38 +232,42 @@
     """Decodes the entries of upstreams.
 
     Args:
-        records: The records that hold them.
-        prefix: What their keys begin with; the rest is the incarnation.
+        records: Records that hold one entry each.
+        prefix: Prefix of the records' keys. The rest of a key is the
+            upstream's incarnation.
 
     Returns:
-        The upstreams, and a reason for each entry that can't be used, both by
-        the record's key.
+        The decoded entries, and the reasons why the invalid ones were refused.
+        Both are keyed by the record's key.
     """
     listing: dict[str, upstreams.UpstreamEntry] = {}
     refused: dict[str, str] = {}
     for record in records:
         try:
-            listing[record.key] = _translate_entry(record, prefix)
+            listing[record.key] = _translate_upstream(record, prefix)
         except (errors.ConfigurationRefused, ValueError) as fault:
             refused[record.key] = str(fault)
     return listing, refused
 
 
-def _translate_entry(
+def _translate_upstream(
     record: messages.Record, prefix: str
 ) -> upstreams.UpstreamEntry:
     entry = _decode(record, _Upstream)
     name = record.key.removeprefix(prefix)
-    # It stands in a header of each request there.
+    # The name is sent as a header value in each request to the upstream, so a
+    # line break in it would inject another header.
     if not name.isascii() or not name.isprintable() or not name.strip():
-        raise errors.ConfigurationRefused(0, f"{record.key!r}: no name")
+        raise errors.ConfigurationRefused(
+            0, f"{record.key!r}: invalid upstream name"
+        )
     return upstreams.UpstreamEntry(
         name,
         entry.service,
         settings.parse_address(entry.address),
         entry.zone,
         entry.slots,
-        entry.state == _LEAVING,
+        entry.state == _DRAINING_STATE,
         record.created_revision,
         entry.born or 0,
     )
--- a/sycamorefall/platform/headers.py
+++ b/sycamorefall/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers of callers and upstreams, to and from the product's types."""
+"""Translates between the platform's HTTP headers and the router's types."""
 
 __all__ = ["create_dialect"]
 
@@ -10,19 +10,20 @@
 from sycamorefall.direct import dialects, effects, prompts
 from sycamorefall.direct import state as state_module
 
-_ID = "Attempt-Id"
-_STAMP = "Server-Stamp"
-"""Signature of the upstream; an answer without it isn't an upstream's."""
-
-_NOT_RUN = "Not-Executed"
-_TIME_LEFT = "Request-Deadline-Ms"
-_KEY = "Credential"
-_TEAM = "Tenant"
-_INCARNATION = "Expect-Instance"
-_LAST_EVENT = "Last-Event-Id"
-_FETCH_FROM = "Kv-Fetch"
-_LEAVING = "Server-Leaving"
-_RETRY_AFTER = "Retry-After"
+_ATTEMPT_ID_HEADER = "Attempt-Id"
+_SIGNATURE_HEADER = "Server-Stamp"
+"""Header in which an upstream signs its responses. A response without it comes
+from another sender, such as a proxy."""
+
+_NOT_RUN_HEADER = "Not-Executed"
+_TIME_LEFT_HEADER = "Request-Deadline-Ms"
+_API_KEY_HEADER = "Credential"
+_TEAM_HEADER = "Tenant"
+_INCARNATION_HEADER = "Expect-Instance"
+_LAST_EVENT_HEADER = "Last-Event-Id"
+_FETCH_FROM_HEADER = "Kv-Fetch"
+_LEAVING_HEADER = "Server-Leaving"
+_RETRY_AFTER_HEADER = "Retry-After"
 
 _CONNECTION_HEADERS = frozenset(
     {
@@ -40,43 +41,46 @@
         "expect",
     }
 )
-"""Headers that concern one connection, or are written anew."""
+"""Headers that apply to a single connection or are generated per request."""
 
-_OWN_HEADERS = frozenset(
+_RESERVED_HEADERS = frozenset(
     name.lower()
     for name in (
-        _KEY,
-        _TEAM,
-        _INCARNATION,
-        _TIME_LEFT,
+        _API_KEY_HEADER,
+        _TEAM_HEADER,
+        _INCARNATION_HEADER,
+        _TIME_LEFT_HEADER,
         "Hold",
         "Pin-Ms",
         "Kv-Backup",
         "Kv-From",
-        _FETCH_FROM,
+        _FETCH_FROM_HEADER,
     )
 )
-"""Headers that only the system sets, or that are not for upstreams."""
+"""Headers of a caller's request that aren't forwarded to upstreams: those that
+only the router or the engines may set, and the caller's API key."""
 
 _MISDIRECTED = 421
-"""Status of an upstream that is another incarnation than was meant."""
+"""Status by which an upstream refuses a request that names another
+incarnation than its own."""
 
 _UNAVAILABLE = 503
-"""Status of an upstream that refuses a request."""
+"""Status of an upstream that refuses a request, possibly with Retry-After."""
 
-_PROMISES = frozenset({408, 429, 503})
-"""Statuses that tell a caller that its request did not run. From an upstream
-that doesn't say so in the header for it they can't be passed on."""
+_NOT_RUN_STATUSES = frozenset({408, 429, 503})
+"""Statuses by which a caller concludes that its request did not run. They are
+not forwarded from an upstream that doesn't confirm it by `_NOT_RUN_HEADER`,
+because the request may have run."""
 
 
 def create_dialect() -> dialects.Dialect:
-    """Creates the platform's way to put requests and answers in HTTP."""
+    """Creates the dialect that uses the platform's headers and statuses."""
     return dialects.Dialect(
         read_request=_read_request,
-        read_request_id=lambda call: call.headers.get(_ID, ""),
+        read_request_id=lambda call: call.headers.get(_ATTEMPT_ID_HEADER, ""),
         write_headers=_write_headers,
-        is_ours=_is_ours,
-        read_answer=_read_answer,
+        is_ours=_matches_call,
+        read_answer=_read_response_head,
     )
 
 
@@ -85,13 +89,15 @@
 ) -> result.Result[state_module.NewRequest, str]:
     headers = call.headers
     try:
-        left = headers.get(_TIME_LEFT)
+        time_left_ms = headers.get(_TIME_LEFT_HEADER)
         return result.Success(
             state_module.NewRequest(
                 host=headers.get("Host", ""),
                 path=call.path,
-                key=headers.get(_KEY, "").strip(),
-                time_left=None if left is None else float(left) / 1000,
+                key=headers.get(_API_KEY_HEADER, "").strip(),
+                time_left=None
+                if time_left_ms is None
+                else float(time_left_ms) / 1000,
                 prompt=_read_prompt(headers),
                 method=call.method,
                 target=call.target,
@@ -106,9 +112,9 @@
     usage = headers.get("Token-Usage")
     if usage is None:
         return None
-    tokens, _, most = usage.partition(",")
+    tokens, _, max_output = usage.partition(",")
     hint = headers.get("Length-Hint")
-    output = min(int(most), int(float(hint))) if hint else int(most)
+    output = min(int(max_output), int(float(hint))) if hint else int(max_output)
     parts = [
         entry.strip().rpartition(":")
         for entry in headers.get("Prompt-Prefix", "").split(",")
@@ -124,64 +130,73 @@
 def _write_headers(
     call: transport.IncomingCall, send: effects.SendRequest, last_event: str
 ) -> tuple[tuple[str, str], ...]:
-    dropped = _CONNECTION_HEADERS | _OWN_HEADERS | _list_hop_headers(call)
+    dropped = (
+        _CONNECTION_HEADERS | _RESERVED_HEADERS | _list_connection_options(call)
+    )
     if last_event:
-        dropped = dropped | {_LAST_EVENT.lower()}
-    passed = [
+        dropped = dropped | {_LAST_EVENT_HEADER.lower()}
+    forwarded = [
         (name, value)
         for name, value in call.headers.pairs
         if name not in dropped
     ]
-    own = [
-        (_INCARNATION, send.upstream),
-        (_TIME_LEFT, str(max(1, int(send.time_left * 1000)))),
+    added = [
+        (_INCARNATION_HEADER, send.upstream),
+        (_TIME_LEFT_HEADER, str(max(1, int(send.time_left * 1000)))),
     ]
     if send.team:
-        own.append((_TEAM, send.team))
+        added.append((_TEAM_HEADER, send.team))
     if last_event:
-        own.append((_LAST_EVENT, last_event))
+        added.append((_LAST_EVENT_HEADER, last_event))
     if send.source is not None:
-        own.append((_FETCH_FROM, str(send.source)))
-    return (*passed, *own)
+        added.append((_FETCH_FROM_HEADER, str(send.source)))
+    return (*forwarded, *added)
 
 
-def _list_hop_headers(call: transport.IncomingCall) -> frozenset[str]:
-    """Lists the headers that the caller's connection header names."""
-    named = call.headers.get("Connection", "").split(",")
-    return frozenset(name.strip().lower() for name in named)
+def _list_connection_options(call: transport.IncomingCall) -> frozenset[str]:
+    """Lists the header names in the caller's Connection header, lower case."""
+    options = call.headers.get("Connection", "").split(",")
+    return frozenset(name.strip().lower() for name in options)
 
 
-def _is_ours(call: transport.IncomingCall, headers: dict[str, str]) -> bool:
-    """Tells whether an answer is to this call.
+def _matches_call(
+    call: transport.IncomingCall, headers: dict[str, str]
+) -> bool:
+    """Tells whether a response belongs to this call, by its attempt id.
 
-    An upstream may send a second answer to an earlier request. One that bears
-    no id is taken: some failures are answered before the id is read.
+    An upstream may send a second response to an earlier request on the same
+    connection. A response without an id is accepted, because some failures are
+    answered before the upstream has read the id.
     """
-    answered = headers.get(_ID.lower())
-    return answered is None or answered == call.headers.get(_ID)
+    answered_id = headers.get(_ATTEMPT_ID_HEADER.lower())
+    return answered_id is None or answered_id == call.headers.get(
+        _ATTEMPT_ID_HEADER
+    )
 
 
-def _read_answer(
+def _read_response_head(
     status: int, headers: list[tuple[str, str]]
 ) -> dialects.AnswerHead:
-    named = dict(headers)
-    verdict = _judge(status, named)
-    passed = tuple(
+    headers_by_name = dict(headers)
+    verdict = _classify_response(status, headers_by_name)
+    forwarded = tuple(
         (name.title(), value)
         for name, value in headers
         if name not in _CONNECTION_HEADERS
     )
-    leaving = named.get(_LEAVING.lower()) == "1"
-    retry_after = _read_retry_after(named) if status == _UNAVAILABLE else None
-    return dialects.AnswerHead(verdict, status, passed, leaving, retry_after)
+    leaving = headers_by_name.get(_LEAVING_HEADER.lower()) == "1"
+    retry_after = (
+        _read_retry_after(headers_by_name) if status == _UNAVAILABLE else None
+    )
+    return dialects.AnswerHead(verdict, status, forwarded, leaving, retry_after)
 
 
-def _read_retry_after(named: dict[str, str]) -> float | None:
-    """Reads the Retry-After delay in seconds.
+def _read_retry_after(headers_by_name: dict[str, str]) -> float | None:
+    """Returns the Retry-After delay in seconds; None if there is none.
 
     A value that isn't a finite, non-negative number is logged and ignored.
     """
-    text = named.get(_RETRY_AFTER.lower())
+    text = headers_by_name.get(_RETRY_AFTER_HEADER.lower())
     if text is None:
         return None
     try:
@@ -196,14 +211,19 @@
     return None
 
 
-def _judge(status: int, named: dict[str, str]) -> dialects.Verdict:
+def _classify_response(
+    status: int, headers_by_name: dict[str, str]
+) -> dialects.Verdict:
     if status == _MISDIRECTED:
         return dialects.Verdict.OTHER_INCARNATION
-    if _NOT_RUN.lower() in named:
+    if _NOT_RUN_HEADER.lower() in headers_by_name:
         return dialects.Verdict.NOT_RUN
-    signed = _STAMP.lower() in named and "content-encoding" not in named
+    signed = (
+        _SIGNATURE_HEADER.lower() in headers_by_name
+        and "content-encoding" not in headers_by_name
+    )
     if 200 <= status < 300 and signed:
         return dialects.Verdict.SUCCESS
-    if status < 300 or status in _PROMISES:
+    if status < 300 or status in _NOT_RUN_STATUSES:
         return dialects.Verdict.INVALID
     return dialects.Verdict.FAILURE
--- a/sycamorefall/platform/store.py
+++ b/sycamorefall/platform/store.py
@@ -1,4 +1,4 @@
-"""Reads the platform's store: configuration and upstreams."""
+"""Reads the configuration and the upstreams from the platform's store."""
 
 __all__ = ["StoreReader"]
 
@@ -19,149 +19,168 @@
 UPSTREAM_PREFIX = "servers/"
 
 ALL_KEYS = ""
-"""Prefix of a read of everything: one call less than a read of each kind."""
+"""Prefix of all keys. One read of all items takes one call less than separate
+reads of the configuration and the upstreams."""
 
-BEHIND_ALL = "~"
-"""A key after all others: what lies behind it is nothing, and the answer
-still tells the store's revision."""
+AFTER_ALL_KEYS = "~"
+"""A key that sorts after all keys in use. A read that starts after it returns
+no items but still the store's revision."""
 
 MAX_RESPONSE_BYTES = 1 << 24
-"""Bytes of an answer that are taken at most: ten values of the largest size."""
+"""Maximum size in bytes of one page of a read: room for ten values of the
+largest size."""
 
 _OK = 200
 
 
 @dataclasses.dataclass(slots=True)
-class _Call:
-    """A read in progress, one page of it after the other.
+class _PendingRead:
+    """State of a read in progress, which requests one page after the other.
 
     Attributes:
         kind: What is read.
-        exchange: The page's request and answer.
-        status: Status of the answer.
-        parts: What came of its body.
-        size: Bytes of that.
-        items: The pages before.
-        revision: The lowest revision among them: an earlier page doesn't
-            show what changed before a later one was read.
+        exchange: Request and response of the current page.
+        status: HTTP status of the current page; 0 before its head arrived.
+        chunks: Received parts of the current page's body.
+        size: Total bytes of `chunks`.
+        items: Items of the pages received so far.
+        revision: Lowest revision of the pages received so far; None before the
+            first one. The lowest counts, because an earlier page doesn't show
+            changes made before a later one was read.
     """
 
     kind: ReadKind
     exchange: transport.Exchange | None = None
     status: int = 0
-    parts: list[bytes] = dataclasses.field(default_factory=list)
+    chunks: list[bytes] = dataclasses.field(default_factory=list)
     size: int = 0
     items: list[documents.Item] = dataclasses.field(default_factory=list)
     revision: int | None = None
 
 
 class StoreReader:
-    """Sends the reads that are planned, and brings into force what they give.
+    """Reads the platform's records and puts them into effect.
 
-    Decoded documents are kept, so that a change costs no more than what has
-    changed.
+    The decoded entries and the revisions of decoded records are kept, so that
+    only changed records are decoded again.
     """
 
-    __slots__ = ("_address", "_call", "_daemon", "_decoded", "_listed")
+    __slots__ = (
+        "_address",
+        "_daemon",
+        "_decoded_revisions",
+        "_pending_read",
+        "_upstreams",
+    )
 
     def __init__(self, address: settings.Address, daemon: daemon_module.Daemon):
         self._address = address
         self._daemon = daemon
-        self._call: _Call | None = None
-        self._decoded: dict[str, int] = {}
-        self._listed: dict[str, upstreams.UpstreamEntry] = {}
+        self._pending_read: _PendingRead | None = None
+        self._decoded_revisions: dict[str, int] = {}
+        self._upstreams: dict[str, upstreams.UpstreamEntry] = {}
 
     def start_read(self, kind: ReadKind) -> None:
-        """Sends a read; its end is told to the daemon's `Replicator`."""
-        self._call = _Call(kind)
-        after = BEHIND_ALL if kind is ReadKind.PROBE else ""
-        self._send_page(self._call, after)
+        """Sends a read; its result is passed to the daemon's `Replicator`."""
+        self._pending_read = _PendingRead(kind)
+        after = AFTER_ALL_KEYS if kind is ReadKind.PROBE else ""
+        self._send_page(self._pending_read, after)
 
     def cancel_read(self) -> None:
-        """Gives up the read in progress."""
-        call, self._call = self._call, None
-        if call is not None:
-            self._daemon.client.abort(call.exchange)
+        """Cancels the read in progress, if any."""
+        pending_read, self._pending_read = self._pending_read, None
+        if pending_read is not None:
+            self._daemon.client.abort(pending_read.exchange)
 
-    def _send_page(self, call: _Call, after: str) -> None:
+    def _send_page(self, pending_read: _PendingRead, after: str) -> None:
         query = {"Prefix": ALL_KEYS}
         if after:
             query["After"] = after
         path = "/kv-range?" + urllib.parse.urlencode(query)
         request = transport.OutgoingRequest(self._address, "GET", path)
-        call.status, call.parts, call.size = 0, [], 0
+        pending_read.status, pending_read.chunks, pending_read.size = 0, [], 0
         listener = transport.Listener(
-            on_head=lambda status, _: self._take_head(call, status),
-            on_data=lambda data: self._take_data(call, data),
-            on_end=lambda: self._take_end(call),
-            on_failure=lambda _: self._fail("connection"),
+            on_head=lambda status, _: self._handle_head(pending_read, status),
+            on_data=lambda data: self._handle_data(pending_read, data),
+            on_end=lambda: self._handle_end(pending_read),
+            on_failure=lambda _: self._report_failure("connection"),
         )
-        call.exchange = self._daemon.client.send(request, listener)
+        pending_read.exchange = self._daemon.client.send(request, listener)
 
-    def _take_head(self, call: _Call, status: int) -> None:
-        call.status = status
+    def _handle_head(self, pending_read: _PendingRead, status: int) -> None:
+        pending_read.status = status
 
-    def _take_data(self, call: _Call, data: bytes) -> None:
-        call.parts.append(data)
-        call.size += len(data)
-        if call.size > MAX_RESPONSE_BYTES:
-            self._daemon.client.abort(call.exchange)
-            self._fail("answer too large")
+    def _handle_data(self, pending_read: _PendingRead, data: bytes) -> None:
+        pending_read.chunks.append(data)
+        pending_read.size += len(data)
+        if pending_read.size > MAX_RESPONSE_BYTES:
+            self._daemon.client.abort(pending_read.exchange)
+            self._report_failure("response exceeds the maximum size")
 
-    def _take_end(self, call: _Call) -> None:
-        if call.status != _OK:
-            self._fail(f"status {call.status}")
+    def _handle_end(self, pending_read: _PendingRead) -> None:
+        if pending_read.status != _OK:
+            self._report_failure(f"status {pending_read.status}")
             return
-        data = b"".join(call.parts)
+        data = b"".join(pending_read.chunks)
         try:
             page = msgspec.json.decode(data, type=documents.ItemPage)
         except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-            self._fail(str(fault))
+            self._report_failure(str(fault))
             return
-        self._take_page(call, page)
+        self._handle_page(pending_read, page)
 
-    def _take_page(self, call: _Call, page: documents.ItemPage) -> None:
+    def _handle_page(
+        self, pending_read: _PendingRead, page: documents.ItemPage
+    ) -> None:
         revision = page.current_rev
-        if call.revision is not None:
-            revision = min(revision, call.revision)
-        call.revision = revision
-        call.items += page.items
-        if call.kind is ReadKind.SNAPSHOT and page.more_pages and page.items:
+        if pending_read.revision is not None:
+            revision = min(revision, pending_read.revision)
+        pending_read.revision = revision
+        pending_read.items += page.items
+        if (
+            pending_read.kind is ReadKind.SNAPSHOT
+            and page.more_pages
+            and page.items
+        ):
             self._daemon.replicator.extend_read()
-            self._send_page(call, after=page.items[-1].key)
+            self._send_page(pending_read, after=page.items[-1].key)
             return
-        self._call = None
-        if call.kind is ReadKind.PROBE:
+        self._pending_read = None
+        if pending_read.kind is ReadKind.PROBE:
             self._daemon.replicator.receive_probe(revision)
         else:
-            listed = [documents.translate_item(item) for item in call.items]
-            self._daemon.replicator.receive_snapshot(revision, listed)
+            records = [
+                documents.translate_item(item) for item in pending_read.items
+            ]
+            self._daemon.replicator.receive_snapshot(revision, records)
 
-    def _fail(self, reason: str) -> None:
-        self._call = None
+    def _report_failure(self, reason: str) -> None:
+        self._pending_read = None
         self._daemon.replicator.receive_failure(reason)
 
     def apply_records(self, known: records_module.Records) -> None:
-        """Brings records into force, as far as they are new."""
+        """Puts the records that have changed into effect."""
         configuration = known.by_key.get(CONFIGURATION_KEY)
         if configuration is not None and not self._is_decoded(configuration):
-            self._adopt_configuration(configuration)
+            self._apply_configuration(configuration)
         entries = {
             key: record
             for key, record in known.by_key.items()
             if key.startswith(UPSTREAM_PREFIX)
         }
         new = [one for one in entries.values() if not self._is_decoded(one)]
-        if new or self._listed.keys() - entries.keys():
-            self._adopt_entries(entries, new)
-        self._decoded = {
+        if new or self._upstreams.keys() - entries.keys():
+            self._apply_upstreams(entries, new)
+        self._decoded_revisions = {
             key: record.changed_revision for key, record in known.by_key.items()
         }
 
     def _is_decoded(self, record: messages.Record) -> bool:
-        return self._decoded.get(record.key) == record.changed_revision
+        return (
+            self._decoded_revisions.get(record.key) == record.changed_revision
+        )
 
-    def _adopt_configuration(self, record: messages.Record) -> None:
+    def _apply_configuration(self, record: messages.Record) -> None:
         try:
             new = documents.decode_catalog(record)
         except errors.ConfigurationRefused as fault:
@@ -169,30 +188,33 @@
         else:
             self._daemon.handle_catalog(new)
 
-    def _adopt_entries(
+    def _apply_upstreams(
         self,
         entries: Mapping[str, messages.Record],
         new: Iterable[messages.Record],
     ) -> None:
-        """Brings the entries of upstreams into force.
+        """Puts the entries of upstreams into effect.
+
+        An entry that can't be decoded is logged, and its upstream is removed
+        from the listing.
 
         Args:
-            entries: All of them.
-            new: Those that have changed.
+            entries: All entries, by key.
+            new: Entries that have changed since the last call.
         """
         decoded, refused = documents.decode_listing(new, UPSTREAM_PREFIX)
         for reason in refused.values():
             _log_refused(reason)
-        self._listed = {
+        self._upstreams = {
             key: entry
-            for key, entry in (self._listed | decoded).items()
+            for key, entry in (self._upstreams | decoded).items()
             if key in entries and key not in refused
         }
-        self._daemon.handle_listing(list(self._listed.values()))
+        self._daemon.handle_listing(list(self._upstreams.values()))
 
 
 def _log_refused(reason: str) -> None:
-    """Logs a document that can't be used."""
+    """Logs that a document is invalid and isn't put into effect."""
     observation.write_record(
         observation.Level.WARNING, "platform.refused", reason=reason
     )
