--- a/sycamorefall/platform/tests/callers.py
+++ b/sycamorefall/platform/tests/callers.py
@@ -1,4 +1,4 @@
-"""Callers with connections of their own, which note what they get."""
+"""Callers with a persistent connection each, which record their outcomes."""
 
 import asyncio
 import dataclasses
@@ -6,28 +6,35 @@
 import time
 
 WAIT_TIMEOUT = 8.0
-"""Seconds until a condition is taken for one that doesn't come."""
+"""Seconds after which `wait_for` raises TimeoutError."""
 
 
 class EndKind(enum.Enum):
-    """What became of a request that was wholly sent."""
+    """How a completely sent request ended.
+
+    ANSWERED: complete response of status 200 with the expected body.
+    REFUSED: complete response of status 429 or 503.
+    INVALID: truncated response, wrong body or another status.
+    CLOSED: the connection failed, or ended with no partly read head or body.
+    """
 
     ANSWERED = "answered"
     REFUSED = "refused"
-    INVALID = "cut"
+    INVALID = "invalid"
     CLOSED = "closed"
 
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """A request that was wholly sent, and what came of it.
+    """Outcome of a completely sent request.
 
     Attributes:
-        request: Its id.
-        end: What became of it.
-        duration: Seconds from its last byte to its end.
-        sent_at: Seconds from the caller's reference time to its last byte.
-        status: Status of its answer; 0 if there was none.
+        request: Id of the request.
+        end: How the request ended.
+        duration: Seconds from sending the request to its end.
+        sent_at: Seconds from the caller's reference time to sending the
+            request.
+        status: Status of the response; 0 without a complete response.
     """
 
     request: str
@@ -38,16 +45,25 @@
 
 
 class Caller:
-    """A caller with one connection, which it uses as long as it is open."""
+    """A caller that sends its requests on one connection while it is open.
+
+    Attributes:
+        port: Data port of the router, on loopback.
+        outcomes: List to which the outcomes of the requests are appended.
+        get_reference_time: Returns the time that `Outcome.sent_at` is relative
+            to.
+        reader: Reader of the open connection; None if there is none.
+        writer: Writer of the open connection; None if there is none.
+    """
 
-    def __init__(self, port, outcomes, began_at):
+    def __init__(self, port, outcomes, get_reference_time):
         self.port = port
         self.outcomes = outcomes
-        self.began_at = began_at
+        self.get_reference_time = get_reference_time
         self.reader = self.writer = None
 
     async def connect(self):
-        """Opens a connection; tells whether the router took it."""
+        """Opens a new connection; returns whether the router accepted it."""
         self.close()
         try:
             self.reader, self.writer = await asyncio.open_connection(
@@ -58,7 +74,7 @@
         return True
 
     async def send_request(self, path, number):
-        """Sends a request on the open connection and notes its end."""
+        """Sends a request on the open connection and records its outcome."""
         request = f"{number:016x}"
         self.writer.write(
             f"GET {path} HTTP/1.1\r\nHost: site.example\r\n"
@@ -66,15 +82,19 @@
             "Request-Deadline-Ms: 3000\r\n\r\n".encode()
         )
         sent_at = time.monotonic()
-        end, status = await self.read_end(f"{path} {request} 0".encode())
+        end, status = await self.read_response(f"{path} {request} 0".encode())
         now = time.monotonic()
         self.outcomes.append(
             Outcome(
-                request, end, now - sent_at, sent_at - self.began_at(), status
+                request,
+                end,
+                now - sent_at,
+                sent_at - self.get_reference_time(),
+                status,
             )
         )
 
-    async def read_end(self, right):
+    async def read_response(self, expected):
         try:
             head = await self.reader.readuntil(b"\r\n\r\n")
             size = get_header(head, b"content-length")
@@ -90,7 +110,7 @@
         status = int(head.split()[1])
         if status == 200:
             return (
-                EndKind.ANSWERED if body == right else EndKind.INVALID
+                EndKind.ANSWERED if body == expected else EndKind.INVALID
             ), status
         return (
             EndKind.REFUSED if status in (429, 503) else EndKind.INVALID
--- a/sycamorefall/platform/tests/conftest.py
+++ b/sycamorefall/platform/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A store, upstreams and routers for each test of the whole path."""
+"""Fixture with a simulated store and upstreams, and router processes."""
 
 import pytest
 
--- a/sycamorefall/platform/tests/router_client.py
+++ b/sycamorefall/platform/tests/router_client.py
@@ -1,4 +1,4 @@
-"""Requests to a router that runs, and the configuration it runs by."""
+"""Sends requests to a router and stores its configuration."""
 
 import itertools
 import re
@@ -6,7 +6,7 @@
 from standins import site as site_module
 
 PROMPT = {"Token-Usage": "1100,5", "Prompt-Prefix": "aa:800,bb:300"}
-_numbers = itertools.count(1)
+_request_numbers = itertools.count(1)
 
 
 def store_configuration(site, version, keys=None, routes=None):
@@ -21,15 +21,26 @@
 
 
 def send_request(
-    router, path, key="k-mill", prompt=False, left=3000, body=b"", **more
+    router,
+    path,
+    key="k-mill",
+    prompt=False,
+    time_left_ms=3000,
+    body=b"",
+    **extra_headers,
 ):
-    """Sends a request; gives its id, status, headers and body."""
-    request = f"{next(_numbers):016x}"
-    headers = {"Attempt-Id": request, "Request-Deadline-Ms": str(left)}
+    """Sends a request; returns its id and the response's status, headers, body.
+
+    The names of the response's headers are in lower case.
+    """
+    request = f"{next(_request_numbers):016x}"
+    headers = {"Attempt-Id": request, "Request-Deadline-Ms": str(time_left_ms)}
     headers |= {"Credential": key} if key else {}
-    headers |= (PROMPT if prompt else {}) | more
-    status, found, answer = site_module.call(router, path, headers, body)
-    return request, status, found, answer
+    headers |= (PROMPT if prompt else {}) | extra_headers
+    status, response_headers, answer = site_module.call(
+        router, path, headers, body
+    )
+    return request, status, response_headers, answer
 
 
 def parse_event_data(answer):
--- a/sycamorefall/platform/tests/test_crashing.py
+++ b/sycamorefall/platform/tests/test_crashing.py
@@ -1,4 +1,4 @@
-"""Requests that crash every upstream, tested with the real program."""
+"""Requests that crash every upstream, tested with router processes."""
 
 import http.client
 import pathlib
@@ -12,7 +12,7 @@
 from sycamorefall.platform.tests import test_whole_path
 from sycamorefall.platform.tests.router_client import send_request
 
-CRASHING = b"crashes the engine"
+CRASHING_BODY = b"crashes the engine"
 
 
 @pytest.fixture
@@ -20,7 +20,7 @@
     """Three connected routers and eight engines."""
     for number in range(8):
         engine = site.add_upstream(f"e{number}", "engine")
-        engine.crash_on_body = CRASHING
+        engine.crash_on_body = CRASHING_BODY
     first = site.add_router("front-a-1")
     seeds = f"[peers]\naddresses = 127.0.0.1:{first.control}\n"
     routers = [first] + [
@@ -33,30 +33,30 @@
     return routers
 
 
-def count_crashed(site):
+def count_crashed_upstreams(site):
     return sum(one.crashed for one in site.upstreams.values())
 
 
 @pytest.mark.parametrize("path", ["/draft/x", "/answer/x"])
 def test_request_that_crashes_engines_reaches_no_fourth_one(site, fleet, path):
-    # Guards against a request that crashes one engine after the other because
-    # its repetitions reach other routers, or because a router retries it.
+    # Guards against a request that crashes one engine after the other, because
+    # the caller repeats it at other routers or because a router retries it.
     for number in range(9):
         router = fleet[number % len(fleet)]
         _, status, found, _ = send_request(
-            router, path, prompt=True, body=CRASHING
+            router, path, prompt=True, body=CRASHING_BODY
         )
         assert status in (502, 503)
         time.sleep(0.2)
-    assert count_crashed(site) == 3
+    assert count_crashed_upstreams(site) == 3
     assert (status, found.get("retry-after")) == (503, None)
     for router in fleet:
         assert send_request(router, path, prompt=True, body=b"sound")[1] == 200
 
 
-def test_reset_connections_are_no_crash(site):
-    # Guards against quarantining harmless requests because a live engine breaks
-    # off its answers to them.
+def test_reset_connections_are_not_counted_as_crashes(site):
+    # Guards against quarantining harmless requests because a running engine
+    # resets the connections while it responds to them.
     engine = site.add_upstream("e1", "engine")
     engine.truncate_after = 2
     router = site.add_router()
@@ -70,11 +70,11 @@
 def test_quarantined_request_is_explained_by_its_fingerprint(
     site, fleet, capsys
 ):
-    # Guards against logs that don't show which request is refused, and because
-    # of which crashes.
+    # Guards against logs that don't show which request is refused and which
+    # crashes are the reason.
     for number in range(4):
         router = fleet[number % len(fleet)]
-        send_request(router, "/draft/x", prompt=True, body=CRASHING)
+        send_request(router, "/draft/x", prompt=True, body=CRASHING_BODY)
         time.sleep(0.2)
     logs = [str(path) for path in sorted(site.folder.glob("front-*.log"))]
     texts = [pathlib.Path(path).read_text() for path in logs]
--- a/sycamorefall/platform/tests/test_explaining.py
+++ b/sycamorefall/platform/tests/test_explaining.py
@@ -1,4 +1,4 @@
-"""From the id of a failed request to its cause, by the logs alone."""
+"""The `explain` command finds the cause of a failed request in the logs."""
 
 import contextlib
 import http.client
@@ -15,28 +15,28 @@
 
 def explain(site, request, capsys):
     logs = sorted(site.folder.glob("*.log"))
-    site_module.wait_until(lambda: has_end(logs, request))
+    site_module.wait_until(lambda: has_final_record(logs, request))
     paths = [str(path) for path in logs]
     assert command.main(["explain", request, *paths]) == 0
     return capsys.readouterr().out
 
 
-def has_end(logs, request):
-    """Tells whether the logs have a request's first and last record."""
+def has_final_record(logs, request):
+    """Tells whether a log has the request and a final record with a result."""
     texts = [path.read_text() for path in logs]
     return any(request in text and '"result"' in text for text in texts)
 
 
-def ask_until_cut(router, path):
-    """Asks for a stream that may be broken off; gives the request's id."""
+def try_stream(router, path):
+    """Requests a stream; returns the request's id, None if it is truncated."""
     try:
         return send_request(router, path, prompt=True)[0]
     except http.client.IncompleteRead:
         return None
 
 
-def send_and_leave(router, path, request="00000000deadbeef"):
-    """Sends a whole request and closes at once; gives the request's id."""
+def send_and_disconnect(router, path, request="00000000deadbeef"):
+    """Sends a request, disconnects immediately and returns the request's id."""
     head = (
         f"GET {path} HTTP/1.1\r\nHost: site.example\r\n"
         f"Attempt-Id: {request}\r\n\r\n"
@@ -47,8 +47,8 @@
 
 
 def test_three_failed_requests_are_explained_by_their_ids(site, capsys):
-    # Three callers complain: one was refused, one got no answer that says
-    # whether it ran, one got half an answer. On call there are only logs.
+    # The cause of each kind of failure must be found from the logs alone: a
+    # refused request, one whose outcome is unknown, and a truncated response.
     engine = site.add_upstream("e1", "engine")
     ledger = site.add_upstream("l1", "ledger")
     router = site.add_router()
@@ -63,7 +63,7 @@
 
     engine.refuse, ledger.hang = False, True
     unknown, status, _, _ = send_request(
-        router, "/book/x", "", left=400, body=b"b"
+        router, "/book/x", "", time_left_ms=400, body=b"b"
     )
     assert status == 504
     text = explain(site, unknown, capsys)
@@ -71,7 +71,7 @@
     assert "sent 1 times, last to l1" in text
 
     engine.truncate_after = 2
-    site_module.wait_until(lambda: ask_until_cut(router, "/draft/x") is None)
+    site_module.wait_until(lambda: try_stream(router, "/draft/x") is None)
     broken = engine.runs[-1][0]
     text = explain(site, broken, capsys)
     assert "its answer was broken off after it had begun" in text
@@ -79,21 +79,21 @@
 
 
 def test_request_that_was_read_too_late_is_explained(site, capsys):
-    # A router freezes; a caller gives up meanwhile and closes. Awake again,
-    # the router reads the request and doesn't begin it. Without a record of
-    # that, the request had left no trace at all.
+    # A caller disconnects while the router is frozen. Once it resumes, the
+    # router reads the request but doesn't begin it. Without a log record of
+    # that, no log would mention the request.
     site.add_upstream("e1", "engine")
     router = site.add_router()
     router.process.send_signal(signal.SIGSTOP)
-    request = send_and_leave(router, "/draft/x")
+    request = send_and_disconnect(router, "/draft/x")
     router.process.send_signal(signal.SIGCONT)
     text = explain(site, request, capsys)
     assert "not begun: its caller had left when it was read" in text
 
 
-def test_refusal_is_explained_by_the_platform_that_was_away(site, capsys):
-    # The store is away for longer than keys may be believed. The caller's
-    # refusal must be shown beside the loss of the store.
+def test_refusal_is_explained_by_the_unavailable_platform(site, capsys):
+    # The store is unavailable for longer than API keys may be accepted without
+    # a check. The explanation of the refusal must state that reason.
     site.add_upstream("e1", "engine")
     router = site.add_router()
     site.store.unavailable = True
@@ -108,8 +108,8 @@
     assert "could not prove that its configuration is the newest" in text
 
 
-def test_request_of_another_process_is_named_as_missing(site, capsys):
-    # The log of the router that had the request is not among those given.
+def test_request_that_is_in_no_log_is_reported(site, capsys):
+    # The log of the router that received the request is not among those given.
     site.add_upstream("e1", "engine")
     site.add_router()
     logs = [str(path) for path in site.folder.glob("*.log")]
@@ -118,27 +118,27 @@
 
 
 @pytest.mark.parametrize("path", ["missing.log"])
-def test_log_that_can_t_be_read_is_named(path, capsys):
-    # A mistyped file name must not look like a request that left no trace.
+def test_unreadable_log_is_reported(path, capsys):
+    # A mistyped file name must not be reported as a request that is in no log.
     assert command.main(["explain", "1", path]) == command.EXIT_REFUSED
     assert path in capsys.readouterr().err
 
 
 def test_lost_connection_is_logged_with_the_fingerprint(site):
-    # Guards against logs that can't correlate crashes with a repeated request:
-    # each attempt of a caller has a different id.
+    # Guards against logs in which crashes can't be correlated with a request
+    # that a caller repeats, since each repetition has a different id.
     engine = site.add_upstream("e1", "engine")
     engine.truncate_after = 2
     router = site.add_router()
     for path in ("/draft/x", "/draft/x", "/draft/y"):
-        assert ask_until_cut(router, path) is None
+        assert try_stream(router, path) is None
     log = site.folder / "front-a-1.log"
-    site_module.wait_until(lambda: len(find_fingerprints(log)) == 3)
-    first, second, other = find_fingerprints(log)
+    site_module.wait_until(lambda: len(list_fingerprints(log)) == 3)
+    first, second, other = list_fingerprints(log)
     assert first == second != other
 
 
-def find_fingerprints(log):
+def list_fingerprints(log):
     lines = log.read_text().splitlines()
     ends = [line for line in lines if "request.attempt_ended" in line]
     return [
--- a/sycamorefall/platform/tests/test_freezing.py
+++ b/sycamorefall/platform/tests/test_freezing.py
@@ -1,4 +1,4 @@
-"""A router whose VM is frozen for a while among its callers."""
+"""A router whose VM is frozen for a while as callers send requests."""
 
 import asyncio
 import collections
@@ -9,27 +9,27 @@
 from standins import site as site_module
 from sycamorefall.platform.tests import callers, router_client
 
-CALLERS = 30
-FREEZES = 6
-FREEZE = 0.8
-"""Seconds for which a VM is frozen: longer than a router waits for the answer
+CALLER_COUNT = 30
+FREEZE_COUNT = 6
+FREEZE_SECONDS = 0.8
+"""Seconds for which the VM is frozen: longer than a router waits for a response
 of a plain service."""
 
-BETWEEN = 200
-"""Requests that are answered between two freezes."""
+REQUESTS_BETWEEN_FREEZES = 200
+"""Number of requests that end between two freezes."""
 
-STREAM_FREEZES = 3
-STREAM_FREEZE = 1.5
-"""Seconds for which a VM is frozen among streams: longer than a router waits
+STREAM_FREEZE_COUNT = 3
+STREAM_FREEZE_SECONDS = 1.5
+"""Seconds for which the VM is frozen during streams: longer than a router waits
 for the next event of an engine."""
 
-STREAM_CALLERS = 16
-STREAMS_BETWEEN = 60
-EVENTS = 20
+STREAM_CALLER_COUNT = 16
+STREAMS_BETWEEN_FREEZES = 60
+EVENTS_PER_STREAM = 20
 
 
 class ConcurrentCallers:
-    """Callers that ask without pause while their router is frozen."""
+    """Callers that send plain requests continuously to a frozen router."""
 
     def __init__(self, router):
         self.router = router
@@ -47,29 +47,30 @@
         caller.close()
 
     async def wait_for_answers(self):
-        enough = len(self.outcomes) + BETWEEN
-        await callers.wait_for(lambda: len(self.outcomes) >= enough)
+        target_count = len(self.outcomes) + REQUESTS_BETWEEN_FREEZES
+        await callers.wait_for(lambda: len(self.outcomes) >= target_count)
 
     async def run_scenario(self):
         tasks = [
             asyncio.create_task(self.send_continuously())
-            for _ in range(CALLERS)
+            for _ in range(CALLER_COUNT)
         ]
-        for _ in range(FREEZES):
+        for _ in range(FREEZE_COUNT):
             await self.wait_for_answers()
             self.router.process.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(FREEZE)
+            await asyncio.sleep(FREEZE_SECONDS)
             self.router.process.send_signal(signal.SIGCONT)
         await self.wait_for_answers()
         self.done = True
         await asyncio.gather(*tasks)
 
 
-def test_freeze_has_no_request_sent_twice(site):
-    # A VM is frozen for most of a second among busy callers. The upstreams
-    # answer meanwhile. As the router woke up, its timers ran before it read:
-    # it took the upstreams for silent and sent their requests to others, so
-    # that these ran twice, and some callers got an error in the end.
+def test_frozen_router_sends_no_request_twice(site):
+    # A VM is frozen for most of a second while callers send requests, and the
+    # upstreams respond meanwhile. When the VM resumed, the router's timers ran
+    # before it read the responses. It took the upstreams for stalled and sent
+    # their requests to others, so that requests ran twice and some callers got
+    # an error.
     ledgers = [site.add_upstream(f"l{n}", "ledger", 40) for n in (1, 2)]
     router = site.add_router()
     concurrent_callers = ConcurrentCallers(router)
@@ -80,7 +81,8 @@
     assert [request for request, count in runs.items() if count > 1] == []
     ends = {outcome.end for outcome in concurrent_callers.outcomes}
     assert ends <= {callers.EndKind.ANSWERED, callers.EndKind.REFUSED}
-    # A busy machine's router may refuse some unread; it must be true.
+    # On a busy machine the router may refuse some requests without reading
+    # them. Those must not have run.
     refused = {
         outcome.request
         for outcome in concurrent_callers.outcomes
@@ -90,16 +92,16 @@
     assert len(refused) < len(concurrent_callers.outcomes) / 20
 
 
-class Readers:
-    """Callers that read streams without pause."""
+class StreamReaders:
+    """Callers that read streams continuously from a frozen router."""
 
     def __init__(self, router):
         self.router = router
         self.answers = []
         self.done = False
 
-    def read_steadily(self, path):
-        usage = {"Token-Usage": f"1100,{EVENTS}"}
+    def read_streams_continuously(self, path):
+        usage = {"Token-Usage": f"1100,{EVENTS_PER_STREAM}"}
         while not self.done:
             request, status, _, answer = router_client.send_request(
                 self.router, path, prompt=True, **usage
@@ -108,18 +110,21 @@
             self.answers.append((request, status, events))
 
     def wait_for_answers(self):
-        enough = len(self.answers) + STREAMS_BETWEEN
-        site_module.wait_until(lambda: len(self.answers) >= enough)
+        target_count = len(self.answers) + STREAMS_BETWEEN_FREEZES
+        site_module.wait_until(lambda: len(self.answers) >= target_count)
 
     def run_scenario(self):
-        paths = ["/answer/x", "/draft/x"] * (STREAM_CALLERS // 2)
-        with concurrent.futures.ThreadPoolExecutor(STREAM_CALLERS) as pool:
-            reading = [pool.submit(self.read_steadily, path) for path in paths]
+        paths = ["/answer/x", "/draft/x"] * (STREAM_CALLER_COUNT // 2)
+        with concurrent.futures.ThreadPoolExecutor(STREAM_CALLER_COUNT) as pool:
+            reading = [
+                pool.submit(self.read_streams_continuously, path)
+                for path in paths
+            ]
             try:
-                for _ in range(STREAM_FREEZES):
+                for _ in range(STREAM_FREEZE_COUNT):
                     self.wait_for_answers()
                     self.router.process.send_signal(signal.SIGSTOP)
-                    time.sleep(STREAM_FREEZE)
+                    time.sleep(STREAM_FREEZE_SECONDS)
                     self.router.process.send_signal(signal.SIGCONT)
                 self.wait_for_answers()
             finally:
@@ -128,14 +133,17 @@
                 reader.result()
 
 
-def test_freeze_breaks_off_no_stream(site):
-    # A VM is frozen for longer than an engine may say nothing, while engines
-    # go on sending. As the router woke up, it took them for silent before it
-    # read: streams were broken off, and some callers got an error.
+def test_frozen_router_aborts_no_stream(site):
+    # A VM is frozen for longer than an engine may send nothing, while engines
+    # continue to send. When the VM resumed, the router took the engines for
+    # stalled before it read their events. It aborted streams, and some callers
+    # got an error.
     for name in ("e1", "e2"):
         site.add_upstream(name, "engine", slots=32)
     router = site.add_router()
-    readers = Readers(router)
+    readers = StreamReaders(router)
     readers.run_scenario()
-    wrong = [one for one in readers.answers if one[1:] != (200, EVENTS)]
-    assert wrong == []
+    incorrect = [
+        one for one in readers.answers if one[1:] != (200, EVENTS_PER_STREAM)
+    ]
+    assert incorrect == []
--- a/sycamorefall/platform/tests/test_leaving.py
+++ b/sycamorefall/platform/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""Shutdown notices and retry delays in upstream responses."""
+"""Shutdown notices and retry delays in responses of upstreams."""
 
 import time
 
@@ -6,12 +6,12 @@
 from sycamorefall.platform.tests.router_client import send_request
 
 DRAIN_TIME = 2.0
-"""Seconds after a shutdown notice by which new sends must have stopped."""
+"""Seconds after a shutdown notice within which new requests must stop."""
 
 
-def test_upstream_that_says_that_it_leaves_gets_nothing_new(site):
-    # Guards against requests sent to an upstream that announced its shutdown
-    # in an answer while the platform still lists it as ready.
+def test_upstream_that_announces_its_shutdown_gets_no_new_requests(site):
+    # Guards against new requests to an upstream that announced its shutdown in
+    # a response while the platform still lists it as ready.
     leaving = site.add_upstream("e1", "engine")
     leaving.leaving = True
     router = site.add_router()
@@ -26,7 +26,7 @@
     assert len(leaving.runs) == before
 
 
-def test_upstream_that_asks_for_rest_gets_it(site):
+def test_upstream_gets_no_requests_during_its_retry_delay(site):
     # Guards against requests sent to an upstream before its Retry-After delay
     # has elapsed, and against callers that wait for it until their deadline.
     resting = site.add_upstream("e1", "engine")
--- a/sycamorefall/platform/tests/test_stopping.py
+++ b/sycamorefall/platform/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""A router that is stopped among callers that go on until it is gone."""
+"""A router is stopped while callers send requests until it has exited."""
 
 import asyncio
 import concurrent.futures
@@ -11,29 +11,30 @@
 from standins import site as site_module
 from sycamorefall.platform.tests import callers, router_client
 
-CROSSING = 0.2
-"""Seconds within which a request and a close may cross each other."""
+MAX_CROSSING_SECONDS = 0.2
+"""Longest time from sending a request to the close of its connection for which
+the two may have crossed, in seconds."""
 
-STOP_LIMIT = 8.0
-"""Seconds that a router may take to stop."""
+STOP_TIMEOUT = 8.0
+"""Maximum seconds from SIGTERM until the router has exited."""
 
 STREAM_EVENTS = 24
-STREAM_PAUSE = 0.2
-STREAMS = 4
-STEADY_CALLERS = 24
-KEPT_CONNECTIONS = 600
-CROWD_AT = (2.4, 3.0)
-"""Seconds after SIGTERM within which kept connections are used again."""
+EVENT_INTERVAL = 0.2
+STREAM_COUNT = 4
+CONTINUOUS_CALLER_COUNT = 24
+IDLE_CONNECTION_COUNT = 600
+REUSE_PERIOD = (2.4, 3.0)
+"""Seconds after SIGTERM between which idle connections are used again."""
 
-CROWD_EVERY = 0.1
-"""Seconds between crowds, which are all the requests sent at one moment."""
+BURST_INTERVAL = 0.1
+"""Seconds between bursts of requests that are sent at the same moment."""
 
-FREEZE = (2.4, 2.9)
-"""Seconds after SIGTERM between which a router is frozen."""
+FREEZE_PERIOD = (2.4, 2.9)
+"""Seconds after SIGTERM between which the router is frozen."""
 
 
 class ConcurrentCallers:
-    """All callers of one router, before and after its SIGTERM."""
+    """Callers that send requests before and after the SIGTERM of a router."""
 
     def __init__(self, router, seed):
         self.router = router
@@ -51,13 +52,13 @@
         self.last_number += 1
         return self.last_number
 
-    def is_gone(self):
+    def has_exited(self):
         return self.router.process.poll() is not None
 
     async def send_continuously(self):
-        """Asks without pause until the process is gone."""
+        """Sends requests continuously until the router's process has exited."""
         caller = self.create_caller()
-        while not self.is_gone():
+        while not self.has_exited():
             if caller.writer is None and not await caller.connect():
                 await asyncio.sleep(0.01)
                 continue
@@ -65,117 +66,161 @@
             await caller.send_request(path, self.next_number())
         caller.close()
 
-    async def open_kept(self):
-        """Opens a connection on which a request was answered."""
+    async def open_idle_connection(self):
+        """Opens a connection and leaves it idle after one answered request."""
         caller = self.create_caller()
         await caller.connect()
         await caller.send_request("/look/x", self.next_number())
         return caller
 
-    async def open_some(self):
+    async def open_idle_connections(self):
         return await asyncio.gather(
-            *(self.open_kept() for _ in range(STEADY_CALLERS))
+            *(
+                self.open_idle_connection()
+                for _ in range(CONTINUOUS_CALLER_COUNT)
+            )
         )
 
-    async def use_again(self, caller, after):
-        """Uses a kept connection a while after SIGTERM, if it is open."""
-        await asyncio.sleep(self.stopped_at + after - time.monotonic())
+    async def reuse_connection(self, caller, delay):
+        """Sends a request on an idle connection, if it is still open.
+
+        Args:
+            caller: Caller that has the connection.
+            delay: Seconds after SIGTERM at which the request is sent.
+        """
+        await asyncio.sleep(self.stopped_at + delay - time.monotonic())
         if caller.writer is not None and not caller.reader.at_eof():
             await caller.send_request("/book/x", self.next_number())
         caller.close()
 
-    async def freeze(self):
-        """Freezes the router while it is about to end listening."""
-        begin, end = FREEZE
+    async def freeze_router(self):
+        """Freezes the router at about the time when it stops listening."""
+        begin, end = FREEZE_PERIOD
         await asyncio.sleep(self.stopped_at + begin - time.monotonic())
         self.router.process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(self.stopped_at + end - time.monotonic())
         self.router.process.send_signal(signal.SIGCONT)
 
-    async def run_scenario(self, frozen):
-        """Stops the router among its callers; returns its exit status."""
-        kept = [
+    async def run_scenario(self, freeze):
+        """Stops the router while callers send requests.
+
+        Returns:
+            Exit status of the router, and seconds from SIGTERM to its exit.
+        """
+        idle_callers = [
             caller
-            for _ in range(KEPT_CONNECTIONS // STEADY_CALLERS)
-            for caller in await self.open_some()
+            for _ in range(IDLE_CONNECTION_COUNT // CONTINUOUS_CALLER_COUNT)
+            for caller in await self.open_idle_connections()
         ]
-        steady = [
+        continuous_tasks = [
             asyncio.create_task(self.send_continuously())
-            for _ in range(STEADY_CALLERS)
+            for _ in range(CONTINUOUS_CALLER_COUNT)
         ]
         await callers.wait_for(
-            lambda: len(self.outcomes) > KEPT_CONNECTIONS + 8 * STEADY_CALLERS
+            lambda: (
+                len(self.outcomes)
+                > IDLE_CONNECTION_COUNT + 8 * CONTINUOUS_CALLER_COUNT
+            )
         )
         self.router.process.send_signal(signal.SIGTERM)
         self.stopped_at = time.monotonic()
-        again = [self.use_again(caller, self.choose_time()) for caller in kept]
-        await asyncio.gather(*again, *([self.freeze()] if frozen else []))
-        await callers.wait_for(self.is_gone)
-        took = time.monotonic() - self.stopped_at
-        await asyncio.gather(*steady)
-        return self.router.process.returncode, took
+        reuses = [
+            self.reuse_connection(caller, self.choose_reuse_delay())
+            for caller in idle_callers
+        ]
+        await asyncio.gather(
+            *reuses, *([self.freeze_router()] if freeze else [])
+        )
+        await callers.wait_for(self.has_exited)
+        stop_seconds = time.monotonic() - self.stopped_at
+        await asyncio.gather(*continuous_tasks)
+        return self.router.process.returncode, stop_seconds
+
+    def choose_reuse_delay(self):
+        delay = self.random.uniform(*REUSE_PERIOD)
+        return delay - delay % BURST_INTERVAL
+
 
-    def choose_time(self):
-        after = self.random.uniform(*CROWD_AT)
-        return after - after % CROWD_EVERY
+def is_lost(outcome, executed):
+    """Tells whether a request was lost.
 
+    A request is lost if its response is invalid, if the router refused it or
+    closed its connection although it ran, or if the connection was closed too
+    late for the close to have crossed with the request.
 
-def is_lost(outcome, run):
-    """Tells whether a request got an end that no caller may be given."""
+    Args:
+        outcome: Outcome of the request.
+        executed: Ids of the requests that upstreams ran.
+    """
     match outcome.end:
         case callers.EndKind.ANSWERED:
             return False
         case callers.EndKind.REFUSED:
-            return outcome.request in run
+            return outcome.request in executed
         case callers.EndKind.CLOSED:
-            return outcome.duration > CROSSING or outcome.request in run
+            return (
+                outcome.duration > MAX_CROSSING_SECONDS
+                or outcome.request in executed
+            )
         case callers.EndKind.INVALID:
             return True
 
 
-def find_lost(outcomes, run):
-    return [outcome for outcome in outcomes if is_lost(outcome, run)]
+def list_lost(outcomes, executed):
+    return [outcome for outcome in outcomes if is_lost(outcome, executed)]
 
 
-def ask_stream(router):
+def request_stream(router):
     usage = {"Token-Usage": f"1100,{STREAM_EVENTS}"}
     return router_client.send_request(
-        router, "/draft/x", prompt=True, left=9000, **usage
+        router, "/draft/x", prompt=True, time_left_ms=9000, **usage
     )
 
 
 def check_streams(streams):
     for stream in streams:
         request, status, _, answer = stream.result()
-        right = [f"{request}/{n}".encode() for n in range(1, STREAM_EVENTS + 1)]
-        assert (status, router_client.parse_event_data(answer)) == (200, right)
+        expected = [
+            f"{request}/{n}".encode() for n in range(1, STREAM_EVENTS + 1)
+        ]
+        assert (status, router_client.parse_event_data(answer)) == (
+            200,
+            expected,
+        )
 
 
-@pytest.mark.parametrize(("seed", "frozen"), [(1, False), (2, True)])
-def test_callers_of_a_stopping_router_lose_no_request(site, seed, frozen):
-    # A router is stopped while callers use kept connections and open new ones
-    # until it is gone. It is late as it ends listening: many requests come at
-    # once, or its VM is frozen. Some callers got neither an answer nor a
-    # refusal: what had arrived and wasn't handled yet was closed as idle.
-    draft = site_module.build_route(
+@pytest.mark.parametrize(("seed", "freeze"), [(1, False), (2, True)])
+def test_callers_of_a_stopping_router_lose_no_request(site, seed, freeze):
+    # A router is stopped while callers use idle connections and open new ones
+    # until the process has exited. Its event loop is late when it stops
+    # listening, because many requests arrive at once or because the VM is
+    # frozen. Some callers got neither a response nor a refusal: connections
+    # were closed as idle although unread requests had arrived on them.
+    draft_route = site_module.build_route(
         "draft", "streaming", "engine", MaxAttempts=1, TimeoutMs=9000
     )
-    plain = [
+    plain_routes = [
         route
         for route in site_module.STANDARD_ROUTES
         if route["Service"] == "ledger"
     ]
-    router_client.store_configuration(site, 4, routes=[draft, *plain])
+    router_client.store_configuration(
+        site, 4, routes=[draft_route, *plain_routes]
+    )
     engine = site.add_upstream("e1", "engine")
-    engine.event_interval = STREAM_PAUSE
+    engine.event_interval = EVENT_INTERVAL
     ledgers = [site.add_upstream(f"l{n}", "ledger", 40) for n in (1, 2)]
     router = site.add_router()
     concurrent_callers = ConcurrentCallers(router, seed)
-    with concurrent.futures.ThreadPoolExecutor(STREAMS) as pool:
-        streams = [pool.submit(ask_stream, router) for _ in range(STREAMS)]
-        site_module.wait_until(lambda: len(engine.runs) == STREAMS)
-        status, took = asyncio.run(concurrent_callers.run_scenario(frozen))
-    run = {request for ledger in ledgers for request, _ in ledger.runs}
-    assert find_lost(concurrent_callers.outcomes, run) == []
-    assert (status, took < STOP_LIMIT) == (0, True)
+    with concurrent.futures.ThreadPoolExecutor(STREAM_COUNT) as pool:
+        streams = [
+            pool.submit(request_stream, router) for _ in range(STREAM_COUNT)
+        ]
+        site_module.wait_until(lambda: len(engine.runs) == STREAM_COUNT)
+        status, stop_seconds = asyncio.run(
+            concurrent_callers.run_scenario(freeze)
+        )
+    executed = {request for ledger in ledgers for request, _ in ledger.runs}
+    assert list_lost(concurrent_callers.outcomes, executed) == []
+    assert (status, stop_seconds < STOP_TIMEOUT) == (0, True)
     check_streams(streams)
--- a/sycamorefall/platform/tests/test_translation.py
+++ b/sycamorefall/platform/tests/test_translation.py
@@ -1,4 +1,4 @@
-"""Documents and headers of the platform, read into the product's types."""
+"""Translation of the platform's documents and headers."""
 
 import base64
 import json
@@ -10,7 +10,7 @@
 from sycamorefall.direct import catalog, dialects
 from sycamorefall.platform import documents, headers
 
-GOOD = {
+VALID_ENTRY = {
     "Service": "s",
     "Address": "10.0.0.1:80",
     "Zone": "z",
@@ -22,22 +22,22 @@
     "Sequence": 4,
     "born": 1_780_820_851_000,
 }
-"""An entry as an upstream writes it."""
+"""An entry as an upstream writes it, with a field that is ignored (Stage)."""
 
 
-def encode(value):
+def encode_json(value):
     return base64.b64encode(json.dumps(value).encode())
 
 
 def create_record(value, key="op/config"):
-    return translate(key, encode(value).decode())
+    return create_raw_record(key, encode_json(value).decode())
 
 
-def translate(key, text):
+def create_raw_record(key, text):
     return documents.translate_item(documents.Item(key, text, 7, 9))
 
 
-def test_configuration_is_read():
+def test_configuration_is_decoded():
     route = {
         "Name": "r",
         "Host": "Site.Example",
@@ -52,7 +52,7 @@
             {"Service": "old", "Weight": 90},
         ],
     }
-    read = documents.decode_catalog(
+    configuration = documents.decode_catalog(
         create_record(
             {
                 "Version": 4,
@@ -64,16 +64,17 @@
             }
         )
     )
-    found = catalog.find_route(read, "site.example", "/a/x")
+    found = catalog.find_route(configuration, "site.example", "/a/x")
     assert found.kind is catalog.RouteKind.RESUMABLE_STREAM
     assert (found.timeout, found.target_latency) == (1.5, 0.4)
     assert catalog.choose_service(found, 0.05) == "new"
-    assert read.teams["k"].name == "mill"
-    assert read.requires_key and read.tokens_per_second == 5
+    assert configuration.teams["k"].name == "mill"
+    assert configuration.requires_key and configuration.tokens_per_second == 5
 
 
-def test_rate_of_fetches_follows_from_the_link():
-    # A token of 128 KiB over 740 Gbit/s; an engine that names no link can't.
+def test_fetch_rate_is_computed_from_the_link():
+    # A cached token of 128 KiB is fetched over 740 Gbit/s. Engines without a
+    # link rate or a token size can't fetch.
     linked = {
         "Slots": 48,
         "KvCapacityTokens": 444_000,
@@ -86,10 +87,12 @@
         {"Name": "alone", "Engine": alone},
         {"Name": "odd", "Engine": linked | {"KvTokenBytes": 0}},
     ]
-    read = documents.decode_catalog(
+    configuration = documents.decode_catalog(
         create_record({"Version": 1, "Routes": [], "Services": services})
     )
-    rates = [read.services[s["Name"]].engine.fetch_rate for s in services]
+    rates = [
+        configuration.services[s["Name"]].engine.fetch_rate for s in services
+    ]
     assert rates == [pytest.approx(705_719, abs=1), 0.0, 0.0]
 
 
@@ -101,17 +104,18 @@
         {"Version": 1, "Routes": [{"Name": "r"}], "Services": []},
     ],
 )
-def test_unusable_configuration_is_refused_with_a_reason(value):
+def test_invalid_configuration_is_refused_with_a_reason(value):
     with pytest.raises(errors.ConfigurationRefused, match="op/config"):
         documents.decode_catalog(create_record(value))
 
 
-def test_one_bad_entry_does_not_hide_the_others():
-    # One upstream writes nonsense; all others must go on being used.
+def test_invalid_entry_does_not_hide_the_others():
+    # Guards against an invalid entry of one upstream that makes all others
+    # unusable.
     records = [
-        create_record(GOOD, "servers/a"),
-        create_record(GOOD | {"Address": "here"}, "servers/b"),
-        translate("servers/c", "%%%"),
+        create_record(VALID_ENTRY, "servers/a"),
+        create_record(VALID_ENTRY | {"Address": "here"}, "servers/b"),
+        create_raw_record("servers/c", "%%%"),
     ]
     listing, refused = documents.decode_listing(records, "servers/")
     found = [(one.name, one.leaving) for one in listing.values()]
@@ -135,12 +139,13 @@
         {"Address": ["10.0.0.1:80"]},
     ],
 )
-def test_entry_of_another_writer_names_no_upstream(change):
-    # Another program writes below the same prefix. Its entry looks like one
-    # but for a field, and requests go to an address where nobody serves them.
+def test_entry_of_another_program_is_refused(change):
+    # Another program writes below the same prefix. Guards against decoding its
+    # entry, which is valid except for one field, as an upstream: requests would
+    # be sent to an address that can't serve them.
     records = [
-        create_record(GOOD, "servers/a"),
-        create_record(GOOD | change, "servers/b"),
+        create_record(VALID_ENTRY, "servers/a"),
+        create_record(VALID_ENTRY | change, "servers/b"),
     ]
     listing, refused = documents.decode_listing(records, "servers/")
     assert [one.name for one in listing.values()] == ["a"]
@@ -150,14 +155,16 @@
 
 
 @pytest.mark.parametrize(
-    "field", [field for field in GOOD if field not in ("born", "Stage")]
+    "field", [field for field in VALID_ENTRY if field not in ("born", "Stage")]
 )
-def test_entry_without_a_field_names_no_upstream(field):
-    # The same, with a field left out.
-    rest = {name: value for name, value in GOOD.items() if name != field}
+def test_entry_without_a_required_field_is_refused(field):
+    # Guards against the same failure by an entry that lacks one field.
+    incomplete = {
+        name: value for name, value in VALID_ENTRY.items() if name != field
+    }
     records = [
-        create_record(rest, "servers/b"),
-        create_record(GOOD, "servers/a"),
+        create_record(incomplete, "servers/b"),
+        create_record(VALID_ENTRY, "servers/a"),
     ]
     listing, refused = documents.decode_listing(records, "servers/")
     assert [one.name for one in listing.values()] == ["a"]
@@ -165,10 +172,10 @@
 
 
 @pytest.mark.parametrize("name", ["", " ", "a\r\nTenant: b", "\u00e9"])
-def test_entry_whose_name_fits_no_header_names_no_upstream(name):
-    # An upstream's name goes into a header of each request to it. One that
-    # ends the line would forge another header.
-    records = [create_record(GOOD, f"servers/{name}")]
+def test_entry_with_a_name_unfit_for_headers_is_refused(name):
+    # An upstream's name is sent in a header of each request to the upstream. A
+    # name with a line break would inject another header.
+    records = [create_record(VALID_ENTRY, f"servers/{name}")]
     listing, refused = documents.decode_listing(records, "servers/")
     assert not listing and len(refused) == 1
 
@@ -191,24 +198,24 @@
     entries=strategies.lists(
         strategies.one_of(
             strategies.dictionaries(
-                strategies.sampled_from(sorted(GOOD)), JSON
-            ).map(lambda change: encode(GOOD | change)),
-            JSON.map(encode),
+                strategies.sampled_from(sorted(VALID_ENTRY)), JSON
+            ).map(lambda change: encode_json(VALID_ENTRY | change)),
+            JSON.map(encode_json),
             strategies.binary().map(lambda data: base64.b64encode(data)),
             strategies.text().map(lambda text: text.encode()),
         ),
         max_size=8,
     ),
-    place=strategies.integers(0, 8),
+    index=strategies.integers(0, 8),
 )
-def test_no_entry_hides_a_good_one_or_stops_the_router(entries, place):
-    # Whatever lies below the prefix, the router goes on, uses the good entry
-    # and no broken one.
+def test_arbitrary_entries_neither_raise_nor_hide_a_valid_one(entries, index):
+    # Whatever is stored below the prefix, decoding must not raise. The valid
+    # entry must be used, and all invalid ones refused.
     records = [
-        translate(f"servers/x{n}", text.decode())
+        create_raw_record(f"servers/x{n}", text.decode())
         for n, text in enumerate(entries)
     ]
-    records.insert(place, create_record(GOOD, "servers/good"))
+    records.insert(index, create_record(VALID_ENTRY, "servers/good"))
     listing, refused = documents.decode_listing(records, "servers/")
     assert "good" in [one.name for one in listing.values()]
     assert len(listing) + len(refused) == len(records)
@@ -224,8 +231,8 @@
         JSON,
     )
 )
-def test_no_configuration_stops_the_router(change):
-    # A configuration of any content is taken or refused with a reason.
+def test_arbitrary_configuration_is_decoded_or_refused(change):
+    # A configuration of any content must be decoded, or refused with a reason.
     value = {"Version": 1, "Routes": [], "Services": []} | change
     try:
         documents.decode_catalog(create_record(value))
@@ -234,7 +241,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "named", "verdict"),
+    ("status", "response_headers", "verdict"),
     [
         (200, {"server-stamp": "s"}, dialects.Verdict.SUCCESS),
         (200, {}, dialects.Verdict.INVALID),
@@ -250,20 +257,23 @@
         (302, {}, dialects.Verdict.FAILURE),
     ],
 )
-def test_answer_is_judged_by_what_it_promises(status, named, verdict):
-    # An upstream's refusal is passed off as "not run" though it doesn't say
-    # so, or a proxy's page as its answer: a caller would act on either.
+def test_response_is_classified_by_status_and_headers(
+    status, response_headers, verdict
+):
+    # Guards against forwarding a refusal that the upstream doesn't confirm as
+    # "not run", or a proxy's page as the upstream's response. The caller would
+    # act on either.
     dialect = headers.create_dialect()
-    head = dialect.read_answer(status, list(named.items()))
+    head = dialect.read_answer(status, list(response_headers.items()))
     assert head.verdict is verdict
 
 
 @pytest.mark.parametrize("status", [200, 500, 503, 421, 302])
-def test_leaving_is_read_from_answers_of_any_status(status):
+def test_leaving_is_read_from_responses_of_any_status(status):
     # Guards against missing a shutdown notice in an unsuccessful response.
-    named = {"server-leaving": "1", "attempt-id": "1"}
+    response_headers = {"server-leaving": "1", "attempt-id": "1"}
     dialect = headers.create_dialect()
-    assert dialect.read_answer(status, list(named.items())).leaving
+    assert dialect.read_answer(status, list(response_headers.items())).leaving
     assert not dialect.read_answer(status, [("server-leaving", "0")]).leaving
     assert not dialect.read_answer(status, []).leaving
 
--- a/sycamorefall/platform/tests/test_whole_path.py
+++ b/sycamorefall/platform/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The real program against a store and upstreams that speak the wire."""
+"""Tests of router processes with simulated store and upstreams."""
 
 import concurrent.futures
 import contextlib
@@ -19,9 +19,9 @@
 )
 
 
-def test_each_caller_gets_its_own_whole_answer(site):
-    # Fifty callers at once, of all kinds; each must get the answer to its
-    # own request, whole and with the upstream's signature.
+def test_each_caller_gets_its_own_complete_response(site):
+    # Guards against responses that are mixed up, truncated or unsigned when 50
+    # requests of all kinds are sent by 16 concurrent callers.
     for name in ("e1", "e2"):
         site.add_upstream(name, "engine", slots=32)
     site.add_upstream("l1", "ledger")
@@ -45,17 +45,17 @@
         request, status, found, answer = send_request(
             router, path, "", body=body
         )
-        right = f"{path} {request} {len(body)}".encode()
-        return status, "server-stamp" in found, answer, right
+        expected = f"{path} {request} {len(body)}".encode()
+        return status, "server-stamp" in found, answer, expected
 
     with concurrent.futures.ThreadPoolExecutor(16) as pool:
-        for status, signed, answer, right in pool.map(call_once, range(50)):
-            assert (status, signed, answer) == (200, True, right)
+        for status, signed, answer, expected in pool.map(call_once, range(50)):
+            assert (status, signed, answer) == (200, True, expected)
 
 
-def test_headers_that_only_the_system_sets_never_pass(site):
-    # A caller forges the team and the engine's instructions to be served as
-    # another team, or ahead of all others.
+def test_reserved_headers_of_callers_are_not_forwarded(site):
+    # Guards against a caller that sets the team or instructions to engines
+    # itself, to be served as another team or before all others.
     engine = site.add_upstream("e1", "engine")
     router = site.add_router()
     forged = {
@@ -86,8 +86,9 @@
 
 
 def test_engine_is_told_where_to_fetch_a_part(site):
-    # An engine reads a paper that its neighbour holds. Cause: the send does
-    # not name the neighbour.
+    # Guards against an engine that processes a shared part of a prompt although
+    # another engine has it cached, because the request to the engine doesn't
+    # name the address to fetch from.
     engines = [site.add_upstream(name, "engine") for name in ("e1", "e2")]
     router = site.add_router()
     usage = {"Token-Usage": "1000,5", "Prompt-Prefix": "a:900,b:100"}
@@ -96,12 +97,14 @@
     sends = [headers for engine in engines for _, headers in engine.runs]
     addresses = {f"127.0.0.1:{engine.port}" for engine in engines}
     assert sends[0]["kv-fetch"] in addresses
-    assert "kv-fetch" not in sends[1], "it was sent the part by then"
+    assert "kv-fetch" not in sends[1], (
+        "the engine has the part from the first request"
+    )
 
 
-def test_key_and_route_are_judged_by_the_newest_configuration(site):
-    # Operators take a key away, and add a route: both must be in force
-    # within two seconds, without any process being restarted.
+def test_configuration_change_takes_effect_within_two_seconds(site):
+    # Operators revoke an API key and add a route. Both must take effect within
+    # two seconds without a restart.
     site.add_upstream("e1", "engine")
     router = site.add_router()
     assert send_request(router, "/draft/x", prompt=True)[1] == 200
@@ -123,9 +126,10 @@
     assert time.monotonic() - asked < 2.0
 
 
-def test_change_is_seen_though_watches_are_deaf(site):
-    # The platform's watches hear nothing while a key is taken away, and its
-    # history is dropped. Cause guarded against: trust in the watch alone.
+def test_change_is_seen_without_watch_events_or_history(site):
+    # Guards against a router that relies on the platform's watches alone. They
+    # deliver no events while a key is revoked, and the store discards its
+    # history.
     site.add_upstream("e1", "engine")
     router = site.add_router()
     site.store.suppress_events = True
@@ -136,9 +140,9 @@
     )
 
 
-def test_change_is_seen_though_watches_say_nothing(site):
-    # The platform's watches wait on as if nothing had changed, though a key
-    # was taken away. Its holder must not go on for as long as a watch waits.
+def test_change_is_seen_without_watch_events(site):
+    # The platform's watches stay open without an event although a key was
+    # revoked. The key must not be accepted until such a watch returns.
     site.add_upstream("e1", "engine")
     router = site.add_router()
     site.store.suppress_events = True
@@ -148,10 +152,10 @@
     )
 
 
-def test_routers_of_a_failure_domain_read_for_each_other(site):
-    # Each call of the platform is paid for. Of four routers two read, and the
-    # others are told: also of a key that is taken away, and also once the two
-    # were killed.
+def test_routers_of_a_failure_domain_share_their_reads(site):
+    # Each call of the platform has a cost, so two of four routers read it and
+    # inform the others. A key that is revoked just after both readers were
+    # killed must be refused by the others within two seconds.
     site.add_upstream("e1", "engine")
     first = site.add_router("front-a-1")
     seeds = f"[peers]\naddresses = 127.0.0.1:{first.control}\n"
@@ -159,7 +163,7 @@
         site.add_router(f"front-a-{n}", extra_settings=seeds) for n in (2, 3, 4)
     ]
     site_module.wait_until(lambda: read_router_counts(routers) == {4})
-    time.sleep(1.0)  # Until the readers are settled.
+    time.sleep(1.0)  # Until the readers have been chosen.
     before = sum(site.store.read_counts.values())
     time.sleep(3.0)
     assert sum(site.store.read_counts.values()) - before <= 9
@@ -177,7 +181,10 @@
 
 
 def read_router_counts(routers):
-    """Counts the routers that each router hears, itself included."""
+    """Returns the router counts in the metrics of these routers, as a set.
+
+    A router counts those that it receives heartbeats from, and itself.
+    """
     counts = set()
     for router in routers:
         url = f"http://127.0.0.1:{router.operators}/metrics"
@@ -188,9 +195,9 @@
     return counts
 
 
-def test_bad_documents_are_told_and_the_last_good_ones_stay(site):
-    # An operator's tool writes nonsense. Callers must notice nothing, and
-    # the log must say which document and why.
+def test_invalid_documents_are_logged_and_last_valid_ones_stay(site):
+    # An operator's tool writes invalid documents. Requests must still succeed,
+    # and the log must name the documents.
     site.add_upstream("e1", "engine")
     router = site.add_router()
     site.store.put("op/config", {"Version": "nine"})
@@ -203,9 +210,10 @@
     assert send_request(router, "/draft/x", prompt=True)[1] == 200
 
 
-def test_keys_end_while_the_platform_is_away_and_open_routes_stay(site):
-    # The platform is down. Orders without keys go on; requests with keys
-    # are refused, truthfully, once a key might have been taken away.
+def test_keys_expire_but_public_routes_work_without_the_platform(site):
+    # The platform is unavailable. Requests of public routes must still succeed.
+    # Requests with keys must be refused within five seconds, because their keys
+    # may have been revoked.
     site.add_upstream("e1", "engine")
     site.add_upstream("l1", "ledger")
     router = site.add_router()
@@ -224,8 +232,9 @@
     )
 
 
-def test_refused_booking_goes_to_another_upstream_and_runs_once(site):
-    # One of two ledgers refuses everything. Each booking must run, once.
+def test_refused_request_runs_once_at_another_upstream(site):
+    # One of two ledgers refuses all requests. Each booking must run exactly
+    # once, at the other ledger.
     refusing = site.add_upstream("l1", "ledger")
     other = site.add_upstream("l2", "ledger")
     refusing.refuse = True
@@ -240,9 +249,10 @@
     )
 
 
-def test_restarted_upstream_is_not_taken_for_the_old_one(site):
-    # A ledger restarted; its old entry is still listed. Bookings must run at
-    # the other ledger, and only the first one may try the old entry.
+def test_request_for_the_old_incarnation_runs_elsewhere(site):
+    # A ledger restarted as a new incarnation while the store still lists the
+    # old one. All bookings must run at the other ledger. At most the first may
+    # be sent to the old entry, where it is refused.
     old = site.add_upstream("l1", "ledger")
     other = site.add_upstream("l2", "ledger")
     router = site.add_router()
@@ -253,10 +263,11 @@
     assert len(other.runs) == 8
 
 
-def test_crashed_engine_leaves_whole_events_and_answers_go_on(site):
-    # An engine crashes inside an event. A resumable answer goes on at the
-    # other engine and the caller gets each event once; any other breaks off
-    # so that no client takes it for whole.
+def test_stream_of_crashed_engine_resumes_or_ends_after_an_event(site):
+    # An engine crashes inside an event. A resumable stream must continue at the
+    # other engine, so that the caller gets each event once. Any other stream
+    # must be aborted after its last complete event, so that no client takes the
+    # response for complete.
     engines = [site.add_upstream(f"e{n}", "engine") for n in (1, 2)]
     router = site.add_router()
     used = send_request(router, "/answer/x", prompt=True)
@@ -265,8 +276,8 @@
     crashing.truncate_after = 2
     request, status, _, answer = send_request(router, "/answer/x", prompt=True)
     assert status == 200
-    right = [f"{request}/{n}".encode() for n in range(1, 6)]
-    assert parse_event_data(answer) == right
+    expected = [f"{request}/{n}".encode() for n in range(1, 6)]
+    assert parse_event_data(answer) == expected
     for engine in engines:
         engine.truncate_after = 2
     with pytest.raises(http.client.IncompleteRead) as broken:
@@ -274,9 +285,9 @@
     assert broken.value.partial.endswith(b"\n\n")
 
 
-def test_second_answer_belongs_to_nobody(site):
-    # A ledger answers a request twice. The next caller on that connection
-    # must not get the first one's answer.
+def test_duplicate_response_reaches_no_other_caller(site):
+    # A ledger sends each response twice. The duplicate must not reach the next
+    # caller whose request uses the connection.
     ledger = site.add_upstream("l1", "ledger")
     ledger.extra = True
     router = site.add_router()
@@ -285,9 +296,9 @@
         assert (status, answer) == (200, f"/look/x {request} 0".encode())
 
 
-def test_answer_that_comes_twice_and_late_is_skipped(site):
-    # A ledger sends an answer again where the answer to the next request is
-    # expected. The next caller must get its own, not the earlier one's.
+def test_late_duplicate_response_is_skipped(site):
+    # A ledger sends the previous response again where the response to the
+    # current request is expected. The caller must get its own response.
     ledger = site.add_upstream("l1", "ledger")
     ledger.repeat_previous = True
     router = site.add_router()
@@ -297,9 +308,10 @@
     assert ledger.repeat_count
 
 
-def test_caller_that_leaves_ends_its_run(site):
-    # A caller closes its connection before its answer. The upstream must
-    # see that within half a second, or it works for nobody.
+def test_disconnected_caller_ends_its_run(site):
+    # A caller closes its connection before it gets a response. The request to
+    # the upstream must be aborted within half a second, so that the upstream
+    # stops working on it.
     ledger = site.add_upstream("l1", "ledger")
     ledger.hang = True
     router = site.add_router()
@@ -313,9 +325,10 @@
     site_module.wait_until(lambda: ledger.cancelled == ["77"], 0.5)
 
 
-def test_hanging_upstream_is_answered_at_the_route_s_timeout(site):
-    # A ledger never answers a booking. The caller hears at the route's
-    # timeout that nobody knows, and nothing runs twice.
+def test_hanging_upstream_is_reported_at_the_route_timeout(site):
+    # A ledger never responds to a booking. At the route's timeout the caller
+    # must get status 504 (the outcome is unknown), and the booking must not be
+    # sent to the other ledger.
     ledgers = [site.add_upstream(f"l{n}", "ledger") for n in (1, 2)]
     for ledger in ledgers:
         ledger.hang = True
@@ -331,10 +344,10 @@
     assert sum(len(ledger.runs) for ledger in ledgers) == 1
 
 
-def test_planned_stop_finishes_streams_and_takes_late_connections(site):
-    # A router is stopped while it streams an answer. The answer must come
-    # whole; callers that the balancer still sends are served; and the
-    # process ends by itself.
+def test_planned_stop_finishes_streams_and_accepts_late_connections(site):
+    # A router is stopped while it forwards a stream. The stream must be
+    # completed, callers that the load balancer still sends must be served, and
+    # the process must exit with status 0.
     engine = site.add_upstream("e1", "engine")
     engine.event_interval = 0.3
     router = site.add_router()
@@ -350,11 +363,12 @@
     assert router.process.wait(8) == 0
 
 
-def test_callers_that_come_late_to_a_stopping_router_are_answered(site):
-    # The balancer learns slowly that a busy router stops and still sends
-    # callers after 3 s. Nobody listened any more, and requests that had just
-    # arrived were closed. Each is to be served if it ends before the process,
-    # and else told at once that it has not run and when to come back.
+def test_late_callers_of_a_stopping_router_are_answered(site):
+    # The load balancer is slow to notice that a busy router stops and still
+    # sends callers after 3 s. The router had stopped listening by then, and
+    # connections with requests that had just arrived were closed. A request
+    # that can end before the process exits must be served. Any other must be
+    # refused immediately with 503 and a Retry-After delay.
     for name, service in (("e1", "engine"), ("l1", "ledger")):
         site.add_upstream(name, service)
     router = site.add_router(extra_settings="[bounds]\ngrace = 6\n")
@@ -363,7 +377,9 @@
     with contextlib.suppress(ConnectionError):
         while True:
             long = send_request(router, "/draft/x", prompt=True)
-            short = send_request(router, "/book/x", "", left=500, body=b"b")
+            short = send_request(
+                router, "/book/x", "", time_left_ms=500, body=b"b"
+            )
             answers.append((time.monotonic() - began, long, short))
     assert answers[-1][0] > 3.8
     refused = [long for _, long, _ in answers if long[1] != 200]
@@ -373,9 +389,9 @@
     assert router.process.wait(8) == 0
 
 
-def test_changed_settings_and_sighup_cut_nothing(site):
-    # Settings change and SIGHUP comes, with a bad file too. Callers must
-    # notice nothing; the log must say what is wrong with the file.
+def test_sighup_with_changed_settings_interrupts_no_request(site):
+    # The settings file becomes invalid and SIGHUP is sent. A stream in progress
+    # and later requests must succeed, and the log must report the file.
     engine = site.add_upstream("e1", "engine")
     engine.event_interval = 0.1
     router = site.add_router()
@@ -390,9 +406,9 @@
     assert send_request(router, "/draft/x", prompt=True)[1] == 200
 
 
-def test_killed_router_is_ready_again_at_once(site):
-    # Everything is killed and starts with nothing. Callers must be served
-    # within seconds.
+def test_killed_router_is_ready_again_within_three_seconds(site):
+    # The only router is killed and restarted without any stored state. It must
+    # serve callers within three seconds.
     site.add_upstream("e1", "engine")
     router = site.add_router()
     router.process.kill()
@@ -403,8 +419,8 @@
 
 
 def test_metrics_show_requests_by_team(site):
-    # An engineer on call asks how many requests of a team were answered, and
-    # how old the configuration is.
+    # The metrics must show answered requests by service, the time to the first
+    # token by team, and the age of the configuration.
     site.add_upstream("e1", "engine")
     router = site.add_router()
     send_request(router, "/draft/x", prompt=True)
@@ -423,10 +439,11 @@
 
 
 def test_frozen_router_serves_only_callers_that_still_wait(site):
-    # A VM freezes for seconds. Its callers give up and ask elsewhere; awake
-    # again, it must not work or book for them, and must serve those that come
-    # then. Their requests are read before the end of their connections, and
-    # those that may use a kept connection reach the upstream at once.
+    # A router's VM is frozen, and its callers disconnect and send their
+    # requests elsewhere. Once the VM resumes, the router must not send those
+    # requests to upstreams, but must serve new ones. It reads the old requests
+    # before the end of their connections, and those that may use an idle
+    # connection to the upstream (GET) reached the upstream at once.
     ledger = site.add_upstream("l1", "ledger")
     router = site.add_router()
     kept, _, _, _ = send_request(router, "/look/x", "")
