--- a/sycamorefall/transport/__init__.py
+++ b/sycamorefall/transport/__init__.py
@@ -1,4 +1,4 @@
-"""The shell's I/O: event loop, control links, HTTP client and server."""
+"""I/O of a process: event loop, control links, HTTP client and server."""
 
 __all__ = [
     "EVENT_STREAM",
--- a/sycamorefall/transport/client.py
+++ b/sycamorefall/transport/client.py
@@ -1,8 +1,8 @@
-"""HTTP requests to sidecars, upstreams and the platform, on the loop.
+"""HTTP client for sidecars, upstreams and the platform, on the event loop.
 
-circuits' own client holds one connection and one answer, so this one keeps
-a small pool of sockets on the loop's poller. `answers` tells a complete answer
-from one that broke off.
+The client of circuits handles one connection and one response, so this one
+manages a small pool of sockets on the loop's poller. `response_reader` tells a
+complete response from one that broke off.
 """
 
 __all__ = [
@@ -28,32 +28,32 @@
 from sycamorefall.transport import request_writer, response_reader
 
 READ_SIZE = 1 << 16
-"""Bytes read from a socket at once."""
+"""Maximum number of bytes read from a socket at once."""
 
 CONNECT_TIMEOUT = 1.0
-"""Seconds until a connection that is not made is given up."""
+"""Seconds until an attempt to connect is given up."""
 
-IDLE_PER_ADDRESS = 32
-"""Idle connections that are kept to one address."""
+MAX_IDLE_PER_ADDRESS = 32
+"""Maximum number of idle connections kept to one address."""
 
 
-IDLE_TIME = 4.0
-"""Seconds that a connection is kept without a request; a typical server
-closes one after 5, and a request sent as it does is lost without a trace."""
+MAX_IDLE_TIME = 4.0
+"""Seconds that an idle connection is kept. A typical server closes one after 5
+s, and a request sent at that moment is lost without a trace."""
 
 SWEEP_INTERVAL = 0.5
-"""Seconds between two looks for connections that were kept long enough."""
+"""Minimum seconds between two searches for idle connections to close."""
 
-IDLE_SHARE = 0.6
-"""Part of the idle time that a server announces after which its connection
-isn't used any more: the rest covers the way there and late timers."""
+SERVER_TIMEOUT_SHARE = 0.6
+"""Share of the idle timeout announced by a server after which its connection
+isn't used any more. The rest covers the network latency and late timers."""
 
 
 class SendStage(enum.Enum):
-    """How far a request had come when its connection failed.
+    """How much of a request had been sent when its connection failed.
 
-    NOT_SENT: no byte of it was sent, so the other side can't have seen it.
-    SENT: at least part of it was sent.
+    NOT_SENT: No byte of it was sent, so the server can't have received it.
+    SENT: At least part of it was sent.
     """
 
     NOT_SENT = "not_sent"
@@ -75,37 +75,36 @@
 
 @dataclasses.dataclass(slots=True)
 class _ReachabilityCheck:
-    """A connection that is opened to check whether a process accepts it.
+    """A connection attempt that checks whether a process accepts connections.
 
     Attributes:
-        opened: When it was begun.
+        connect_started_at: Time at which the attempt started.
         failure: Error number if connecting failed immediately; else 0.
         on_result: Called with the result.
     """
 
-    opened: float
+    connect_started_at: float
     failure: int
     on_result: Callable[[Reachability], None]
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class OutgoingRequest:
-    """A request to be sent.
+    """A request to send.
 
     Attributes:
-        address: Where to.
+        address: Address of the server.
         method: HTTP method.
         path: Path and query.
-        headers: Headers, without host and length.
+        headers: Headers without `Host` and `Content-Length`.
         body: The body.
-        requires_new_connection: Whether to use a new connection. A kept one may
-            be closed by
-            the other side while the request is on its way, which leaves
-            open whether it arrived.
-        host: Host header; the address if empty.
-        max_idle_connections: Idle connections to the address that may be kept
-            after it, up to
-            `IDLE_PER_ADDRESS`; None for so many.
+        requires_new_connection: Whether to use a new connection. The server may
+            close a kept connection while the request is in transit; whether the
+            request arrived is unknown then.
+        host: `Host` header; the address if empty.
+        max_idle_connections: Maximum number of idle connections to the address
+            that may be kept after the request, at most `MAX_IDLE_PER_ADDRESS`;
+            None for `MAX_IDLE_PER_ADDRESS`.
     """
 
     address: settings.Address
@@ -120,19 +119,19 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Listener:
-    """What is called as an answer comes in.
+    """Callbacks for the response to a request.
 
     Attributes:
-        on_head: With status and headers, names in lower case.
-        on_data: With each piece of the body.
-        on_end: Once the answer is known to be whole.
-        on_failure: Instead of `on_end`, if the connection failed.
-        on_sent: Called as a request begins to leave that had to wait for its
-            connection.
-        is_ours: Tells from an answer's headers whether it answers this
-            request. One that doesn't is skipped whole, and the next answer
-            on the connection is read: an upstream may send a second answer
-            to an earlier request late, where the next one is expected.
+        on_head: Called with status and headers; names are in lower case.
+        on_data: Called with each piece of the body.
+        on_end: Called when the response is complete.
+        on_failure: Called instead of `on_end` if the connection failed.
+        on_sent: Called when a request that had to wait for its connection
+            starts being sent.
+        is_ours: Returns from a response's headers whether it belongs to this
+            request. One that doesn't is skipped, and the next response on the
+            connection is read: an upstream may send a second response to an
+            earlier request late, before the response to this one.
     """
 
     on_head: Callable[[int, list[tuple[str, str]]], None]
@@ -144,7 +143,23 @@
 
 
 class Exchange:
-    """One request and its answer on a connection."""
+    """A connection, and the request and response in progress on it.
+
+    Attributes:
+        address: Address of the server.
+        connected: Whether the connection is established.
+        idle_since: Time at which the last response was complete.
+        keep_for: Seconds that the connection may be idle.
+        listener: Callbacks of the request in progress; None without one.
+        connect_started_at: Time at which the attempt to connect started.
+        paused: Whether reading the response is paused.
+        reader: Parser of the responses.
+        request: The last request.
+        sent_any: Whether a byte of the last request was sent.
+        skipping: Whether the response being read belongs to another request.
+        socket: The socket.
+        unsent: Bytes of the request that were not sent yet.
+    """
 
     __slots__ = (
         "address",
@@ -152,7 +167,7 @@
         "idle_since",
         "keep_for",
         "listener",
-        "opened",
+        "connect_started_at",
         "paused",
         "reader",
         "request",
@@ -167,9 +182,9 @@
         self.listener: Listener | None = listener
         self.connected = False
         self.idle_since = 0.0
-        self.keep_for = IDLE_TIME
-        self.opened = 0.0
-        self.reader = response_reader.AnswerReader()
+        self.keep_for = MAX_IDLE_TIME
+        self.connect_started_at = 0.0
+        self.reader = response_reader.ResponseReader()
         self.request: OutgoingRequest | None = None
         self.skipping = False
         self.paused = False
@@ -193,9 +208,8 @@
 
         Args:
             poller: The loop's poller.
-            read_clock: Gives the time, in seconds.
-            connect_timeout: Seconds until a connection that is not made is
-                given up.
+            read_clock: Returns the current time, in seconds.
+            connect_timeout: Seconds until an attempt to connect is given up.
         """
         super().__init__()
         self._connect_timeout = connect_timeout
@@ -205,15 +219,15 @@
         self._idle: dict[settings.Address, list[Exchange]] = {}
         self._connecting: dict[socket.socket, Exchange] = {}
         self._checks: dict[socket.socket, _ReachabilityCheck] = {}
-        self._swept_at = float("-inf")
+        self._last_swept_at = float("-inf")
 
     def send(self, request: OutgoingRequest, listener: Listener) -> Exchange:
         """Sends a request.
 
         Args:
             request: The request.
-            listener: What is called as the answer comes in; never called
-                before this method returns.
+            listener: Callbacks for the response; never called before this
+                method returns.
 
         Returns:
             A handle with which the request can be paused or aborted.
@@ -221,16 +235,18 @@
         exchange = (
             None
             if request.requires_new_connection
-            else self._reuse(request.address)
+            else self._reuse_connection(request.address)
         )
         if exchange is not None:
             exchange.listener = listener
             exchange.sent_any = False
         else:
-            exchange = self._open(request.address, listener)
+            exchange = self._open_connection(request.address, listener)
         exchange.request = request
         exchange.skipping = False
-        exchange.reader = response_reader.AnswerReader(request.method == "HEAD")
+        exchange.reader = response_reader.ResponseReader(
+            request.method == "HEAD"
+        )
         exchange.unsent += request_writer.format_request(
             request.method,
             request.path,
@@ -238,18 +254,18 @@
             request.headers,
             request.body,
         )
-        # A kept connection takes a request at once, as a rule; what it does
-        # not take, and its failure, are seen as it becomes writable.
+        # A kept connection usually takes a request at once. Bytes that it does
+        # not take, and its failure, are handled when it becomes writable.
         if not exchange.connected or not _push_unsent(exchange):
             self._poller.addWriter(self, exchange.socket)
         return exchange
 
-    def _reuse(self, address: settings.Address) -> Exchange | None:
-        """Takes a kept connection on which nothing has come meanwhile.
+    def _reuse_connection(self, address: settings.Address) -> Exchange | None:
+        """Returns a kept connection to an address without unread input.
 
-        Guards against bytes beyond the last answer that the loop has not
-        read yet: they would be taken for the answer to the next request. A
-        connection closed meanwhile shows here too.
+        Guards against bytes after the last response that the loop has not read
+        yet: they would be taken for the response to the next request. A
+        connection that the server closed is detected here too.
         """
         now = self._read_clock()
         while kept := self._idle.get(address):
@@ -264,16 +280,19 @@
             self._discard(exchange)
         return None
 
-    def _open(self, address: settings.Address, listener: Listener) -> Exchange:
+    def _open_connection(
+        self, address: settings.Address, listener: Listener
+    ) -> Exchange:
         exchange = Exchange(address, listener)
         exchange.socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         exchange.socket.setblocking(False)
         exchange.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        exchange.opened = self._read_clock()
+        exchange.connect_started_at = self._read_clock()
         self._by_socket[exchange.socket] = exchange
         self._connecting[exchange.socket] = exchange
-        # A failure shows at once or as the socket becomes writable; either
-        # way it is read there, so that the listener isn't called from here.
+        # A failure is reported at once or when the socket becomes writable. In
+        # both cases it is handled when the socket is writable, so that no
+        # callback is called before `send` returns.
         exchange.socket.connect_ex(address.pair)
         return exchange
 
@@ -285,9 +304,8 @@
         """Checks whether a process accepts connections, without sending data.
 
         Args:
-            address: Where it listens.
-            on_result: Called with the result, never before this method
-                returns.
+            address: Address at which the process listens.
+            on_result: Called with the result, never before this method returns.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
@@ -317,13 +335,13 @@
         check.on_result(found)
 
     def abort(self, exchange: Exchange) -> None:
-        """Gives a request up; its listener is not called any more."""
+        """Aborts a request; its listener is not called any more."""
         if exchange.listener is not None:
             exchange.listener = None
             self._discard(exchange)
 
     def pause(self, exchange: Exchange, paused: bool) -> None:
-        """Stops or resumes reading an answer whose taker is slow."""
+        """Pauses or resumes reading a response whose receiver is slow."""
         if exchange.listener is None or exchange.paused == paused:
             return
         exchange.paused = paused
@@ -335,46 +353,53 @@
             self._begin_reading(exchange)
 
     def find_next_due(self) -> float:
-        """Tells when the oldest pending connection is to be given up."""
+        """Returns when the oldest pending attempt to connect times out."""
         oldest = (
             next(iter(pending.values()), None)
             for pending in (self._connecting, self._checks)
         )
         return min(
-            (one.opened + self._connect_timeout for one in oldest if one),
+            (
+                one.connect_started_at + self._connect_timeout
+                for one in oldest
+                if one
+            ),
             default=float("inf"),
         )
 
     def expire(self, now: float) -> None:
-        """Gives up connections that are not made in time, or no more used.
+        """Ends attempts to connect that timed out, and closes idle connections.
 
-        Guards against a partition that drops packets silently: without it
-        a request would hang until the kernel gives up, after minutes.
+        Guards against a network partition that drops packets silently: without
+        a timeout a request would wait for minutes until the kernel gives up.
+        Idle connections are closed once their maximum idle time is over; they
+        are checked every `SWEEP_INTERVAL` seconds.
         """
-        late = [
+        overdue = [
             exchange
             for exchange in self._connecting.values()
-            if now - exchange.opened >= self._connect_timeout
+            if now - exchange.connect_started_at >= self._connect_timeout
         ]
-        for exchange in late:
+        for exchange in overdue:
             self._fail(exchange)
         unanswered = [
             sock
             for sock, check in self._checks.items()
-            if now - check.opened >= self._connect_timeout
+            if now - check.connect_started_at >= self._connect_timeout
         ]
         for sock in unanswered:
             self._end_check(sock, Reachability.UNKNOWN)
-        if now - self._swept_at >= SWEEP_INTERVAL:
-            self._swept_at = now
-            self._close_unused(now)
+        if now - self._last_swept_at >= SWEEP_INTERVAL:
+            self._last_swept_at = now
+            self._close_expired_idle(now)
 
-    def _close_unused(self, now: float) -> None:
-        """Closes the connections that were kept long enough.
+    def _close_expired_idle(self, now: float) -> None:
+        """Closes connections that have been idle for their maximum idle time.
 
-        Guards against places that are taken at the other side for nothing: it
-        bears a number of connections from all processes together, and resets
-        new ones beyond that, with the requests on them.
+        Guards against idle connections that count towards a server's connection
+        limit: the server bears a limited number of connections from all
+        processes together, and resets new ones beyond that, with the requests
+        on them.
         """
         kept = itertools.chain.from_iterable(self._idle.values())
         unused = [one for one in kept if now - one.idle_since >= one.keep_for]
@@ -409,7 +434,7 @@
 
     def _begin_reading(self, exchange: Exchange) -> None:
         self._poller.addReader(self, exchange.socket)
-        self._poller.take_directly(exchange.socket, self._take_readable)
+        self._poller.set_read_callback(exchange.socket, self._read_response)
 
     def _flush(self, exchange: Exchange) -> None:
         sent_all = _push_unsent(exchange)
@@ -418,7 +443,7 @@
         elif sent_all:
             self._poller.removeWriter(exchange.socket)
 
-    def _take_readable(self, sock: socket.socket) -> None:
+    def _read_response(self, sock: socket.socket) -> None:
         exchange = self._by_socket.get(sock)
         if exchange is None:
             return
@@ -431,19 +456,19 @@
                 self._fail(exchange)
             return
         if exchange.listener is None:
-            # A kept connection: the other side closed it, or broke protocol.
+            # An idle connection: the server closed it or violated the protocol.
             self._discard(exchange)
             return
         self._parse(exchange, data)
 
     def _parse(self, exchange: Exchange, data: bytes) -> None:
-        """Parses what one read gave and passes it on.
+        """Parses the bytes of one read and passes the events to the listener.
 
-        The pieces of the body that came together go on together: each would
-        cost the next hop a chunk, a system call and a parse of its own.
+        Pieces of the body that were read together are passed on as one: each
+        piece would cost the next hop a chunk, a system call and a parse.
         """
         if not data:
-            self._take_end_of_connection(exchange)
+            self._handle_connection_end(exchange)
             return
         pieces: list[bytes] = []
         for event in exchange.reader.feed(data):
@@ -459,8 +484,8 @@
         if exchange.reader.is_broken:
             self._fail(exchange)
 
-    def _take_end_of_connection(self, exchange: Exchange) -> None:
-        if not exchange.reader.finish() or exchange.skipping:
+    def _handle_connection_end(self, exchange: Exchange) -> None:
+        if not exchange.reader.completes_at_close() or exchange.skipping:
             self._fail(exchange)
             return
         listener, exchange.listener = exchange.listener, None
@@ -470,21 +495,21 @@
     def _deliver(
         self,
         exchange: Exchange,
-        event: response_reader.AnswerHead | response_reader.End,
+        event: response_reader.ResponseHead | response_reader.End,
     ) -> None:
-        """Passes on an answer's head or its end."""
+        """Passes a response's head or end to the listener."""
         listener = exchange.listener
         if listener is None:
             return
-        if isinstance(event, response_reader.AnswerHead):
-            exchange.keep_for = _read_keep_time(event.headers)
+        if isinstance(event, response_reader.ResponseHead):
+            exchange.keep_for = _parse_max_idle_time(event.headers)
             is_ours = listener.is_ours
             if is_ours is None or is_ours(dict(event.headers)):
                 listener.on_head(event.status, event.headers)
             else:
                 exchange.skipping = True
         elif exchange.skipping:
-            # As if it had not come: the next answer is expected.
+            # The skipped response is ignored: the next one is expected.
             exchange.skipping = False
         else:
             exchange.listener = None
@@ -495,22 +520,22 @@
         reusable = (
             exchange.reader.keep_alive
             and not exchange.unsent
-            # Guards against an upstream that sends more than it announced:
-            # what is left would be taken for the answer to the next request
-            # on this connection, and another caller would get it.
+            # Guards against an upstream that sends more than it announced: the
+            # rest would be taken for the response to the next request on this
+            # connection, and another caller would receive it.
             and exchange.reader.is_between
         )
         kept = self._idle.setdefault(exchange.address, [])
-        most = exchange.request.max_idle_connections
-        if most is None or most > IDLE_PER_ADDRESS:
-            most = IDLE_PER_ADDRESS
-        # Requests that must have a new connection use none that is kept: what
-        # they leave behind would pile up. One is kept for those that may be
-        # repeated.
-        most = (
-            min(most, 1) if exchange.request.requires_new_connection else most
+        limit = exchange.request.max_idle_connections
+        if limit is None or limit > MAX_IDLE_PER_ADDRESS:
+            limit = MAX_IDLE_PER_ADDRESS
+        # Requests that require a new connection never use a kept one, so the
+        # connections that they leave would accumulate. One is kept for requests
+        # that may be repeated.
+        limit = (
+            min(limit, 1) if exchange.request.requires_new_connection else limit
         )
-        if reusable and len(kept) < most:
+        if reusable and len(kept) < limit:
             exchange.idle_since = self._read_clock()
             kept.append(exchange)
         else:
@@ -546,10 +571,10 @@
 
 
 def _push_unsent(exchange: Exchange) -> bool | None:
-    """Sends what the socket takes; tells whether that was all.
+    """Sends as many unsent bytes as the socket takes.
 
     Returns:
-        True or False, or None if the connection failed.
+        Whether all bytes were sent, or None if the connection failed.
     """
     try:
         sent = exchange.socket.send(exchange.unsent)
@@ -568,8 +593,8 @@
     pieces.clear()
 
 
-def _read_keep_time(headers: list[tuple[str, str]]) -> float:
-    """Reads for how long a connection may stay idle, in seconds."""
+def _parse_max_idle_time(headers: list[tuple[str, str]]) -> float:
+    """Computes how long a connection may be idle, in seconds."""
     values = [value for name, value in headers if name == "keep-alive"]
     parts = itertools.chain.from_iterable(value.split(",") for value in values)
     times = [
@@ -577,4 +602,6 @@
         for name, _, value in (part.strip().partition("=") for part in parts)
         if name.lower() == "timeout" and value.isdecimal()
     ]
-    return min([IDLE_TIME, *(IDLE_SHARE * seconds for seconds in times)])
+    return min(
+        [MAX_IDLE_TIME, *(SERVER_TIMEOUT_SHARE * seconds for seconds in times)]
+    )
--- a/sycamorefall/transport/control.py
+++ b/sycamorefall/transport/control.py
@@ -1,8 +1,8 @@
-"""Links for control messages between the system's processes.
+"""Links for control messages between the processes of the fleet.
 
-Each process pulls from one socket of its own and pushes to one socket per
-peer, so a slow or unreachable peer delays no other. What does not fit a
-link's short buffer is dropped and counted: control messages may be lost.
+Each process receives on one socket of its own and sends on one socket per peer,
+so a slow or unreachable peer delays no other. Messages that do not fit into a
+link's short buffer are dropped and counted: control messages may be lost.
 """
 
 __all__ = ["ControlLinks"]
@@ -24,20 +24,20 @@
 )
 
 SEND_BUFFER = 256
-"""Messages that wait for a peer that is slow or not reached yet."""
+"""Maximum number of messages that wait for a slow or unreachable peer."""
 
 RECEIVE_BUFFER = 4096
-"""Messages received and not yet read by the loop."""
+"""Maximum number of received messages that the loop has not read yet."""
 
 RECONNECT_MILLISECONDS = (50, 1000)
-"""Shortest and longest pause between two tries to reach a peer."""
+"""Minimum and maximum pause between two attempts to connect to a peer."""
 
-READS_AT_ONCE = 256
-"""Messages read before other events of the loop get their turn."""
+MAX_READS_PER_EVENT = 256
+"""Maximum number of messages read before the loop handles other events."""
 
 
 class _Link:
-    """A socket that pushes to one peer."""
+    """A socket that sends to one peer."""
 
     __slots__ = ("address", "socket")
 
@@ -53,17 +53,18 @@
 
 
 class ControlLinks(circuits.BaseComponent):
-    """Sends and receives control messages on the loop.
+    """Sends and receives control messages on the event loop.
 
     Attributes:
         bytes_sent: Size of all messages sent.
         bytes_received: Size of all messages received.
-        bytes_sent_by_kind: Size of all messages sent, by the receiver's place
-            and the
-            kind of message.
-        dropped: Messages that a full link dropped.
-        refused: Received messages that could not be decoded.
-        unnamed: Received messages dropped for names not known.
+        bytes_sent_by_kind: Size of all messages sent, by the receiver's failure
+            domain as `classify_domain` returns it, and the kind of message.
+        dropped: Number of messages dropped because a link was full.
+        refused: Number of received messages that could not be verified or
+            decoded.
+        unknown_names_dropped: Number of received messages dropped because they
+            used names that are not defined here.
     """
 
     channel = "control"
@@ -74,19 +75,20 @@
         find_address: Callable[[str], str | None],
         on_envelope: Callable[[messages.Envelope], None],
         authenticator: authentication.Authenticator,
-        on_unnamed: Callable[[messages.Envelope], None] = lambda _: None,
-        find_place: Callable[[str], str] = lambda _: "",
+        on_unknown_names: Callable[[messages.Envelope], None] = lambda _: None,
+        classify_domain: Callable[[str], str] = lambda _: "",
     ):
         """Opens the listening socket.
 
         Args:
             listen: `IP:port` at which peers reach this process.
-            find_address: Gives the `IP:port` of a peer by VM name.
+            find_address: Returns the `IP:port` of a peer by VM name.
             on_envelope: Called with each received message.
-            authenticator: Signs and checks messages.
-            on_unnamed: Called with each message that is dropped for names
-                not known, before its sender is asked for them.
-            find_place: Gives the place by which a peer's bytes are counted.
+            authenticator: Signs and verifies messages.
+            on_unknown_names: Called with each message that is dropped because
+                of undefined names, before its sender is asked to define them.
+            classify_domain: Returns the label of a peer's failure domain by VM
+                name; bytes sent are counted by it.
 
         Raises:
             errors.AddressInUse: The address can't be bound.
@@ -94,8 +96,8 @@
         super().__init__()
         self._find_address = find_address
         self._on_envelope = on_envelope
-        self._on_unnamed = on_unnamed
-        self._find_place = find_place
+        self._on_unknown_names = on_unknown_names
+        self._classify_domain = classify_domain
         self._authenticator = authenticator
         self._links: dict[str, _Link] = {}
         self.bytes_sent = 0
@@ -105,7 +107,7 @@
         )
         self.dropped = 0
         self.refused = 0
-        self.unnamed = 0
+        self.unknown_names_dropped = 0
         self._names = names.NameTable()
         self._last_sent: messages.Envelope | None = None
         self._inbox = pynng.Pull0(recv_buffer_size=RECEIVE_BUFFER)
@@ -115,7 +117,7 @@
             raise errors.AddressInUse(f"control {listen}: {fault}") from fault
 
     def attach(self, poller: pollers.BasePoller) -> None:
-        """Has the loop's poller watch the inbox."""
+        """Registers the receiving socket with the loop's poller."""
         poller.addReader(self, self._inbox.recv_fd)
 
     def send(self, to: str, envelope: messages.Envelope) -> None:
@@ -127,14 +129,15 @@
     ) -> None:
         """Sends a message to several peers.
 
-        It is encoded once for all that know its names: with 67 peers, that
-        was most of what telling them took.
+        The message is encoded once for all peers to which its names are
+        defined: with 67 peers, encoding took most of the time that sending
+        took.
         """
         self._last_sent = envelope
         links = {
             to: link
             for to in receivers
-            if (link := self._find_link(to)) is not None
+            if (link := self._get_or_open_link(to)) is not None
         }
         before, encoded = None, b""
         compacts = names.compact_envelopes(self._names, links, envelope)
@@ -143,8 +146,11 @@
                 before, encoded = compact, messages.encode_envelope(compact)
             self._push(links[to], to, envelope, encoded)
 
-    def _find_link(self, to: str) -> _Link | None:
-        """Finds the link to a peer, and opens it if there is none."""
+    def _get_or_open_link(self, to: str) -> _Link | None:
+        """Returns the link to a peer, and opens it if there is none.
+
+        Returns None if the peer's address is unknown.
+        """
         address = self._find_address(to)
         if address is None:
             return None
@@ -165,7 +171,9 @@
         else:
             self.bytes_sent += len(data)
             kind = type(envelope.message).__name__
-            self.bytes_sent_by_kind[self._find_place(to), kind] += len(data)
+            self.bytes_sent_by_kind[self._classify_domain(to), kind] += len(
+                data
+            )
 
     def close(self) -> None:
         """Closes all sockets; no message can be sent any more."""
@@ -178,25 +186,25 @@
             link.socket.close()
 
     def update_digests(self, known: Collection[str]) -> None:
-        """Learns the names in the text that came into force."""
+        """Replaces the digests of names by those of the text in force."""
         names.update_digests(self._names, known)
 
     def retain_peers(self, vms: set[str]) -> None:
-        """Closes the links to VMs that are not among the named."""
+        """Closes the links to VMs other than the given ones."""
         for name in self._links.keys() - vms:
             self._close_link(name)
         names.retain_peers(self._names, vms)
 
     @circuits.handler("_read")
     def _on_read(self, _) -> None:
-        for _ in range(READS_AT_ONCE):
+        for _ in range(MAX_READS_PER_EVENT):
             try:
                 data = self._inbox.recv(block=False)
             except pynng.NNGException:
                 return
-            self._take(data)
+            self._handle_message(data)
 
-    def _take(self, data: bytes) -> None:
+    def _handle_message(self, data: bytes) -> None:
         self.bytes_received += len(data)
         try:
             envelope = self._authenticator.verify_message(data)
@@ -211,21 +219,22 @@
             return
         expanded, unknown = names.expand_envelope(self._names, envelope)
         if expanded is None:
-            self.unnamed += 1
-            self._on_unnamed(envelope)
-            self._ask_names(envelope.sender, unknown)
+            self.unknown_names_dropped += 1
+            self._on_unknown_names(envelope)
+            self._request_names(envelope.sender, unknown)
             return
         if isinstance(expanded.message, messages.UnknownNames):
             indexes = expanded.message.indexes
             names.mark_undefined(self._names, expanded.sender, indexes)
         self._on_envelope(expanded)
 
-    def _ask_names(self, sender: str, unknown: tuple[int, ...]) -> None:
-        """Asks a peer for names.
+    def _request_names(self, sender: str, unknown: tuple[int, ...]) -> None:
+        """Asks a peer to define names that its message used.
 
-        Guards against a lost definition, and against a restart of this
-        process, which forgot what peers defined: every message that uses the
-        name would be dropped. The peer also sends anew what it may have lost.
+        Guards against a lost definition, and against a restart of this process,
+        which loses the names that peers defined: every message that uses such a
+        name would be dropped. On the request the peer also repeats definitions
+        that may have been lost.
         """
         if unknown and self._last_sent is not None:
             question = msgspec.structs.replace(
--- a/sycamorefall/transport/deadlines.py
+++ b/sycamorefall/transport/deadlines.py
@@ -1,4 +1,4 @@
-"""Time limits of many connections, free of I/O."""
+"""Time limits of many connections; no I/O."""
 
 __all__ = ["Deadlines"]
 
@@ -8,51 +8,51 @@
 
 
 class Deadlines:
-    """Sockets in the order in which the same time limit ends for them.
+    """Sockets with one common time limit, in the order in which it expires.
 
-    The limit is the same for all, so whoever starts later ends later, and
-    the next one to end is found at once.
+    The limit is the same for all sockets, so a limit that starts later expires
+    later, and the next one to expire is found in constant time.
 
     Attributes:
         limit: The time limit, in seconds.
     """
 
-    __slots__ = ("_dues", "limit")
+    __slots__ = ("_expiry_times", "limit")
 
     def __init__(self, limit: float):
         self.limit = limit
-        self._dues: dict[socket.socket, float] = {}
+        self._expiry_times: dict[socket.socket, float] = {}
 
     def start(self, sock: socket.socket, now: float) -> None:
-        """Starts the limit for a socket, unless it runs already."""
-        self._dues.setdefault(sock, now + self.limit)
+        """Starts the time limit of a socket, unless it is running already."""
+        self._expiry_times.setdefault(sock, now + self.limit)
 
     def stop(self, sock: socket.socket) -> None:
-        """Ends the limit for a socket."""
-        self._dues.pop(sock, None)
+        """Stops the time limit of a socket."""
+        self._expiry_times.pop(sock, None)
 
-    def has(self, sock: socket.socket) -> bool:
-        """Tells whether the limit runs for a socket."""
-        return sock in self._dues
+    def is_running(self, sock: socket.socket) -> bool:
+        """Returns whether the time limit of a socket is running."""
+        return sock in self._expiry_times
 
     def __iter__(self) -> Iterator[socket.socket]:
-        """Goes over the sockets, the one whose limit ends next first."""
-        return iter(self._dues)
+        """Iterates over the sockets in the order of expiry."""
+        return iter(self._expiry_times)
 
-    def find_next(self) -> float:
-        """Returns when the limit ends next for a socket."""
-        return next(iter(self._dues.values()), float("inf"))
+    def get_next_expiry(self) -> float:
+        """Returns the earliest expiry time; infinity without sockets."""
+        return next(iter(self._expiry_times.values()), float("inf"))
 
-    def find_first(self) -> socket.socket | None:
-        """Returns the socket for which the limit ends next."""
-        return next(iter(self._dues), None)
+    def get_first(self) -> socket.socket | None:
+        """Returns the socket whose time limit expires next."""
+        return next(iter(self._expiry_times), None)
 
     def pop_expired(self, now: float) -> list[socket.socket]:
-        """Takes out the sockets whose limit is over."""
+        """Removes and returns the sockets whose time limit has expired."""
         late = itertools.takewhile(
-            lambda item: item[1] <= now, self._dues.items()
+            lambda item: item[1] <= now, self._expiry_times.items()
         )
         expired = [sock for sock, _ in late]
         for sock in expired:
-            del self._dues[sock]
+            del self._expiry_times[sock]
         return expired
--- a/sycamorefall/transport/incoming_call.py
+++ b/sycamorefall/transport/incoming_call.py
@@ -1,4 +1,4 @@
-"""A request that came in over HTTP, and the way to answer it."""
+"""A request received over HTTP, and the methods that respond to it."""
 
 __all__ = ["EVENT_STREAM", "IncomingCall"]
 
@@ -14,60 +14,66 @@
 from sycamorefall.transport import request_reader, response_output
 
 EVENT_STREAM = "text/event-stream"
-"""Media type of an answer that is streamed token by token."""
+"""Media type of a response that is streamed token by token."""
 
 
-class Answerer(Protocol):
-    """What a call needs of its server."""
+class CallServer(Protocol):
+    """The methods of an HTTP server that its calls use."""
 
     def push(self, sock: socket.socket, data: bytes) -> None:
         """Sends bytes on a connection."""
 
-    def finish(self, call: "IncomingCall") -> None:
-        """Turns a call's connection to what comes after its answer."""
+    def finish_call(self, call: "IncomingCall") -> None:
+        """Schedules what follows a complete response on its connection."""
 
-    def break_off(self, call: "IncomingCall") -> None:
-        """Closes a call's connection after what was written to it."""
+    def abort_response(self, call: "IncomingCall") -> None:
+        """Closes a call's connection after the bytes written to it are sent."""
 
     def count_unsent(self, sock: socket.socket) -> int:
-        """Counts bytes that wait in a connection's send buffer."""
+        """Counts the bytes in a connection's send buffer."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class _Asked:
-    """What circuits.web reads of a request as it shapes the answer.
+class _RequestInfo:
+    """What circuits.web reads of a request when it formats the response's head.
 
-    Its own request parses two URLs, makes a cookie jar and asks the kernel
-    for the server's address: 49 us of processor time where this takes 2, both
-    timed alone; a whole refusal on a kept connection took about 440.
+    The request class of circuits.web parses two URLs, creates a cookie jar and
+    asks the kernel for the server's address: 49 us of processor time, compared
+    with 2 us for this class, each measured alone. A whole refusal on a kept
+    connection took about 440 us.
 
     Attributes:
         method: HTTP method.
         protocol: HTTP version, such as (1, 1).
-        server: What the answer goes out by.
-        cookie: Cookies that the answer is to set; none.
+        server: The server that sends the response.
+        cookie: Cookies that the response sets; always empty.
     """
 
     method: str
     protocol: tuple[int, int]
-    server: Answerer
+    server: CallServer
     cookie: dict[str, object] = dataclasses.field(default_factory=dict)
 
 
 class IncomingCall:
-    """A request that came in, and the way to answer it.
+    """A request received over HTTP, and the methods that respond to it.
 
     Attributes:
         method: HTTP method.
         path: Path without query.
         query: Query string, possibly empty.
         headers: Headers; `get` ignores case.
-        target: Path and query to the letter.
-        body: The whole body.
-        remote: The caller's IP number.
-        status: Status of the answer; 0 before it begins.
-        on_hangup: Called if the caller goes away before the answer is whole.
-        on_drained: Called when the caller has taken all that was written.
+        target: Path and query exactly as sent.
+        body: The complete body.
+        remote: IP address of the caller.
+        sock: Socket of the caller's connection.
+        status: Status of the response; 0 before the response begins.
+        begun: Whether the head of the response was written.
+        ended: Whether the response is complete or was aborted, or the caller
+            closed the connection.
+        on_hangup: Called if the caller closes the connection before the
+            response is complete.
+        on_drained: Called when all bytes written so far have been sent.
     """
 
     __slots__ = (
@@ -91,7 +97,7 @@
 
     def __init__(
         self,
-        server: Answerer,
+        server: CallServer,
         sock: socket.socket,
         request: request_reader.InboundRequest,
     ):
@@ -106,7 +112,7 @@
         self.remote: str = sock.getpeername()[0]
         self._head_only = request.method == "HEAD"
         self._response = wrappers.Response(
-            _Asked(request.method, request.protocol, server)
+            _RequestInfo(request.method, request.protocol, server)
         )
         self._response.close = not request.keep_alive
         self.status = 0
@@ -121,7 +127,7 @@
         body: bytes,
         headers: tuple[tuple[str, str], ...] = (),
     ) -> None:
-        """Gives the whole answer."""
+        """Sends a complete response, unless a response has begun."""
         if self.begun or self.ended:
             return
         self._response.body = body
@@ -129,7 +135,7 @@
         self.begun = True
         self.ended = True
         self._server.push(self.sock, head if self._head_only else head + body)
-        self._server.finish(self)
+        self._server.finish_call(self)
 
     def fail(
         self,
@@ -138,7 +144,7 @@
         ran: errors.Ran | None = None,
         retry_after: float | None = None,
     ) -> None:
-        """Answers with an error body."""
+        """Responds with the status and JSON body of an error."""
         headers = [("Content-Type", "application/json")]
         if retry_after is not None:
             headers.append(("Retry-After", f"{retry_after:g}"))
@@ -148,11 +154,11 @@
     def begin(
         self, status: int, headers: tuple[tuple[str, str], ...] = ()
     ) -> None:
-        """Begins an answer whose body follows piece by piece."""
+        """Sends the head of a response whose body follows piece by piece."""
         if self.begun or self.ended:
             return
-        # circuits.web takes a body that is false and no list as one whose
-        # length is open.
+        # circuits.web treats a falsy body that isn't a list as one of unknown
+        # length.
         self._response.body = ()
         self._response.stream = True
         self.begun = True
@@ -167,27 +173,27 @@
             )
 
     def end(self) -> None:
-        """Ends the answer as a whole one."""
+        """Completes a response that was begun with `begin`."""
         if not self.ended:
             self.ended = True
             if self._response.chunked:
                 self._server.push(self.sock, response_output.LAST_CHUNK)
-            self._server.finish(self)
+            self._server.finish_call(self)
 
     def abort(self) -> None:
-        """Breaks the answer off so that nobody can take it for whole."""
+        """Aborts the response, so that its caller sees it as incomplete."""
         if not self.ended:
             self.ended = True
-            self._server.break_off(self)
+            self._server.abort_response(self)
 
-    def close_after(self) -> None:
-        """Has the connection closed after the answer, if it has not begun."""
+    def close_after_response(self) -> None:
+        """Closes the connection after the response, if it has not begun yet."""
         if not self.begun:
             self._response.close = True
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes written that the caller has not taken yet."""
+        """Number of bytes that were written but not sent to the caller yet."""
         return self._server.count_unsent(self.sock)
 
     @property
--- a/sycamorefall/transport/loop.py
+++ b/sycamorefall/transport/loop.py
@@ -1,4 +1,4 @@
-"""The one event loop of a process: clock, timers and signals."""
+"""The event loop of a process: clock, timers and signals."""
 
 __all__ = ["Loop", "Ticker", "create_loop", "read_clock"]
 
@@ -13,67 +13,70 @@
 from sycamorefall.transport import poller
 
 Loop = circuits.BaseComponent
-"""Root component of a process; everything else is registered below it."""
+"""Root component of a process; all other components are registered below it."""
 
-LONGEST_UNSEEN = 0.1
-"""Seconds of input that may be unhandled when timers run: a fifth of the
-shortest time after which an upstream is given up, and twice what a pass of
-the loop takes in a process that isn't overloaded."""
+MAX_UNHANDLED_TIME = 0.1
+"""Maximum age in seconds of input that may be unhandled when timers run: a
+fifth of the shortest time after which an upstream is given up, and twice what a
+pass of the loop takes in a process that isn't overloaded."""
 
 
 def read_clock() -> float:
-    """Reads the process's clock, in seconds.
+    """Returns the time of the process's monotonic clock, in seconds.
 
-    The clock goes on while the machine is suspended: one that stands still
-    would let a VM that wakes up late take its expired leases for valid.
+    The clock runs while the machine is suspended. With a clock that stops, a VM
+    that resumes late would treat its expired leases as valid.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class _Poller(poller.ConnectionPoller):
-    """Takes the input that has come, and notes up to when it has.
+    """Reads available input and records the time up to which it was read.
 
     Attributes:
-        taken_until: All input that came before this time was passed on; by
-            the next `generate_events` it was handled.
+        input_read_until: All input that arrived before this time has been
+            passed to its handlers, which have run by the next
+            `generate_events`.
     """
 
     def __init__(self, read_clock: Callable[[], float]):
         super().__init__()
         self._read_clock = read_clock
-        self.taken_until = float("-inf")
+        self.input_read_until = float("-inf")
 
     def _generate_events(self, event) -> None:
         if event.time_left:
-            # Waits only: the clock must be read after the wait and before
-            # the input is taken, or a freeze between the two would make
-            # `taken_until` later than what was taken.
+            # Only waits. The clock must be read after the wait and before the
+            # input is read; otherwise a freeze between the two would make
+            # `input_read_until` later than the input that was read.
             self._poller.poll(event.time_left, 1)
-        self.taken_until = self._read_clock()
-        # Without a bound: epoll gives about a thousand events otherwise.
-        self.pass_on(self._poller.poll(0, max(1, len(self._map))))
+        self.input_read_until = self._read_clock()
+        # The limit covers all sockets: by default epoll returns about a
+        # thousand events at most.
+        self.dispatch_ready(self._poller.poll(0, max(1, len(self._map))))
 
 
 class Ticker(circuits.BaseComponent):
     """Calls a function whenever its next due time has come.
 
-    It sets the loop's longest sleep to that time instead of waking up at
-    fixed intervals, so an idle process costs next to nothing.
+    The ticker sets the loop's longest sleep to that time instead of waking up
+    at fixed intervals, so an idle process uses almost no processor time.
 
-    Guards against time limits that are judged without the input that came
-    before they ended. After a VM was frozen, or a pass took long, the timers
-    are due and the answers that they wait for lie in the kernel: a router
-    frozen for 0.8 s took upstreams for silent that had answered long since,
-    and sent their requests a second time. So the input that came until a
-    time is due is handled first. What comes while the loop handles that is
-    left out only if it came within the last `LONGEST_UNSEEN` seconds.
+    Guards against timeouts that are evaluated before the input that arrived in
+    time is handled. After a VM was frozen, or a pass of the loop took long, the
+    timers are due while the responses that they wait for are unread in the
+    kernel: a router frozen for 0.8 s treated upstreams as silent that had
+    responded long before, and sent their requests a second time. Therefore the
+    input that arrived before a timer was due is handled first. Input that
+    arrives while the loop does so is left unhandled only if it arrived within
+    the last `MAX_UNHANDLED_TIME` seconds.
 
-    Neither holds the timers up for more than two passes of the loop, however
+    Neither rule defers the timers for more than two passes of the loop, however
     much input there is.
 
     Attributes:
-        late: Seconds by which the pass of the loop that found something due
-            missed it. That the call is put off after that doesn't count.
+        late: Seconds between the due time and the pass of the loop that found
+            the timers due. The deferral after that pass doesn't count.
     """
 
     def __init__(
@@ -87,9 +90,9 @@
         self._run = run
         self._read_clock = read_clock
         self._poller: _Poller | None = None
-        self._planned = float("inf")
-        self._put_off = False
-        self._was_long = False
+        self._planned_at = float("inf")
+        self._is_deferred = False
+        self._was_delayed = False
         self.late = 0.0
 
     @circuits.handler("registered", channel="*")
@@ -100,33 +103,33 @@
     @circuits.handler("generate_events", priority=1)
     def _on_generate_events(self, event) -> None:
         now = self._read_clock()
-        if not self._put_off:
-            self.late = max(0.0, now - self._planned)
+        if not self._is_deferred:
+            self.late = max(0.0, now - self._planned_at)
         due = self._find_next_due()
         may_run = self._has_input_until(due, now)
-        self._put_off = due <= now and not may_run
+        self._is_deferred = due <= now and not may_run
         if may_run:
             self._run(now)
             now, due = self._read_clock(), self._find_next_due()
-        self._planned = max(now, due)
+        self._planned_at = max(now, due)
         event.reduce_time_left(max(0.0, due - now))
 
     def _has_input_until(self, due: float, now: float) -> bool:
-        """Tells whether what came until a due time was handled.
+        """Returns whether all input that arrived before a due time was handled.
 
-        A long pass puts the timers off once. If the next one is long too,
-        the process has more to do than it can, and another look would not
-        find less input that isn't handled.
+        A long pass defers the timers once. If the next pass is long too, the
+        process is overloaded, and deferring again would not leave less
+        unhandled input.
         """
-        taken_until = self._poller.taken_until
-        is_long = now - taken_until > LONGEST_UNSEEN
-        is_late = is_long and not self._was_long
-        self._was_long = is_long
-        return due <= taken_until and not is_late
+        input_read_until = self._poller.input_read_until
+        is_delayed = now - input_read_until > MAX_UNHANDLED_TIME
+        is_late = is_delayed and not self._was_delayed
+        self._was_delayed = is_delayed
+        return due <= input_read_until and not is_late
 
 
-class _SignalCatcher(circuits.BaseComponent):
-    """Turns SIGTERM and SIGINT into a call."""
+class _SignalHandler(circuits.BaseComponent):
+    """Calls a function on SIGTERM and SIGINT."""
 
     channel = "*"
 
@@ -139,17 +142,17 @@
         self._on_signal()
 
 
-def print_fault(text: str) -> None:
-    """Prints a fault's traceback; a daemon puts it into its log instead."""
+def print_traceback(text: str) -> None:
+    """Prints a traceback to stderr; a daemon logs it instead."""
     sys.stderr.write(text)
 
 
-class _FaultReporter(circuits.BaseComponent):
-    """Shows exceptions that escaped a handler.
+class _ExceptionReporter(circuits.BaseComponent):
+    """Reports exceptions that event handlers did not catch.
 
-    circuits.web takes such an exception for a failed request and shows it to
-    nobody if there is none; the process would go on with half a decision and
-    no trace of why.
+    circuits.web treats such an exception as a failed request and reports it to
+    nobody if there is no request; the process would continue in an inconsistent
+    state without a trace of the cause.
     """
 
     channel = "*"
@@ -167,21 +170,21 @@
 
 def create_loop(
     on_signal: Callable[[], None],
-    on_fault: Callable[[str], None] = print_fault,
+    on_fault: Callable[[str], None] = print_traceback,
     read_clock: Callable[[], float] = read_clock,
 ) -> Loop:
-    """Creates a process's loop.
+    """Creates a process's event loop.
 
     Args:
         on_signal: Called on SIGTERM and on SIGINT.
-        on_fault: Called with the traceback of each exception that escaped.
-        read_clock: The clock by which the loop notes what it has taken.
+        on_fault: Called with the traceback of each uncaught exception.
+        read_clock: Clock by which the loop records up to when it read input.
 
     Returns:
         The root component; its `run` method runs the process.
     """
     loop = circuits.BaseComponent()
     _Poller(read_clock).register(loop)
-    _SignalCatcher(on_signal).register(loop)
-    _FaultReporter(on_fault).register(loop)
+    _SignalHandler(on_signal).register(loop)
+    _ExceptionReporter(on_fault).register(loop)
     return loop
--- a/sycamorefall/transport/poller.py
+++ b/sycamorefall/transport/poller.py
@@ -1,12 +1,12 @@
 """Poller and listening server whose costs don't grow with connections.
 
 circuits keeps the sockets of its poller and of its TCP server in lists and
-looks through them on each event, several times for a request. Beside 3,000
-idle connections that was about 0.6 ms of the 1.5 ms of a request on a new
+searches the lists on each event, several times for a request. With 3,000 idle
+connections that took about 0.6 ms of the 1.5 ms of a request on a new
 connection (`python -m benchmarks.connections`).
 """
 
-__all__ = ["ConnectionPoller", "Members", "create_server"]
+__all__ = ["ConnectionPoller", "OrderedSet", "create_server"]
 
 from collections.abc import Callable, Hashable, Iterable, Iterator
 import select
@@ -18,11 +18,11 @@
 from sycamorefall import settings
 
 
-class Members:
-    """An ordered set with those methods of a list that circuits calls.
+class OrderedSet:
+    """An ordered set with the methods of a list that circuits calls.
 
-    A member is found and removed in the same time however many there are;
-    appending one that is there already changes nothing.
+    Looking up and removing a member takes constant time. Appending a member
+    that the set already contains changes nothing.
     """
 
     __slots__ = ("_members",)
@@ -31,14 +31,14 @@
         self._members = dict.fromkeys(members)
 
     def append(self, member: Hashable) -> None:
-        """Adds a member at the end, unless it is one."""
+        """Adds a member at the end, unless the set already contains it."""
         self._members[member] = None
 
     def remove(self, member: Hashable) -> None:
         """Removes a member.
 
         Raises:
-            ValueError: It isn't one; a list would raise the same.
+            ValueError: The set doesn't contain it; a list raises the same.
         """
         try:
             del self._members[member]
@@ -59,41 +59,47 @@
 
 
 class ConnectionPoller(pollers.EPoll):
-    """circuits' poller, at a cost that is the same for any number of sockets.
+    """Poller of circuits with a constant cost per operation.
 
-    A change of what a socket is polled for is one system call; circuits makes
-    two, and for a socket that is forgotten one that fails.
+    Changing the events for which a socket is polled takes one system call.
+    circuits makes two, and one that fails for a socket that is discarded.
     """
 
     def __init__(self):
         self._masks: dict[int | socket.socket, tuple[int, int]] = {}
-        self._takers: dict[socket.socket, Callable[[socket.socket], None]] = {}
+        self._read_callbacks: dict[
+            socket.socket, Callable[[socket.socket], None]
+        ] = {}
         super().__init__()
-        self._read = Members(self._read)
-        self._write = Members(self._write)
+        self._read = OrderedSet(self._read)
+        self._write = OrderedSet(self._write)
 
-    def take_directly(
-        self, sock: socket.socket, take: Callable[[socket.socket], None]
+    def set_read_callback(
+        self, sock: socket.socket, callback: Callable[[socket.socket], None]
     ) -> None:
-        """Has a function called when there is something to read on a socket.
+        """Sets a function to be called when a socket is readable.
 
-        In place of an event: as each piece of each stream comes in this way,
-        events were a tenth of what a piece costs.
+        The call replaces an event of circuits. Each piece of each stream
+        arrives this way, and events took a tenth of the processor time of a
+        piece.
 
         Args:
-            sock: A socket that is polled for input; until it is forgotten.
-            take: Called with the socket, in the turn in which it is polled.
+            sock: A socket that is polled for input; the callback stays set
+                until the socket is discarded.
+            callback: Called with the socket, in the pass of the loop in which
+                the socket is readable.
         """
-        self._takers[sock] = take
+        self._read_callbacks[sock] = callback
 
-    def pass_on(self, ready: Iterable[tuple[int, int]]) -> None:
-        """Passes on what a poll found.
+    def dispatch_ready(self, ready: Iterable[tuple[int, int]]) -> None:
+        """Calls the handlers of the sockets that a poll reported as ready.
 
-        Guards against a socket that another one's input closes, and whose
-        number a new socket gets: what was found is not of the new one.
+        Guards against a handler that closes another socket whose file
+        descriptor is then used by a new socket: the reported event doesn't
+        belong to the new one.
 
         Args:
-            ready: Numbers of sockets or pipes, and what can be done with each.
+            ready: File descriptors and their event masks.
         """
         found = [
             (self._map.get(number), number, mask) for number, mask in ready
@@ -101,20 +107,20 @@
         for fd, number, mask in found:
             if fd is None or self._map.get(number) is not fd:
                 continue
-            take = self._takers.get(fd)
-            if take is not None and mask & select.EPOLLIN:
-                take(fd)
+            callback = self._read_callbacks.get(fd)
+            if callback is not None and mask & select.EPOLLIN:
+                callback(fd)
                 mask &= select.EPOLLOUT
                 if not mask or self._map.get(number) is not fd:
                     continue
             self._process(number, mask)
 
     def _updateRegistration(self, fd: int | socket.socket) -> None:  # noqa: N802
-        """Tells the kernel what a socket or pipe is polled for now."""
+        """Updates the events for which the kernel polls a socket or pipe."""
         number = fd if isinstance(fd, int) else fd.fileno()
         known, mask = self._masks.get(fd, (number, 0))
         wanted = 0
-        # The kernel forgets a closed socket, whose number another may have.
+        # The kernel drops a closed socket, whose descriptor another may have.
         if number >= 0:
             wanted |= select.EPOLLIN if fd in self._read else 0
             wanted |= select.EPOLLOUT if fd in self._write else 0
@@ -135,7 +141,7 @@
     def _forget(self, fd: int | socket.socket, number: int) -> None:
         pollers.BasePoller.discard(self, fd)
         self._masks.pop(fd, None)
-        self._takers.pop(fd, None)
+        self._read_callbacks.pop(fd, None)
         if self._map.get(number) is fd:
             del self._map[number]
 
@@ -143,25 +149,25 @@
         fd = self._map.get(fileno)
         super()._process(fileno, event)
         if self._map.get(fileno) is not fd:
-            # Its connection failed, and circuits has forgotten it.
+            # The connection failed and circuits has discarded the socket.
             self._masks.pop(fd, None)
-            self._takers.pop(fd, None)
+            self._read_callbacks.pop(fd, None)
 
 
 class _Server(sockets.TCPServer):
-    """circuits' server, at a cost that is the same for any connections."""
+    """TCP server of circuits with a constant cost per connection event."""
 
     def __init__(self, pair: tuple[str, int], channel: str):
         super().__init__(pair, channel=channel)
-        self._clients = Members()
-        self._closeq = Members()
+        self._clients = OrderedSet()
+        self._closeq = OrderedSet()
 
     def _close(self, sock: socket.socket) -> None:
         """Closes a connection at once.
 
-        Guards against a leak: circuits keeps a connection that waits to be
-        closed for good if it is closed before its caller has taken all. Each
-        caller that takes nothing would leave its socket in memory.
+        Guards against a memory leak: circuits never releases a connection in
+        its close queue that is closed before its caller has received all data.
+        Each caller that receives nothing would leave its socket in memory.
         """
         super()._close(sock)
         if sock in self._closeq:
@@ -173,7 +179,7 @@
 
     Args:
         listen: Address to listen at.
-        channel: Channel of its events.
+        channel: Channel of the server's events.
 
     Raises:
         OSError: The address can't be bound.
--- a/sycamorefall/transport/request_reader.py
+++ b/sycamorefall/transport/request_reader.py
@@ -1,9 +1,9 @@
-"""Reads requests from a connection's bytes; free of I/O.
+"""Parses HTTP requests from the bytes of a connection; no I/O.
 
-h11 does the parsing. The parser of circuits.web turns written-out escapes in
-header values into the characters that they stand for, takes bytes after a
-body for a part of it, and raises on some malformed input; each of these lets
-a caller forge headers or reach another caller's answer.
+h11 does the parsing. The parser of circuits.web decodes escape sequences in
+header values, treats bytes after a body as part of it, and raises exceptions on
+some malformed input. Each of these lets a caller forge headers or receive
+another caller's response.
 """
 
 __all__ = ["InboundRequest", "RequestHeaders", "RequestReader"]
@@ -17,10 +17,10 @@
 
 
 class RequestHeaders:
-    """Headers by name, whose case does not matter.
+    """Headers by name; the case of names is ignored.
 
     Attributes:
-        pairs: Each header as it was sent, its name in lower case.
+        pairs: Each header as it was sent, with its name in lower case.
     """
 
     __slots__ = ("_values", "pairs")
@@ -42,17 +42,17 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class InboundRequest:
-    """A request that came in whole.
+    """A complete request.
 
     Attributes:
         method: HTTP method.
         path: Path as sent, without query.
         query: Query string, possibly empty.
-        headers: Its headers.
-        body: Its body.
+        headers: The headers.
+        body: The body.
         protocol: HTTP version, such as (1, 1).
         keep_alive: Whether the connection may carry another request.
-        target: Path and query to the letter, for one that is passed on.
+        target: Path and query exactly as sent, for requests that are forwarded.
     """
 
     method: str
@@ -66,32 +66,33 @@
 
 
 class RequestReader:
-    """Reads the requests of one connection, one at a time.
+    """Parses the requests of one connection, one at a time.
 
-    What follows a request in the same bytes (pipelining) waits until
-    `start_next` is called.
+    Bytes that follow a request in the same read (pipelining) are not parsed
+    until `start_next` is called.
 
     Attributes:
-        unread: Bytes fed since the current request was whole.
+        unread: Number of bytes received after the end of the current request;
+            only meaningful once that request is complete.
     """
 
     __slots__ = (
         "_body",
-        "_expecting",
+        "_may_expect_continue",
         "_head",
         "_headers",
         "_limits",
         "_parser",
-        "_size",
+        "_body_size",
         "unread",
     )
 
     def __init__(self, limits: settings.LimitSettings):
         self._limits = limits
         self.unread = 0
-        self._begin(b"")
+        self._create_parser(b"")
 
-    def _begin(self, data: bytes) -> None:
+    def _create_parser(self, data: bytes) -> None:
         self._parser = h11.Connection(
             h11.SERVER,
             max_incomplete_event_size=self._limits.max_header_bytes,
@@ -99,38 +100,42 @@
         self._head: h11.Request | None = None
         self._headers: list[tuple[bytes, bytes]] = []
         self._body: list[bytes] = []
-        self._size = 0
-        self._expecting = False
+        self._body_size = 0
+        self._may_expect_continue = False
         if data:
             self._parser.receive_data(data)
 
     def feed(self, data: bytes) -> None:
-        """Takes bytes as received."""
+        """Buffers bytes received from the connection."""
         self.unread += len(data)
         self._parser.receive_data(data)
 
     def start_next(self) -> bool:
-        """Turns to the next request; tells whether bytes of it are there."""
+        """Starts the next request; returns whether bytes of it arrived."""
         rest, _ = self._parser.trailing_data
-        self._begin(rest)
+        self._create_parser(rest)
         self.unread = len(rest)
         return bool(rest)
 
-    def take_expectation(self) -> bool:
-        """Tells, once a request, whether its caller waits for `100 Continue`.
+    def consume_expect_continue(self) -> bool:
+        """Returns, once per request, whether its caller expects `100 Continue`.
 
-        Such a caller sends its body only after it, or after a pause.
+        Such a caller sends the body only after that response, or after a pause.
         """
         waiting = self._parser.they_are_waiting_for_100_continue
-        expected, self._expecting = self._expecting and waiting, False
+        expected, self._may_expect_continue = (
+            self._may_expect_continue and waiting,
+            False,
+        )
         return expected
 
-    def take(self) -> InboundRequest | errors.ErrorKind | None:
-        """Takes the next request from what was fed.
+    def parse_request(self) -> InboundRequest | errors.ErrorKind | None:
+        """Parses the current request from the bytes that were fed.
 
         Returns:
-            The request, or the kind of its refusal, or None if it is not yet
-            whole. After a refusal the connection can't be read further.
+            The request, or the kind of error if the request is refused, or None
+            if it is not yet complete. After a refusal the connection can't be
+            read further.
         """
         try:
             return self._read_events()
@@ -145,19 +150,19 @@
             match event:
                 case h11.Request():
                     self._head = event
-                    # h11 makes each pair anew whenever they are gone through:
-                    # once costs 3 us for eight headers, three times 8.
+                    # h11 creates each pair anew on every iteration: for eight
+                    # headers one iteration takes 3 us, three take 8 us.
                     self._headers = list(event.headers)
-                    self._expecting = True
+                    self._may_expect_continue = True
                     if refusal := self._check_headers():
                         return refusal
                 case h11.Data():
-                    self._size += len(event.data)
+                    self._body_size += len(event.data)
                     self._body.append(bytes(event.data))
-                    if self._size > self._limits.max_body_bytes:
+                    if self._body_size > self._limits.max_body_bytes:
                         return errors.ErrorKind.BODY_TOO_LARGE
                 case h11.EndOfMessage():
-                    return self._finish()
+                    return self._create_request()
                 case h11.ConnectionClosed():
                     return None
                 case _:
@@ -166,15 +171,16 @@
     def _check_headers(self) -> errors.ErrorKind | None:
         names = [name for name, _ in self._headers]
         lengths = [v for name, v in self._headers if name == b"content-length"]
-        # With both, a proxy in front could see other bounds of the request
-        # than this process, and one caller's bytes become another's request.
+        # If both were accepted, a proxy in front could see other bounds of the
+        # request than this process, and one caller's bytes would become
+        # another's request.
         if lengths and b"transfer-encoding" in names:
             return errors.ErrorKind.MALFORMED_REQUEST
         if lengths and int(lengths[0]) > self._limits.max_body_bytes:
             return errors.ErrorKind.BODY_TOO_LARGE
         return None
 
-    def _finish(self) -> InboundRequest | errors.ErrorKind:
+    def _create_request(self) -> InboundRequest | errors.ErrorKind:
         head = self._head
         try:
             target = urllib.parse.urlsplit(head.target.decode("ascii"))
--- a/sycamorefall/transport/request_writer.py
+++ b/sycamorefall/transport/request_writer.py
@@ -1,11 +1,11 @@
-"""Writes requests to upstreams and to the platform; free of I/O."""
+"""Formats requests to upstreams and to the platform; no I/O."""
 
 __all__ = ["format_request"]
 
 from collections.abc import Iterable
 
 BODILESS_METHODS = frozenset({"GET", "HEAD", "DELETE"})
-"""Methods whose requests carry no length if they have no body."""
+"""Methods whose requests have no `Content-Length` if their body is empty."""
 
 
 def format_request(
@@ -15,21 +15,23 @@
     headers: Iterable[tuple[str, str]],
     body: bytes,
 ) -> bytes:
-    r"""Writes a request.
+    r"""Formats a request as bytes.
 
-    h11 checks each header by itself, at a tenth of what a short request costs
-    here; those of a caller's request it has checked as they came in.
+    The headers are checked together. h11 checks each one separately, which took
+    a tenth of the time of a short request; headers of a caller's request were
+    checked by h11 when they were received.
 
     Args:
         method: HTTP method.
         target: Path and query.
-        host: Host header.
-        headers: All others but those of its length.
+        host: `Host` header.
+        headers: All headers except `Host` and `Content-Length`.
         body: The body.
 
     Raises:
-        ValueError: A part of it holds a line break or a NUL. Written out, it
-            would forge a header, or another request.
+        ValueError: A part of the request contains a line break or NUL, which
+            would forge a header or another request, or the target contains a
+            space.
 
     Example:
         >>> format_request("POST", "/a", "b:80", [("X", "y")], b"z")
--- a/sycamorefall/transport/response_output.py
+++ b/sycamorefall/transport/response_output.py
@@ -1,9 +1,10 @@
-"""Bytes of answers on their way out of circuits' TCP server.
+"""Output of response bytes through the TCP server of circuits.
 
-circuits takes a piece of a streamed answer through six events (`stream`, two
-that report on it, `write`, `_write`, and the poller's), which is most of what
-a token costs. A piece goes straight to its socket here; what the socket does
-not take waits in circuits' own buffer, and the loop's poller sends it.
+circuits handles a piece of a streamed response with six events (`stream`, two
+that report on it, `write`, `_write`, and the poller's), which take most of the
+processor time of a token. This module sends a piece directly on its socket.
+Bytes that the socket does not take go to the send buffer of circuits, from
+which the loop's poller sends them.
 """
 
 __all__ = ["count_unsent", "frame_chunk", "frame_refusal", "push_bytes"]
@@ -16,11 +17,11 @@
 from sycamorefall import errors
 
 LAST_CHUNK = b"0\r\n\r\n"
-"""Ends an answer in chunks."""
+"""Ends a chunked response."""
 
 
 def frame_chunk(data: bytes) -> bytes:
-    r"""Frames a piece of a body that is sent in chunks.
+    r"""Frames a piece of a chunked body.
 
     Example:
         >>> frame_chunk(b"data: 1")
@@ -29,18 +30,23 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def frame_refusal(kind: errors.ErrorKind, pause: float | None = None) -> bytes:
-    """Frames the answer to a request that wasn't read whole.
+def frame_refusal(
+    kind: errors.ErrorKind, retry_after: float | None = None
+) -> bytes:
+    """Formats the error response to a request that was not read completely.
 
     Args:
-        kind: Why it is refused.
-        pause: Seconds after which its caller is to come back, if that helps.
+        kind: Why the request is refused.
+        retry_after: Seconds after which the caller should retry; None if a
+            retry would not help.
     """
     body = msgspec.json.encode(errors.create_error_body(kind))
-    again = "" if pause is None else f"Retry-After: {pause:g}\r\n"
+    retry_header = (
+        "" if retry_after is None else f"Retry-After: {retry_after:g}\r\n"
+    )
     head = (
         f"HTTP/1.1 {errors.ANSWERS[kind].status} Refused\r\n"
-        f"Content-Type: application/json\r\n{again}"
+        f"Content-Type: application/json\r\n{retry_header}"
         f"Content-Length: {len(body)}\r\n"
         "Connection: close\r\n\r\n"
     )
@@ -50,16 +56,16 @@
 def push_bytes(
     server: sockets.TCPServer, sock: socket.socket, data: bytes
 ) -> None:
-    """Sends bytes on a connection, after all that was written to it before.
+    """Sends bytes on a connection, after all bytes written to it before.
 
     Args:
         server: The server that accepted the connection.
         sock: The connection; if it is closed, the bytes are dropped.
-        data: What is to be sent.
+        data: The bytes to send.
     """
     if sock.fileno() < 0:
         return
-    # Sent past waiting bytes, these would overtake them.
+    # Sent directly, the data would overtake bytes in the send buffer.
     if server._buffers.get(sock):
         server.write(sock, data)
         return
@@ -75,5 +81,5 @@
 
 
 def count_unsent(server: sockets.TCPServer, sock: socket.socket) -> int:
-    """Counts the bytes that wait in a connection's buffer."""
+    """Counts the bytes in a connection's send buffer."""
     return sum(map(len, server._buffers.get(sock, ())))
--- a/sycamorefall/transport/response_reader.py
+++ b/sycamorefall/transport/response_reader.py
@@ -1,56 +1,58 @@
-"""Reads answers from a connection's bytes; free of I/O.
+"""Parses HTTP responses from the bytes of a connection; no I/O.
 
-llhttp does the parsing (by httptools). Of an answer in fifty pieces h11 took
-448 us of processor time where it takes 10, a fifth of all that a router did.
+llhttp (through httptools) does the parsing. For a response in fifty pieces it
+takes 10 us of processor time; h11 took 448 us, a fifth of all that a router
+used.
 """
 
-__all__ = ["END", "AnswerEvent", "AnswerHead", "AnswerReader", "End"]
+__all__ = ["END", "End", "ResponseEvent", "ResponseHead", "ResponseReader"]
 
 import dataclasses
 import enum
 
 import httptools
 
-LARGEST_HEAD = 1 << 16
-"""Bytes of an answer's head that are taken at most."""
+MAX_HEAD_BYTES = 1 << 16
+"""Maximum size of a response's status line and headers, in bytes."""
 
-_FINAL = 200
-"""Statuses below this one come ahead of the answer proper."""
+_FIRST_FINAL_STATUS = 200
+"""Lower statuses belong to interim responses, which precede the final one."""
 
 
 class End(enum.Enum):
-    """An answer's end."""
+    """Marks the end of a response in a list of events."""
 
     WHOLE = "whole"
 
 
 END = End.WHOLE
-"""An answer is whole."""
+"""The event that ends a complete response."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class AnswerHead:
-    """An answer's status and headers, names in lower case."""
+class ResponseHead:
+    """A response's status and headers; header names are in lower case."""
 
     status: int
     headers: list[tuple[str, str]]
 
 
-AnswerEvent = AnswerHead | bytes | End
-"""A head, a piece of a body, or the answer's end."""
+ResponseEvent = ResponseHead | bytes | End
+"""The head of a response, a piece of its body, or its end."""
 
 
-class AnswerReader:
-    """Reads the answers that come on a connection after a request.
+class ResponseReader:
+    """Parses the responses that arrive on a connection after a request.
 
-    There may be more than one: an upstream may send a second answer to an
-    earlier request where the next one is expected.
+    More than one may arrive: an upstream may send a second response to an
+    earlier request before the response to the current one.
 
     Attributes:
         keep_alive: Whether the connection may carry another request after the
-            last answer.
-        is_between: Whether all that came were whole answers.
-        is_broken: Whether something came that can't be read.
+            last response.
+        is_between: Whether the bytes received so far end with a complete
+            response, or no bytes were received.
+        is_broken: Whether bytes were received that can't be parsed.
     """
 
     __slots__ = (
@@ -70,12 +72,12 @@
         """Creates a reader.
 
         Args:
-            is_bodiless: Whether answers have no body, whatever their headers
-                say: those to HEAD.
+            is_bodiless: Whether responses have no body, whatever their headers
+                say, as is true of responses to HEAD.
         """
         self._parser = httptools.HttpResponseParser(self)
         self._is_bodiless = is_bodiless
-        self._events: list[AnswerEvent] = []
+        self._events: list[ResponseEvent] = []
         self._headers: list[tuple[str, str]] = []
         self._head_size = 0
         self._is_in_head = False
@@ -84,11 +86,12 @@
         self.is_between = True
         self.is_broken = False
 
-    def feed(self, data: bytes) -> list[AnswerEvent]:
-        """Takes bytes as received.
+    def feed(self, data: bytes) -> list[ResponseEvent]:
+        """Parses bytes received from the connection.
 
         Returns:
-            What they tell, up to the first byte that can't be read.
+            The events parsed from the bytes, up to the first byte that can't be
+            parsed.
         """
         self._events = []
         try:
@@ -96,17 +99,21 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.is_broken, self.is_between = True, False
         if self._is_in_head:
-            # Guards against a head without end: the parser keeps what came.
+            # Guards against a head that never ends: the parser buffers all of
+            # it.
             self._head_size += len(data)
-            self.is_broken |= self._head_size > LARGEST_HEAD
+            self.is_broken |= self._head_size > MAX_HEAD_BYTES
         return self._events
 
-    def finish(self) -> bool:
-        """Tells whether the end of the connection makes the answer whole."""
+    def completes_at_close(self) -> bool:
+        """Returns whether closing the connection now completes the response.
+
+        This is true of a response without a length, once its head was received.
+        """
         return self._until_close
 
     def on_message_begin(self) -> None:
-        """Called by the parser as an answer begins."""
+        """Called by the parser when a response begins."""
         self._headers = []
         self._head_size = 0
         self._is_in_head = True
@@ -118,17 +125,17 @@
         self._headers.append(pair)
 
     def on_headers_complete(self) -> None:
-        """Called by the parser once a head is whole."""
+        """Called by the parser when all headers of a response were parsed."""
         self._is_in_head = False
         status = self._parser.get_status_code()
-        if status < _FINAL:
+        if status < _FIRST_FINAL_STATUS:
             return
         named = dict(self._headers)
         coding = named.get("transfer-encoding")
         if coding is not None and coding.lower() != "chunked":
-            raise ValueError(f"transfer encoding {coding}")
+            raise ValueError(f"unsupported transfer encoding: {coding}")
         self._until_close = coding is None and "content-length" not in named
-        self._events.append(AnswerHead(status, self._headers))
+        self._events.append(ResponseHead(status, self._headers))
         if self._is_bodiless:
             self._events.append(END)
 
@@ -138,10 +145,10 @@
             self._events.append(data)
 
     def on_message_complete(self) -> None:
-        """Called by the parser at the end of an answer."""
+        """Called by the parser at the end of a response."""
         self.is_between = True
         self._until_close = False
-        if self._parser.get_status_code() < _FINAL:
+        if self._parser.get_status_code() < _FIRST_FINAL_STATUS:
             return
         self.keep_alive = self._parser.should_keep_alive()
         if not self._is_bodiless:
--- a/sycamorefall/transport/server.py
+++ b/sycamorefall/transport/server.py
@@ -1,7 +1,7 @@
-"""HTTP server of a process: bounded, answering later.
+"""HTTP server of a process, with limits on connections, sizes and times.
 
-h11 reads the requests, circuits.web shapes the answers; an answer is given
-whenever it is known, whole or piece by piece.
+h11 parses the requests and circuits.web formats the responses. A request may be
+responded to at any later time, at once or piece by piece.
 """
 
 __all__ = ["HttpServer"]
@@ -24,34 +24,43 @@
 from sycamorefall.transport import incoming_call as incoming_call_module
 from sycamorefall.transport import shedding as shedding_module
 
-DRAIN_LIMIT = 1 << 24
-"""Bytes of a refused request that are read and thrown away."""
+MAX_DRAINED_BYTES = 1 << 24
+"""Maximum number of bytes of a refused request that are read and discarded."""
 
 READ_SIZE = 1 << 16
-"""Bytes read from a connection at once."""
+"""Maximum number of bytes read from a connection at once."""
 
-ACCEPTS_AT_ONCE = 64
-"""Connections taken before other events of the loop get their turn."""
+MAX_ACCEPTS_PER_EVENT = 64
+"""Maximum number of connections accepted before the loop handles other
+events."""
 
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class _resume(circuits.Event):  # noqa: N801 (circuits' own convention)
-    """Turns a connection to its next request."""
+    """Starts the next request of a connection."""
 
 
 class _Connection:
     """A caller's connection.
 
     Attributes:
-        reader: Reads its requests.
+        reader: Parser of its requests.
         call: The request in progress, if there is one.
-        refused: Whether its last request was refused: no more is read.
-        drained: Bytes thrown away since.
-        written: Whether nothing more is written to it.
+        refused: Whether no further request is accepted, as after a refusal;
+            bytes that are read are discarded.
+        drained: Number of bytes discarded since.
+        written: Whether the sending side is shut down when all bytes
+            were sent.
     """
 
-    __slots__ = ("call", "drained", "reader", "refused", "written")
+    __slots__ = (
+        "call",
+        "drained",
+        "reader",
+        "refused",
+        "written",
+    )
 
     def __init__(self, limits: settings.LimitSettings):
         self.reader = request_reader.RequestReader(limits)
@@ -62,23 +71,24 @@
 
 
 class HttpServer(circuits.BaseComponent):
-    """Listens for HTTP and hands each request to a function.
+    """Listens for HTTP requests and passes each to a function.
 
-    Connections are read here, not by circuits' server: it passes bytes on as
-    an event of its own, and between the two they are neither in the kernel nor
-    with the connection. Before the server closes a connection of its own
-    accord or judges a time limit, it reads what has arrived.
+    Connections are read here, not by the server of circuits, which passes bytes
+    on as a separate event; until that event is handled, they are neither in the
+    kernel nor in the connection's state. Before the server closes a connection
+    on its own initiative or enforces a time limit, it reads what has arrived.
 
     Guards against callers that send slowly or not at all, and against those
-    that never take their answer: each would hold a connection for ever, and
-    enough of them would keep all others out. A request has a time limit from
-    its first byte, a connection without a request one, and so has one that
-    is being closed.
+    that never receive their response: each would hold a connection forever, and
+    enough of them would exhaust the connection limit. Time limits apply to a
+    request from its first byte, to a connection without a request, and to a
+    connection that is being closed.
 
     Attributes:
-        stopping: Whether connections close after their next answer.
-        last_request_at: When the last request was taken.
-        shed: Requests refused unread.
+        stopping: Whether connections close after their next response.
+        last_request_at: Time at which the last request was read or refused
+            unread.
+        shed: Number of requests refused unread.
     """
 
     channel = "web"
@@ -100,11 +110,11 @@
 
         Args:
             listen: Address to listen at.
-            limits: Bounds on sizes, times and connections.
+            limits: Limits on sizes, times and connections.
             on_call: Called with each request.
-            channel: Channel of its events, one for each server.
-            read_clock: The clock of the time limits.
-            on_dropped: Called with each request that is not begun, as its
+            channel: Channel of the server's events, different for each server.
+            read_clock: Clock of the time limits.
+            on_dropped: Called with each request that is not started because its
                 caller has left.
             shedding: When requests are refused unread; None for never.
 
@@ -122,10 +132,10 @@
         self._connections: dict[socket.socket, _Connection] = {}
         self.stopping = False
         self.last_request_at = float("-inf")
-        self._listened_at: tuple[str, int] | None = None
-        self._reading = deadlines.Deadlines(limits.header_timeout)
-        self._idle = deadlines.Deadlines(limits.idle_timeout)
-        self._closing = deadlines.Deadlines(limits.header_timeout)
+        self._listening_address: tuple[str, int] | None = None
+        self._request_timeouts = deadlines.Deadlines(limits.header_timeout)
+        self._idle_timeouts = deadlines.Deadlines(limits.idle_timeout)
+        self._closing_timeouts = deadlines.Deadlines(limits.header_timeout)
         try:
             self.server = poller.create_server(listen, channel)
         except OSError as fault:
@@ -134,35 +144,47 @@
 
     @property
     def host(self) -> str | None:
-        """IP number listened at, also after listening has ended."""
-        return self._listened_at[0] if self._listened_at else self.server.host
+        """IP address listened at, also after listening has ended."""
+        return (
+            self._listening_address[0]
+            if self._listening_address
+            else self.server.host
+        )
 
     @property
     def port(self) -> int | None:
         """Port listened at, also after listening has ended."""
-        return self._listened_at[1] if self._listened_at else self.server.port
+        return (
+            self._listening_address[1]
+            if self._listening_address
+            else self.server.port
+        )
 
     @property
     def listening(self) -> bool:
-        """Whether new connections are taken."""
+        """Whether new connections are accepted."""
         return self.server._sock is not None
 
     def find_next_due(self) -> float:
-        """Tells when a time limit ends next."""
-        limits = (self._reading, self._idle, self._closing)
-        return min(limit.find_next() for limit in limits)
+        """Returns when the next time limit expires."""
+        limits = (
+            self._request_timeouts,
+            self._idle_timeouts,
+            self._closing_timeouts,
+        )
+        return min(limit.get_next_expiry() for limit in limits)
 
     def expire(self, now: float) -> None:
-        """Refuses or closes the connections whose time limit is over."""
-        for sock in self._reading.pop_expired(now):
-            self._read_arrived(sock)
-            if self._is_waiting(sock):
+        """Refuses or closes the connections whose time limit has expired."""
+        for sock in self._request_timeouts.pop_expired(now):
+            self._read_available(sock)
+            if self._awaits_request(sock):
                 self._refuse(sock, errors.ErrorKind.REQUEST_TIMEOUT)
-        for sock in self._idle.pop_expired(now):
+        for sock in self._idle_timeouts.pop_expired(now):
             self._close_idle(sock)
-        for sock in self._closing.pop_expired(now):
-            # Not by a `close` event: it waits for the caller to take what is
-            # still unsent, which is what this caller doesn't do.
+        for sock in self._closing_timeouts.pop_expired(now):
+            # A `close` event would wait until the unsent bytes are sent, but
+            # this caller receives nothing.
             self._close(sock)
 
     def push(self, sock: socket.socket, data: bytes) -> None:
@@ -170,25 +192,27 @@
         response_output.push_bytes(self.server, sock, data)
 
     def announce_stop(self) -> None:
-        """Closes each connection after its next answer.
+        """Makes each connection close after its next response.
 
-        Callers that hold idle ones may still send a request on them, until
-        `begin_stop`.
+        Idle connections stay open, and callers may still send a request on
+        them, until `begin_stop`.
         """
         self.stopping = True
 
     def begin_stop(self) -> None:
-        """Closes idle connections, and all others after their answer.
+        """Closes idle connections, and all others after their response.
 
-        What has not been sent whole yet is still taken and answered; a
-        caller that still takes its answer isn't idle.
+        A request that was not received completely is still read and responded
+        to. A connection with an unsent response isn't idle.
         """
         self.stopping = True
         closed = unread = 0
         for sock, connection in list(self._connections.items()):
             if connection.call is not None:
-                connection.call.close_after()
-            elif self._idle.has(sock) and not self.count_unsent(sock):
+                connection.call.close_after_response()
+            elif self._idle_timeouts.is_running(sock) and not self.count_unsent(
+                sock
+            ):
                 self._close_idle(sock)
                 closed += sock not in self._connections
                 unread += sock in self._connections
@@ -202,27 +226,28 @@
             )
 
     def read_pending_input(self) -> None:
-        """Takes all connections and requests that have arrived.
+        """Accepts all pending connections and reads all input that has arrived.
 
-        Whoever asks when the last request came calls this first: the loop
-        may be late.
+        The loop may be late, so `last_request_at` is up to date only after this
+        call.
         """
-        while self.listening and self._accept_some():
+        while self.listening and self._accept_pending():
             pass
         for sock in list(self._connections):
-            self._read_arrived(sock)
+            self._read_available(sock)
 
     def end_listening(self) -> None:
-        """Takes no more connections, but for those already made.
+        """Stops listening after accepting the connections already established.
 
-        Guards against callers whose connection the kernel has made and
-        nobody accepted: they would be reset with their request under way.
+        Guards against callers whose connections the kernel has made but the
+        server has not accepted: these would be reset with their requests in
+        transit.
         """
         listening = self.server._sock
         if listening is None:
             return
-        taken = sum(iter(self._accept_some, 0))
-        self._listened_at = (self.server.host, self.server.port)
+        taken = sum(iter(self._accept_pending, 0))
+        self._listening_address = (self.server.host, self.server.port)
         self.server._poller.discard(listening)
         self.server._sock = None
         listening.close()
@@ -233,85 +258,89 @@
     @circuits.handler("_read", priority=2)
     def _on_readable(self, event, sock) -> None:
         event.stop()
-        shedding_module.note_time(self._turn, self._read_clock())
+        shedding_module.record_time(self._turn, self._read_clock())
         if sock is self.server._sock:
-            self._accept_some()
+            self._accept_pending()
         elif sock in self._connections:
             self._read_once(sock)
 
-    def _accept_some(self) -> int:
-        """Takes connections that the kernel has made; returns how many.
+    def _accept_pending(self) -> int:
+        """Accepts connections that the kernel has made; returns their number.
 
-        circuits takes one in each turn of the loop. With a crowd of callers
-        at a small VM, the rest waited in the kernel until their deadlines.
+        circuits accepts one in each pass of the loop. When many callers
+        connected to a small VM, the others waited in the kernel until their
+        deadlines.
         """
-        for taken in range(ACCEPTS_AT_ONCE):
+        for accepted in range(MAX_ACCEPTS_PER_EVENT):
             try:
                 sock, _ = self.server._sock.accept()
             except OSError:
-                return taken
-            self._take_connection(sock)
-        return ACCEPTS_AT_ONCE
+                return accepted
+            self._add_connection(sock)
+        return MAX_ACCEPTS_PER_EVENT
 
-    def _take_connection(self, sock: socket.socket) -> None:
-        if not self._make_room():
+    def _add_connection(self, sock: socket.socket) -> None:
+        if not self._ensure_capacity():
             sock.close()
             return
         self.server._on_accept_done(sock, fire_connect_event=False)
         self._connections[sock] = _Connection(self._limits)
-        self._idle.start(sock, self._read_clock())
+        self._idle_timeouts.start(sock, self._read_clock())
 
-    def _make_room(self) -> bool:
-        """Closes connections that have been idle longest, if there is no room.
+    def _ensure_capacity(self) -> bool:
+        """Closes the longest idle connections while the server is at its limit.
 
-        Those whose answer is on its way come last.
+        Connections with an unsent response are closed last.
 
         Returns:
-            Whether there is room for another one.
+            Whether another connection can be accepted.
         """
         while len(self._connections) >= self._limits.max_connections:
-            sent = (one for one in self._idle if not self.count_unsent(one))
-            spare = next(sent, self._idle.find_first())
-            if spare is None:
+            sent = (
+                one for one in self._idle_timeouts if not self.count_unsent(one)
+            )
+            candidate = next(sent, self._idle_timeouts.get_first())
+            if candidate is None:
                 return False
-            self._close_idle(spare)
+            self._close_idle(candidate)
         return True
 
     def is_drained(self) -> bool:
-        """Tells whether no request and no answer is under way."""
+        """Returns whether no request and no response is in progress."""
         return not any(
             connection.call is not None
-            or self._reading.has(sock)
+            or self._request_timeouts.is_running(sock)
             or self.count_unsent(sock)
             or (not connection.refused and socket_peek.has_unread(sock))
             for sock, connection in self._connections.items()
         )
 
-    def finish(self, call: incoming_call_module.IncomingCall) -> None:
-        """Turns a call's connection to what comes after its answer."""
+    def finish_call(self, call: incoming_call_module.IncomingCall) -> None:
+        """Schedules what follows a complete response on its connection."""
         connection = self._connections.get(call.sock)
         if connection is not None and connection.call is call:
-            # By an event: one packet may hold very many small requests, and
-            # each would be handled inside the last one's answer.
+            # An event avoids recursion: one packet may hold very many small
+            # requests, and each would be handled inside the response to the one
+            # before.
             self.fire(_resume(call), self.channel)
 
-    def break_off(self, call: incoming_call_module.IncomingCall) -> None:
-        """Closes a call's connection after what was written to it."""
+    def abort_response(self, call: incoming_call_module.IncomingCall) -> None:
+        """Closes a call's connection after the bytes written to it are sent."""
         connection = self._connections.get(call.sock)
         if connection is not None:
             connection.call = None
             connection.refused = True
-            self._close_gently(call.sock)
+            self._close_after_sending(call.sock)
 
     def count_unsent(self, sock: socket.socket) -> int:
-        """Counts bytes that wait in a connection's send buffer."""
+        """Counts the bytes in a connection's send buffer."""
         return response_output.count_unsent(self.server, sock)
 
     def _read_once(self, sock: socket.socket) -> bool:
-        """Reads what has arrived on a connection, up to `READ_SIZE` bytes.
+        """Reads up to `READ_SIZE` bytes that have arrived on a connection.
 
         Returns:
-            Whether there was anything, and more may follow.
+            Whether bytes were read, so that more may follow.
         """
         try:
             data = sock.recv(READ_SIZE)
@@ -321,41 +350,43 @@
             self._close(sock)
             return False
         if data:
-            self._take_bytes(sock, data)
+            self._handle_bytes(sock, data)
         else:
-            self._take_end(sock)
+            self._handle_end_of_input(sock)
         return bool(data)
 
-    def _take_end(self, sock: socket.socket) -> None:
-        """Takes note that a caller has closed its side.
+    def _handle_end_of_input(self, sock: socket.socket) -> None:
+        """Handles that a caller has closed its side of the connection.
 
-        It has left, unless its whole answer is on the way. The end stays
-        readable: without a stop to reading, the loop would turn for nothing.
+        The caller has left, unless its complete response is still being sent.
+        The socket stays readable after the end of input: unless polling for
+        input stops, the loop would run without pause.
         """
         connection = self._connections[sock]
-        is_whole = connection.call is None or connection.call.ended
-        if not is_whole or not self.count_unsent(sock):
+        is_complete = connection.call is None or connection.call.ended
+        if not is_complete or not self.count_unsent(sock):
             self._close(sock)
             return
         connection.call = None
         connection.refused = True
-        self._idle.stop(sock)
-        self._closing.start(sock, self._read_clock())
+        self._idle_timeouts.stop(sock)
+        self._closing_timeouts.start(sock, self._read_clock())
         self.server._poller.removeReader(sock)
         self.server.close(sock)
 
-    def _read_arrived(self, sock: socket.socket) -> None:
-        """Reads all that has arrived, before a connection is judged.
+    def _read_available(self, sock: socket.socket) -> None:
+        """Reads all input of a connection before it is closed or timed out.
 
         Guards against a loop that is late, or a VM that was frozen: requests
-        lie in the kernel, and a connection looks idle or slow that isn't. It
-        showed as connections closed with a whole request on them.
+        are unread in the kernel, and the connection looks idle or slow but
+        isn't. This caused connections to be closed with a complete request on
+        them.
         """
-        while self._is_waiting(sock) and self._read_once(sock):
+        while self._awaits_request(sock) and self._read_once(sock):
             pass
 
-    def _is_waiting(self, sock: socket.socket) -> bool:
-        """Tells whether a connection is open and no request on it is whole."""
+    def _awaits_request(self, sock: socket.socket) -> bool:
+        """Returns whether a connection is open and has no complete request."""
         connection = self._connections.get(sock)
         return (
             connection is not None
@@ -365,9 +396,11 @@
 
     def _close_idle(self, sock: socket.socket) -> None:
         """Closes an idle connection, unless bytes of a request have arrived."""
-        self._idle.stop(sock)
-        self._read_arrived(sock)
-        if self._is_waiting(sock) and not self._reading.has(sock):
+        self._idle_timeouts.stop(sock)
+        self._read_available(sock)
+        if self._awaits_request(sock) and not self._request_timeouts.is_running(
+            sock
+        ):
             self._close(sock)
 
     def _close(self, sock: socket.socket) -> None:
@@ -375,56 +408,62 @@
         self.server._close(sock)
         self._forget(sock)
 
-    def _take_bytes(self, sock: socket.socket, data: bytes) -> None:
+    def _handle_bytes(self, sock: socket.socket, data: bytes) -> None:
         connection = self._connections[sock]
         if connection.refused:
             connection.drained += len(data)
-            if connection.drained > DRAIN_LIMIT:
+            if connection.drained > MAX_DRAINED_BYTES:
                 self._close(sock)
             return
-        is_new = connection.call is None and not self._reading.has(sock)
-        if is_new and shedding_module.is_behind(self._shedding, self._turn):
-            self._shed(sock)
+        is_new = (
+            connection.call is None
+            and not self._request_timeouts.is_running(sock)
+        )
+        if is_new and shedding_module.should_shed(self._shedding, self._turn):
+            self._shed_request(sock)
             return
-        if is_new and self._drop_unread(sock):
+        if is_new and self._drop_if_hung_up(sock):
             return
         connection.reader.feed(data)
-        most = self._limits.max_header_bytes + self._limits.max_body_bytes
+        max_bytes = self._limits.max_header_bytes + self._limits.max_body_bytes
         if connection.call is None:
-            self._take_request(sock, connection)
-        elif connection.reader.unread > most:
+            self._handle_request(sock, connection)
+        elif connection.reader.unread > max_bytes:
             self._close(sock)
 
     @circuits.handler("generate_events", channel="*", priority=2)
     def _on_turn(self, event) -> None:
-        if self._turn.left > 1:
+        if self._turn.hung_up_count > 1:
             observation.write_record(
                 observation.Level.WARNING,
                 "connections.left",
-                left=self._turn.left,
+                left=self._turn.hung_up_count,
             )
         self._turn = shedding_module.Turn()
 
-    def _drop_unread(self, sock: socket.socket) -> bool:
-        """Closes a connection whose caller has left, without parsing.
+    def _drop_if_hung_up(self, sock: socket.socket) -> bool:
+        """Closes a connection without parsing if its caller has left.
 
-        Guards against a queue of callers that have left: a VM that fell
-        behind parsed each of their requests before it found that out, and was
-        late for the next ones too. The first one of a turn is parsed, so that
-        the log has its id.
+        Guards against a queue of requests whose callers have left: a VM that
+        fell behind parsed each of them before it detected that its caller had
+        left, and was then late for the next ones too. The first such request of
+        a turn is parsed, so that its id is logged.
+
+        Returns:
+            Whether the connection was closed.
         """
         if not socket_peek.has_hung_up(sock):
             return False
-        self._turn.left += 1
-        if self._turn.left == 1:
+        self._turn.hung_up_count += 1
+        if self._turn.hung_up_count == 1:
             return False
         self._close(sock)
         return True
 
-    def _shed(self, sock: socket.socket) -> None:
+    def _shed_request(self, sock: socket.socket) -> None:
         self.shed += 1
         self.last_request_at = self._read_clock()
-        self._idle.stop(sock)
+        self._idle_timeouts.stop(sock)
         observation.write_rate_limited(
             observation.Level.WARNING,
             "requests.shed",
@@ -432,24 +471,24 @@
             open=len(self._connections),
         )
         kind = errors.ErrorKind.OVERLOADED
-        self._refuse(sock, kind, self._shedding.pause)
+        self._refuse(sock, kind, self._shedding.retry_after)
 
-    def _take_request(
+    def _handle_request(
         self, sock: socket.socket, connection: _Connection
     ) -> None:
-        self._idle.stop(sock)
-        taken = connection.reader.take()
-        if isinstance(taken, errors.ErrorKind):
-            self._refuse(sock, taken)
-        elif taken is None:
-            self._reading.start(sock, self._read_clock())
-            if connection.reader.take_expectation():
+        self._idle_timeouts.stop(sock)
+        parsed = connection.reader.parse_request()
+        if isinstance(parsed, errors.ErrorKind):
+            self._refuse(sock, parsed)
+        elif parsed is None:
+            self._request_timeouts.start(sock, self._read_clock())
+            if connection.reader.consume_expect_continue():
                 self.push(sock, _CONTINUE)
         else:
-            self._reading.stop(sock)
-            self._begin_call(sock, connection, taken)
+            self._request_timeouts.stop(sock)
+            self._start_call(sock, connection, parsed)
 
-    def _begin_call(
+    def _start_call(
         self,
         sock: socket.socket,
         connection: _Connection,
@@ -458,7 +497,7 @@
         try:
             call = incoming_call_module.IncomingCall(self, sock, request)
         except OSError:
-            self._close(sock)  # The caller has gone.
+            self._close(sock)  # The caller closed the connection.
             return
         if socket_peek.has_hung_up(sock):
             if self._on_dropped is not None:
@@ -468,12 +507,12 @@
         connection.call = call
         self.last_request_at = self._read_clock()
         if self.stopping:
-            call.close_after()
+            call.close_after_response()
         try:
             self._on_call(call)
         except Exception:
-            # The fault is reported by the loop; the caller must not wait for
-            # an answer that nobody will give.
+            # The loop reports the exception; the caller must not wait for a
+            # response that will never come.
             call.fail(errors.ErrorKind.INTERNAL)
             raise
 
@@ -484,21 +523,22 @@
             return
         connection.call = None
         now = self._read_clock()
-        # A caller whose answer began before the stop wasn't told that its
-        # connection closes, and may be sending its next request.
+        # A caller whose response began before the stop wasn't told that its
+        # connection closes, and may be sending its next request. A connection
+        # that may be kept alive therefore stays open here.
         if not call.keep_alive:
             connection.refused = True
-            self._close_gently(call.sock)
+            self._close_after_sending(call.sock)
         elif connection.reader.start_next():
-            self._take_request(call.sock, connection)
+            self._handle_request(call.sock, connection)
         else:
-            self._idle.start(call.sock, now)
+            self._idle_timeouts.start(call.sock, now)
 
-    def _close_gently(self, sock: socket.socket) -> None:
-        """Closes a connection once all that was written to it is taken."""
-        self._closing.start(sock, self._read_clock())
-        # Closed over unread bytes, it would be reset, and what of the answer
-        # is still on its way lost.
+    def _close_after_sending(self, sock: socket.socket) -> None:
+        """Closes a connection after all bytes written to it are sent."""
+        self._closing_timeouts.start(sock, self._read_clock())
+        # Closing with unread input would reset the connection, and response
+        # bytes in transit would be lost.
         while sock in self._connections and self._read_once(sock):
             pass
         if sock in self._connections:
@@ -508,17 +548,17 @@
         self,
         sock: socket.socket,
         kind: errors.ErrorKind,
-        pause: float | None = None,
+        retry_after: float | None = None,
     ) -> None:
-        """Answers before the request is whole, then reads on to the end.
+        """Responds before the request is complete, then discards its rest.
 
-        Closing at once would reset the connection under a caller that still
-        sends, and it would never see why it was refused.
+        Closing at once would reset the connection of a caller that is still
+        sending, and the caller would never receive the reason of the refusal.
         """
-        self._reading.stop(sock)
-        self._closing.start(sock, self._read_clock())
+        self._request_timeouts.stop(sock)
+        self._closing_timeouts.start(sock, self._read_clock())
         self._connections[sock].refused = True
-        self.push(sock, response_output.frame_refusal(kind, pause))
+        self.push(sock, response_output.frame_refusal(kind, retry_after))
         self._connections[sock].written = True
         self._on_written(sock)
 
@@ -528,12 +568,16 @@
 
     def _forget(self, sock: socket.socket) -> None:
         connection = self._connections.pop(sock, None)
-        for limit in (self._reading, self._idle, self._closing):
+        for limit in (
+            self._request_timeouts,
+            self._idle_timeouts,
+            self._closing_timeouts,
+        ):
             limit.stop(sock)
         if connection is not None and connection.call is not None:
-            self._hang_up(connection.call)
+            self._report_hangup(connection.call)
 
-    def _hang_up(self, call: incoming_call_module.IncomingCall) -> None:
+    def _report_hangup(self, call: incoming_call_module.IncomingCall) -> None:
         if call.ended:
             return
         call.ended = True
@@ -546,7 +590,7 @@
         if connection is None or self.count_unsent(sock):
             return
         if connection.written:
-            # The caller sees the end of the answer, and may still be sending.
+            # The caller sees the end of the response, and may still be sending.
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_WR)
         elif connection.call is not None and connection.call.on_drained:
--- a/sycamorefall/transport/shedding.py
+++ b/sycamorefall/transport/shedding.py
@@ -1,71 +1,76 @@
-"""Which requests a busy process refuses unread; free of I/O."""
+"""Load shedding: refuses requests of an overloaded process unread; no I/O."""
 
-__all__ = ["Shedding", "Turn", "is_behind", "note_time"]
+__all__ = ["Shedding", "Turn", "record_time", "should_shed"]
 
 import dataclasses
 
-LONGEST_STEP = 0.05
-"""Seconds that one step of a turn counts at most: more than a collection of
-garbage takes, or any one request."""
+MAX_STEP_TIME = 0.05
+"""Maximum seconds that one step of a turn counts: more than a garbage
+collection takes, or any one request."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Shedding:
-    """When requests are refused unread, and what their callers are told.
+    """When requests are refused unread, and when their callers should retry.
 
-    Guards against a crowd that is more than the process can serve. Read one
-    after the other, its requests wait in the kernel for so long that each is
-    too late when its turn comes, or its caller has left, and the process works
-    for nobody. Refused unread they go to another process, and what is served is
-    served soon.
+    Guards against more requests than the process can serve. If the process read
+    them one after the other, they would wait in the kernel for so long that
+    each is too late when it is read, or its caller has left, and all work would
+    be useless. Requests that are refused unread go to another process, and the
+    remaining ones are served soon.
 
     Attributes:
-        after: Seconds that a turn of the loop may take; requests that come to
-            their turn later in it are refused.
-        pause: Seconds after which their callers are to come back.
+        max_turn_time: Seconds that a turn of the loop may take; new requests
+            that are read later in the turn are refused.
+        retry_after: Seconds after which callers of refused requests should
+            retry.
     """
 
-    after: float
-    pause: float
+    max_turn_time: float
+    retry_after: float
 
 
 @dataclasses.dataclass(slots=True)
 class Turn:
-    """The present turn of the loop.
+    """The current turn (pass) of the event loop.
 
     Attributes:
-        seen_at: When input of it was last handled; None before.
-        spent: Seconds that it took until then.
-        left: New requests in it whose callers had left.
+        last_input_at: Time at which input of the turn was last handled; None
+            before.
+        elapsed: Seconds that the turn took until then, of each step at most
+            `MAX_STEP_TIME`.
+        hung_up_count: Number of new requests in the turn whose callers had
+            left.
     """
 
-    seen_at: float | None = None
-    spent: float = 0.0
-    left: int = 0
+    last_input_at: float | None = None
+    elapsed: float = 0.0
+    hung_up_count: int = 0
 
 
-def note_time(turn: Turn, now: float) -> None:
-    """Takes note that input is handled now.
+def record_time(turn: Turn, now: float) -> None:
+    """Records that input is handled now.
 
-    One step that took very long stands for a VM that was frozen, which is no
-    crowd: what lies behind it is served as soon as ever.
+    A very long step means that the VM was frozen, which is no overload: the
+    requests that arrived meanwhile are served as soon as possible.
     """
-    if turn.seen_at is not None:
-        turn.spent += min(now - turn.seen_at, LONGEST_STEP)
-    turn.seen_at = now
+    if turn.last_input_at is not None:
+        turn.elapsed += min(now - turn.last_input_at, MAX_STEP_TIME)
+    turn.last_input_at = now
 
 
-def is_behind(shedding: Shedding | None, turn: Turn) -> bool:
-    """Tells whether a turn of the loop takes too long to serve new requests.
+def should_shed(shedding: Shedding | None, turn: Turn) -> bool:
+    """Returns whether a turn has taken too long to serve new requests.
 
     Example:
-        >>> shedding, turn = Shedding(after=0.1, pause=0.2), Turn()
+        >>> shedding = Shedding(max_turn_time=0.1, retry_after=0.2)
+        >>> turn = Turn()
         >>> for hundredth in (0, 3, 6, 9):
-        ...     note_time(turn, hundredth / 100)
-        >>> is_behind(shedding, turn)
+        ...     record_time(turn, hundredth / 100)
+        >>> should_shed(shedding, turn)
         False
-        >>> note_time(turn, 0.12)
-        >>> is_behind(shedding, turn)
+        >>> record_time(turn, 0.12)
+        >>> should_shed(shedding, turn)
         True
     """
-    return shedding is not None and turn.spent > shedding.after
+    return shedding is not None and turn.elapsed > shedding.max_turn_time
--- a/sycamorefall/transport/socket_peek.py
+++ b/sycamorefall/transport/socket_peek.py
@@ -1,4 +1,4 @@
-"""What has arrived on a connection that the loop hasn't come to yet."""
+"""Checks of a socket for unread input or a closed peer, without reading."""
 
 __all__ = ["has_hung_up", "has_unread"]
 
@@ -6,7 +6,7 @@
 
 
 def has_unread(sock: socket.socket) -> bool:
-    """Tells whether bytes have arrived on a connection that nobody read."""
+    """Returns whether unread bytes have arrived on a connection."""
     try:
         return sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) != b""
     except OSError:
@@ -14,12 +14,13 @@
 
 
 def has_hung_up(sock: socket.socket) -> bool:
-    """Tells whether a caller has closed its side after its request.
+    """Returns whether a caller closed its side and no unread bytes are left.
 
-    Guards against work for callers that have left: a process that was frozen,
-    or is given more than it can do, reads requests seconds after they were
-    sent, and would pass them on before it reads that their connection is
-    closed. On a flooded small VM these were all 250 requests a second.
+    A failed connection counts as closed. Guards against work for callers that
+    have left: a process that was frozen or is overloaded reads requests seconds
+    after they were sent, and would forward them before it reads that their
+    connections are closed. On a flooded small VM this was true of all 250
+    requests a second.
     """
     try:
         return sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
--- a/sycamorefall/transport/tests/test_client.py
+++ b/sycamorefall/transport/tests/test_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client's connections, seen from the server that it asks."""
+"""Connections of the HTTP client, as seen by the server."""
 
 import contextlib
 import errno
@@ -12,15 +12,15 @@
 from sycamorefall.transport import client as client_module
 
 TURNS = 3000
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
 class Upstream:
-    """A server that answers each request and closes nothing by itself.
+    """A server that responds to each request and never closes a connection.
 
     Attributes:
-        connections: Those that are open.
-        address: Where it answers.
+        connections: Sockets of the open connections.
+        address: Address at which it listens.
     """
 
     def __init__(self):
@@ -37,7 +37,7 @@
         for sock in list(self.connections):
             with contextlib.suppress(BlockingIOError):
                 if sock.recv(1 << 16):
-                    sock.sendall(ANSWER)
+                    sock.sendall(RESPONSE)
                 else:
                     self.connections.remove(sock)
                     sock.close()
@@ -48,11 +48,11 @@
 
 
 class Site:
-    """A client and an upstream, by a clock that the test sets."""
+    """A client and an upstream, with a clock that the test sets."""
 
     def __init__(self):
         self.now = 0.0
-        self.answers = 0
+        self.response_count = 0
         self.upstream = Upstream()
         self.loop = transport.create_loop(lambda: None)
         poller = next(
@@ -72,15 +72,15 @@
             self.upstream.run()
             if check():
                 return
-        raise AssertionError("the condition never came")
+        raise AssertionError("the condition was never met")
 
-    def take_answer(self):
-        self.answers += 1
+    def count_response(self):
+        self.response_count += 1
 
-    def ask(self, requires_new_connection, max_idle_connections=None):
-        before = self.answers
+    def send_and_wait(self, requires_new_connection, max_idle_connections=None):
+        before = self.response_count
         self.send(requires_new_connection, max_idle_connections)
-        self.turn_until(lambda: self.answers > before)
+        self.turn_until(lambda: self.response_count > before)
 
     def send(self, requires_new_connection, max_idle_connections=None):
         request = transport.OutgoingRequest(
@@ -93,7 +93,7 @@
         listener = transport.Listener(
             on_head=lambda *_: None,
             on_data=lambda _: None,
-            on_end=self.take_answer,
+            on_end=self.count_response,
             on_failure=lambda stage: pytest.fail(stage.value),
         )
         self.client.send(request, listener)
@@ -106,41 +106,43 @@
     created.upstream.close()
 
 
-def test_new_connections_do_not_pile_up_at_an_upstream(site):
-    # Bookings go over new connections, as they may not be repeated. Each one
-    # stayed open after its answer and nobody used it again, so after nine
-    # seconds of a calm day an upstream had as many as it bears. It reset the
-    # next ones, and their callers learned that nobody can tell what became
-    # of their bookings.
+def test_new_connections_do_not_accumulate_at_an_upstream(site):
+    # Guards against idle connections that accumulate at an upstream. Bookings
+    # use new connections, as they may not be repeated. Each connection stayed
+    # open unused after the response, so after nine seconds of little load an
+    # upstream had reached its connection limit. It reset the next connections,
+    # and the outcome of the bookings on them was unknown.
     for _ in range(20):
-        site.ask(requires_new_connection=True)
+        site.send_and_wait(requires_new_connection=True)
     site.turn_until(lambda: len(site.upstream.connections) <= 1)
-    site.ask(requires_new_connection=False)
-    assert len(site.upstream.connections) == 1, "the kept one is used"
+    site.send_and_wait(requires_new_connection=False)
+    assert len(site.upstream.connections) == 1, "the kept connection is reused"
 
 
-def test_connection_that_is_no_more_used_is_closed(site):
-    # A crowd of requests leaves a connection each. They were looked at only
-    # when the next request came, newest first, so the others stayed open for
-    # as long as the upstream bore them, and took the place of new ones.
-    site.ask(requires_new_connection=False)
-    site.now = client_module.IDLE_TIME
+def test_expired_idle_connection_is_closed(site):
+    # Guards against expired idle connections that stay open. A burst of
+    # requests leaves one connection each. They were checked only when the next
+    # request came, newest first, so the others stayed open and counted towards
+    # the upstream's connection limit.
+    site.send_and_wait(requires_new_connection=False)
+    site.now = client_module.MAX_IDLE_TIME
     site.client.expire(site.now)
     site.turn_until(lambda: not site.upstream.connections)
 
 
-def test_client_keeps_no_more_connections_than_it_may(site):
-    # An upstream takes a bounded number of connections of all routers and
-    # resets the rest. Each router kept as many as it liked, so together they
-    # filled the bound, and new ones were reset with an unknown outcome.
+def test_client_respects_its_idle_connection_limit(site):
+    # Guards against routers that together exceed an upstream's connection limit
+    # with idle connections. Each router kept any number of them, so the
+    # upstream reset new connections and the outcome of their requests was
+    # unknown.
     for _ in range(6):
         site.send(requires_new_connection=False, max_idle_connections=2)
-    site.turn_until(lambda: site.answers == 6)
+    site.turn_until(lambda: site.response_count == 6)
     site.turn_until(lambda: len(site.upstream.connections) == 2)
     for _ in range(3):
-        site.ask(requires_new_connection=True, max_idle_connections=2)
+        site.send_and_wait(requires_new_connection=True, max_idle_connections=2)
     site.turn_until(lambda: len(site.upstream.connections) == 2)
-    site.ask(requires_new_connection=False, max_idle_connections=0)
+    site.send_and_wait(requires_new_connection=False, max_idle_connections=0)
     site.turn_until(lambda: len(site.upstream.connections) == 1)
 
 
--- a/sycamorefall/transport/tests/test_closing.py
+++ b/sycamorefall/transport/tests/test_closing.py
@@ -1,8 +1,9 @@
-"""Connections that the server closes of its own accord lose no request.
+"""Connections that the server closes on its own initiative lose no request.
 
-What the server knows of a connection is what its loop has handled. A crowded
-or frozen VM is late: requests have arrived that it hasn't seen yet when it
-closes connections as idle, ends listening, or judges time limits.
+The server's state of a connection reflects only input that its loop has
+handled. On an overloaded or frozen VM the loop is late: requests have arrived
+that it has not read when it closes idle connections, ends listening or enforces
+time limits.
 """
 
 import socket
@@ -11,8 +12,8 @@
 from sycamorefall import observation, transport
 from sycamorefall.transport.tests import test_server
 
-MOST_TURNS = 6
-"""Turns of the loop within which it has handled what has arrived."""
+MAX_TURNS = 6
+"""Passes of the loop within which it has handled all input that arrived."""
 
 
 def open_site():
@@ -26,13 +27,13 @@
         site.loop.tick(0.001)
 
 
-def is_answered(site, caller):
+def gets_response(site, caller):
     end = b"\r\n\r\nnow"
     return site.read(caller, end).endswith(end)
 
 
 def make_idle(site):
-    """Connects a caller whose first request has been answered."""
+    """Connects a caller and waits for the response to its first request."""
     caller = site.connect()
     caller.sendall(test_server.GET % b"now")
     site.read(caller, b"now")
@@ -41,25 +42,26 @@
 
 
 def test_request_that_crosses_the_end_of_listening_is_answered():
-    # A router is stopped while callers use kept connections. Its loop is late
-    # by tenths of a second as it ends listening: requests lie in the kernel,
-    # or were read and not yet handled. Their connections counted as idle and
-    # were closed, so that callers got neither an answer nor a refusal.
-    for turns in range(MOST_TURNS):
+    # Guards against requests lost when a router stops. The loop is some tenths
+    # of a second late when listening ends, so requests on kept connections are
+    # unread in the kernel, or read but not handled. Their connections counted
+    # as idle and were closed, and callers got neither a response nor a refusal.
+    for turns in range(MAX_TURNS):
         site = test_server.Site()
         caller = make_idle(site)
         caller.sendall(test_server.GET % b"now")
         turn_loop(site, turns)
         site.server.begin_stop()
         site.server.end_listening()
-        assert is_answered(site, caller), turns
+        assert gets_response(site, caller), turns
 
 
 def test_first_request_on_a_late_accepted_connection_is_answered():
-    # A connection is taken from the kernel as listening ends, and its request
-    # follows. The stopping process looks at its connections again and again;
-    # the next look came before the request was handled and closed it.
-    for turns in range(MOST_TURNS):
+    # Guards against a lost request on a connection that is accepted when
+    # listening ends. The stopping process checks its connections repeatedly;
+    # the next check came before the request was handled, and closed the
+    # connection.
+    for turns in range(MAX_TURNS):
         site = open_site()
         caller = site.connect()
         site.server.begin_stop()
@@ -67,13 +69,13 @@
         caller.sendall(test_server.GET % b"now")
         turn_loop(site, turns)
         site.server.begin_stop()
-        assert is_answered(site, caller), turns
+        assert gets_response(site, caller), turns
 
 
-def test_server_with_an_unread_request_is_not_quiet():
-    # A stopping process ends once it is quiet. A request that has arrived and
-    # was not handled yet must keep it: its connection would end with it.
-    for turns in range(MOST_TURNS):
+def test_server_with_an_unread_request_is_not_drained():
+    # Guards against a stopping process that exits with an unhandled request:
+    # the request's connection would be closed.
+    for turns in range(MAX_TURNS):
         site = test_server.Site()
         caller = make_idle(site)
         caller.sendall(test_server.GET % b"long")
@@ -83,48 +85,51 @@
 
 
 def test_request_that_arrived_in_idle_time_is_answered():
-    # A VM freezes for longer than connections may stay idle. A caller sent a
-    # request on a kept one before its time was over; on waking the server
-    # closed it for idleness before it had read.
+    # Guards against closing a connection as idle when its request arrived in
+    # time. A VM is frozen for longer than the idle timeout; a caller sends a
+    # request on a kept connection before the timeout. On resuming, the server
+    # closed the connection before it read the request.
     site = test_server.Site(idle_timeout=60.0)
     caller = make_idle(site)
     caller.sendall(test_server.GET % b"now")
     site.advance(60.0)
-    assert is_answered(site, caller)
+    assert gets_response(site, caller)
 
 
 def test_request_whose_rest_has_arrived_is_not_too_slow():
-    # A caller sends a request in two parts, a moment apart; the VM freezes
-    # between them. On waking the server refused the request as too slow
-    # though all of it had been there in time.
+    # Guards against refusing a request as too slow that arrived in time. A
+    # caller sends a request in two parts, and the VM is frozen between them. On
+    # resuming, the server refused the request although its rest was unread in
+    # the kernel.
     site = test_server.Site(header_timeout=20.0)
     caller = site.connect()
     caller.sendall(b"GET /now HTTP/1.1\r\n")
     site.turn_until(lambda: site.server.find_next_due() == 20.0)
     caller.sendall(b"Host: a\r\n\r\n")
     site.advance(20.0)
-    assert is_answered(site, caller)
+    assert gets_response(site, caller)
 
 
-def test_connection_that_makes_room_has_no_request():
-    # At the most connections that a process may have, the one that has been
-    # idle longest makes room for a new one. A request had arrived on it, and
-    # its caller got a closed connection; the next one had none.
+def test_connection_closed_at_the_limit_has_no_request():
+    # Guards against closing a connection with an unread request at the
+    # connection limit. The longest idle connection was closed for a new one
+    # although a request had arrived on it; the next connection had none.
     site = test_server.Site(max_connections=2)
     asking, idle = make_idle(site), make_idle(site)
     asking.sendall(test_server.GET % b"now")
     third = site.connect()
-    site.server._accept_some()
-    assert is_answered(site, asking)
+    site.server._accept_pending()
+    assert gets_response(site, asking)
     assert site.read(idle, b"nothing") == b""
     for caller in (asking, third):
         caller.close()
 
 
-def test_caller_of_a_long_stream_may_ask_again_while_its_router_stops():
-    # A stream began before the stop, so its head doesn't say that the
-    # connection closes. As it ends its caller sends the next request; the
-    # server closed the connection under it.
+def test_caller_of_a_stream_may_send_another_request_during_a_stop():
+    # Guards against closing a connection whose caller was not told so. The
+    # stream's head was sent before the stop and announced no closing; when the
+    # stream ended the caller sent its next request, and the server closed the
+    # connection.
     site = open_site()
     caller = site.connect()
     caller.sendall(test_server.GET % b"long")
@@ -135,21 +140,21 @@
     call.end()
     assert site.read(caller, b"0\r\n\r\n").endswith(b"whole\r\n0\r\n\r\n")
     caller.sendall(test_server.GET % b"now")
-    answer = site.read(caller, b"\r\n\r\nnow")
-    assert b"Connection: close" in answer
+    response = site.read(caller, b"\r\n\r\nnow")
+    assert b"Connection: close" in response
 
 
-def test_answer_that_its_caller_still_takes_is_not_cut_by_a_stop():
-    # A caller takes a long answer slowly: all of it is written, and part of
-    # it waits in the server's buffer. No request is in progress, so as
-    # listening ended the connection was closed as idle and the rest thrown
-    # away.
+def test_unsent_response_is_not_truncated_by_a_stop():
+    # Guards against a truncated response when the server stops. A caller reads
+    # a long response slowly; all of it is written and part is in the server's
+    # send buffer. No request was in progress, so the connection was closed as
+    # idle when listening ended, and the rest was lost.
     site = open_site()
     caller = site.connect()
     caller.sendall(test_server.GET % b"big")
     call = site.turn_until(lambda: site.calls)[0]
     call.respond(200, b"x" * (1 << 24) + b"end")
-    turn_loop(site, MOST_TURNS)
+    turn_loop(site, MAX_TURNS)
     assert call.unsent_bytes
     site.server.begin_stop()
     site.server.end_listening()
@@ -158,8 +163,8 @@
 
 
 def test_record_of_closed_connections_counts_unread_requests(monkeypatch):
-    # The record that a stop leaves told each closed connection as one with a
-    # request on it, so it couldn't show which hypothesis of a loss holds.
+    # Guards against a log record that counts every closed connection as one
+    # with an unread request, so that it couldn't show how requests were lost.
     site = open_site()
     asking, *idle = [make_idle(site) for _ in range(3)]
     asking.sendall(test_server.GET % b"long")
@@ -173,10 +178,9 @@
         caller.close()
 
 
-def test_connection_that_was_reset_makes_room():
-    # At the most connections a new caller comes; the one that is to make
-    # room for it turns out to be reset by its caller. The new one was closed
-    # all the same.
+def test_reset_connection_frees_its_place():
+    # Guards against refusing a new connection at the limit although another one
+    # is found to be reset by its caller, which frees its place.
     site = test_server.Site(max_connections=1)
     gone = make_idle(site)
     at_once = struct.pack("ii", 1, 0)
@@ -184,17 +188,18 @@
     gone.close()
     asking = site.connect()
     asking.sendall(test_server.GET % b"now")
-    site.server._accept_some()
-    assert is_answered(site, asking)
+    site.server._accept_pending()
+    assert gets_response(site, asking)
     asking.close()
 
 
-def test_caller_that_closed_its_side_gets_the_rest_in_limited_time(
+def test_caller_that_closed_its_side_gets_the_rest_within_a_time_limit(
     monkeypatch,
 ):
-    # A caller has asked all it wants and closes its side while its answer is
-    # on the way. Its end stayed readable, so the loop turned without a rest
-    # until all was taken; and if the caller took nothing, for ever.
+    # Guards against a busy loop. A caller closes its side while its response is
+    # being sent. The socket stayed readable, so the loop ran without pause
+    # until the whole response was sent, which never ended if the caller read
+    # nothing.
     reads = []
     read_once = transport.HttpServer._read_once
     monkeypatch.setattr(
@@ -208,7 +213,7 @@
         caller.sendall(test_server.GET % b"big")
     for call in site.turn_until(lambda: site.calls[1:] and site.calls):
         call.respond(200, b"x" * (1 << 24) + b"end")
-    turn_loop(site, MOST_TURNS)
+    turn_loop(site, MAX_TURNS)
     for caller in (takes, stays):
         caller.shutdown(socket.SHUT_WR)
     reads.clear()
@@ -222,24 +227,26 @@
 
 
 def test_caller_that_closed_its_side_in_a_stream_has_left():
-    # A caller that takes nothing closes its side in the middle of a stream.
-    # The close waited for the unsent bytes, and an engine worked for nobody.
+    # Guards against work for a caller that has left. A caller that reads
+    # nothing closes its side during a stream. The server waited until the
+    # unsent bytes were sent, and an engine kept working for the caller.
     site = open_site()
     caller = site.connect()
     caller.sendall(test_server.GET % b"long")
     call = site.turn_until(lambda: site.calls)[0]
     call.begin(200)
     call.write(b"x" * (1 << 24))
-    turn_loop(site, MOST_TURNS)
+    turn_loop(site, MAX_TURNS)
     caller.shutdown(socket.SHUT_WR)
     site.turn_until(lambda: site.hung_up)
     caller.close()
 
 
-def test_last_answer_survives_a_request_behind_it():
-    # A caller sends its next request before it has the answer that says that
-    # the connection closes. Closed over unread bytes, the kernel resets the
-    # connection and throws away what of the answer is still on its way.
+def test_last_response_survives_a_pipelined_request():
+    # Guards against a truncated last response. A caller sends its next request
+    # before it receives the response that announces the closing. If the server
+    # closes the socket with unread input, the kernel resets the connection and
+    # discards response bytes in transit.
     site = open_site()
     caller = socket.socket()
     caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -247,7 +254,7 @@
     caller.setblocking(False)
     caller.sendall(test_server.GET % b"last")
     call = site.turn_until(lambda: site.calls)[0]
-    call.close_after()
+    call.close_after_response()
     caller.sendall(test_server.GET % b"now")
     call.respond(200, b"x" * 100_000 + b"end")
     assert not call.unsent_bytes
@@ -256,19 +263,20 @@
     caller.close()
 
 
-def test_connection_whose_answer_is_on_its_way_makes_room_last():
-    # At the most connections, one was longest without a request, as its
-    # caller took a long answer slowly. It made room for a new one, and the
-    # rest of the answer was thrown away; an idle connection stayed.
+def test_connection_with_unsent_response_is_closed_last():
+    # Guards against a truncated response at the connection limit. The
+    # connection that had been without a request for longest still had an unsent
+    # response, as its caller read slowly. It was closed for a new one, although
+    # another connection was idle.
     site = test_server.Site(max_connections=2)
     caller = site.connect()
     caller.sendall(test_server.GET % b"big")
     call = site.turn_until(lambda: site.calls)[0]
     call.respond(200, b"x" * (1 << 24) + b"end")
-    turn_loop(site, MOST_TURNS)
+    turn_loop(site, MAX_TURNS)
     idle = make_idle(site)
     new = site.connect()
-    site.server._accept_some()
+    site.server._accept_pending()
     assert site.read(idle, b"nothing") == b""
     assert site.read(caller, b"end").endswith(b"xend")
     for one in (caller, new):
--- a/sycamorefall/transport/tests/test_loop.py
+++ b/sycamorefall/transport/tests/test_loop.py
@@ -1,4 +1,4 @@
-"""Timers of the loop and the input that came before they were due."""
+"""Order of timers and of the input that arrived before they were due."""
 
 import select
 import socket
@@ -10,16 +10,16 @@
 
 FREEZE = 5.0
 LIMIT = 0.5
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-MOST_PASSES = 2
-"""Passes for which input may put off timers that are due."""
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+MAX_DEFERRED_PASSES = 2
+"""Maximum passes of the loop by which input may defer timers that are due."""
 
 
 class Process:
-    """A loop with a client and timers, by a clock that the test sets.
+    """A loop with a client and timers, with a clock that the test sets.
 
-    What takes no time by this clock is a pass of an idle process; setting the
-    clock on between two passes freezes it.
+    The clock doesn't advance during a pass of the loop. Setting it forward
+    between two passes simulates a freeze of the process.
     """
 
     def __init__(self):
@@ -38,7 +38,8 @@
         self.ticker = transport.Ticker(
             self.find_next_due, self.run_timers, self.read
         ).register(self.loop)
-        # As `run` does, but the test keeps the thread and turns the loop.
+        # Does what `run` does, but the test keeps the thread and runs the
+        # passes.
         self.loop._running = True
         self.loop._executing_thread = threading.current_thread()
         self.loop.fire(events.started(self.loop))
@@ -66,7 +67,7 @@
             self.loop.tick(0.001)
             if check():
                 return
-        raise AssertionError("the condition never came")
+        raise AssertionError("the condition was never met")
 
     def send(self, address):
         return self.client.send(
@@ -86,7 +87,7 @@
 
 
 def send_request(process):
-    """Sends a request and gives the upstream's side of its connection."""
+    """Sends a request; returns the exchange and the upstream's socket."""
     listener, address = listen()
     exchange = process.send(address)
     upstream, _ = listener.accept()
@@ -101,37 +102,40 @@
     return exchange, upstream
 
 
-def test_answer_that_came_during_a_freeze_is_read_before_its_time_limit():
-    # A VM is frozen while an upstream answers. Its clock went on, so the time
-    # limit of the request is over as it wakes up. The timers ran first, and
-    # the request was given up, or sent again, though its answer was there.
+def test_response_during_a_freeze_is_read_before_its_time_limit():
+    # Guards against a timeout of a request whose response has arrived. A VM is
+    # frozen while an upstream responds, and its clock runs on, so the request's
+    # time limit is over when the VM resumes. The timers ran first, and the
+    # request was given up or sent again.
     process = Process()
     exchange, upstream = send_request(process)
     process.due = process.now + LIMIT
     process.turn()
-    upstream.sendall(ANSWER)
+    upstream.sendall(RESPONSE)
     assert select.select([exchange.socket], [], [], 5)[0]
     process.now += FREEZE
     process.turn_until(lambda: "limit" in process.events)
     assert process.events == [200, b"ok", "end", "limit"]
 
 
-def test_answer_that_came_during_a_long_pass_is_read_before_its_time_limit():
-    # The same in a pass in which a timer is due also without the freeze: the
-    # input was taken after that was due, and yet long before the timers run.
+def test_response_during_a_long_pass_is_read_before_its_time_limit():
+    # Guards against the same fault if a timer is due in the pass that was
+    # frozen: the poller read input after the due time, but long before the
+    # timers run.
     process = Process()
     exchange, upstream = send_request(process)
     process.due = process.now
-    upstream.sendall(ANSWER)
+    upstream.sendall(RESPONSE)
     assert select.select([exchange.socket], [], [], 5)[0]
     process.now += FREEZE
     process.turn_until(lambda: "limit" in process.events)
     assert process.events == [200, b"ok", "end", "limit"]
 
 
-def test_connection_made_during_a_freeze_is_not_given_up():
-    # A VM is frozen while an upstream takes its connection. The client gave
-    # it up as it woke up, and the upstream was barred as not to be reached.
+def test_connection_established_during_a_freeze_is_not_given_up():
+    # Guards against giving up a connection established during a freeze. The
+    # client gave the connection up on resuming, and the upstream was barred as
+    # unreachable.
     process = Process()
     listener, address = listen()
     exchange = process.send(address)
@@ -142,8 +146,9 @@
     assert process.events == []
 
 
-def test_connection_that_is_not_made_is_given_up():
-    # An upstream takes no connections; the client must not wait for ever.
+def test_connection_attempt_times_out():
+    # Guards against waiting forever for an upstream that accepts no
+    # connections.
     process = Process()
     full = socket.create_server(("127.0.0.1", 0), backlog=0)
     address = settings.Address(*full.getsockname())
@@ -154,37 +159,38 @@
     process.send(address)
     process.turn(4)
     process.now += LIMIT
-    process.turn(1 + MOST_PASSES)
+    process.turn(1 + MAX_DEFERRED_PASSES)
     assert process.events == [transport.SendStage.NOT_SENT]
 
 
-def test_timers_run_however_much_input_comes():
-    # A process gets more input than it can handle, and each pass of its loop
-    # takes long. Its time limits must hold all the same.
+def test_timers_run_under_constant_input():
+    # Guards against timers that never run in a process that gets more input
+    # than it can handle, so that each pass of its loop takes long.
     process = Process()
     here, there = socket.socketpair()
     there.sendall(b"x")
     process.poller.addReader(process.client, here)  # Never read: always ready.
     for _ in range(20):
         process.due = process.now
-        for _ in range(1 + MOST_PASSES):
+        for _ in range(1 + MAX_DEFERRED_PASSES):
             process.now += FREEZE
             process.turn()
         assert process.due == float("inf")
 
 
-def test_timers_tell_how_late_they_are_after_a_freeze():
-    # Whether a process has too much to do is judged by how late its timers
-    # are. Put off, they must not look as if they were in time.
+def test_lateness_includes_a_freeze():
+    # Guards against an overload that isn't detected: overload is detected from
+    # the lateness of the timers, so deferred timers must not appear to be on
+    # time.
     process = Process()
     process.due = process.now + LIMIT
     process.turn(2)
     process.now += FREEZE
-    process.turn(1 + MOST_PASSES)
+    process.turn(1 + MAX_DEFERRED_PASSES)
     ((_, late),) = process.ran
     assert late == FREEZE - LIMIT
     process.due = process.now + LIMIT
     process.turn(2)
     process.now += LIMIT
-    process.turn(1 + MOST_PASSES)
+    process.turn(1 + MAX_DEFERRED_PASSES)
     assert process.ran[-1][1] == 0.0
--- a/sycamorefall/transport/tests/test_poller.py
+++ b/sycamorefall/transport/tests/test_poller.py
@@ -1,4 +1,4 @@
-"""The poller tells what is ready, whatever it was told before."""
+"""The poller reports ready sockets after any sequence of registrations."""
 
 import contextlib
 import select
@@ -24,11 +24,11 @@
     "discard": {"_read", "_write"},
     "close": {"_read", "_write"},
 }
-"""Calls of a poller, and which events each begins or ends."""
+"""Methods of a poller, and the events that each starts or stops."""
 
 
 class Recorder(poller.ConnectionPoller):
-    """A poller that keeps what it would fire."""
+    """A poller that records events instead of firing them."""
 
     def __init__(self):
         super().__init__()
@@ -47,7 +47,7 @@
 
 @pytest.fixture
 def watched():
-    """A poller and sockets whose other sides have sent a byte."""
+    """A poller, and sockets with one byte of unread input."""
     with contextlib.ExitStack() as stack:
         pairs = [socket.socketpair() for _ in range(PAIRS)]
         for ours, theirs in pairs:
@@ -75,12 +75,12 @@
         max_size=20,
     )
 )
-def test_events_are_those_asked_for(changes):
-    """The kernel polls exactly what was asked for last.
+def test_events_are_the_registered_ones(changes):
+    """The kernel polls each socket for exactly the registered events.
 
-    A socket polled for nothing would hang its request for ever; one polled
-    for too much would turn the loop without end. The poller keeps in mind
-    what the kernel knows, which must not drift apart over any changes.
+    Guards against requests that hang because their socket is not polled, and
+    against a busy loop because a socket is polled for too much. The poller
+    stores what the kernel polls for; the two must agree after any changes.
     """
     with contextlib.ExitStack() as stack:
         pairs = [socket.socketpair() for _ in range(PAIRS)]
@@ -107,11 +107,12 @@
         assert set(recorder._map.values()) == known | {recorder._ctrl_recv}
 
 
-def test_number_of_a_closed_socket_is_free_for_the_next(watched):
-    """A socket that takes over a number isn't taken for the closed one.
+def test_descriptor_of_a_closed_socket_can_be_reused(watched):
+    """Guards against mixing up two sockets with the same file descriptor.
 
-    A connection is closed before the poller is told; the next one gets its
-    number, and the late word must not end the polling of the new one.
+    A connection is closed before the poller is told, and the next connection
+    gets its descriptor. Discarding the closed socket afterwards must not end
+    the polling of the new one.
     """
     recorder, (first, *_), stack = watched
     recorder.addReader(recorder, first)
@@ -139,8 +140,8 @@
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 5))))
-def test_members_are_those_of_a_list_without_repeats(steps):
-    members, plain = poller.Members(), []
+def test_ordered_set_equals_a_list_without_duplicates(steps):
+    members, plain = poller.OrderedSet(), []
     for adding, number in steps:
         if adding:
             members.append(number)
@@ -156,12 +157,12 @@
         assert all((one in members) == (one in plain) for one in range(6))
 
 
-def test_server_forgets_a_connection_closed_while_its_close_waited():
-    """Callers that take nothing of their answers leave nothing behind.
+def test_close_queue_drops_a_connection_closed_at_once():
+    """Guards against a memory leak by callers that receive no responses.
 
-    A close waits until the caller has taken all; its time limit ends first,
-    the connection is closed at once, and the server must not remember it as
-    one to be closed: such callers would fill the memory, one by one.
+    A close waits until the caller has received all bytes. When its time limit
+    expires first, the connection is closed at once, and the server must remove
+    it from its close queue.
     """
     (port,) = fleet.reserve_ports(1)
     loop = circuits.BaseComponent()
--- a/sycamorefall/transport/tests/test_request_reader.py
+++ b/sycamorefall/transport/tests/test_request_reader.py
@@ -1,4 +1,4 @@
-"""Reading of requests: any bytes give a request, a refusal or nothing yet."""
+"""Parsing of requests: any input gives a request, a refusal or nothing yet."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -15,7 +15,7 @@
 def read(data, limits=LIMITS):
     reader = request_reader.RequestReader(limits)
     reader.feed(data)
-    return reader, reader.take()
+    return reader, reader.parse_request()
 
 
 @pytest.mark.parametrize(
@@ -43,34 +43,34 @@
         ),
     ],
 )
-def test_unusable_input_is_refused_by_kind(data, kind):
-    _, taken = read(data)
-    assert taken is kind
+def test_invalid_input_is_refused_by_kind(data, kind):
+    _, parsed = read(data)
+    assert parsed is kind
 
 
 def test_escapes_in_headers_stay_as_sent():
-    """A header value with a written-out line break forges no header.
+    """Guards against forged headers by escape sequences in a header value.
 
     A caller sends `X-Request-Id: a\\r\\nCookie: b` with the escapes spelled
-    out; a parser that decodes them hands two headers to the upstream.
+    out; a parser that decodes them would pass two headers to the upstream.
     """
-    _, taken = read(HEAD + b"X-Request-Id: a\\r\\nCookie: b\r\n\r\n")
-    assert taken.headers.get("x-request-id") == "a\\r\\nCookie: b"
-    assert taken.headers.get("cookie") is None
+    _, parsed = read(HEAD + b"X-Request-Id: a\\r\\nCookie: b\r\n\r\n")
+    assert parsed.headers.get("x-request-id") == "a\\r\\nCookie: b"
+    assert parsed.headers.get("cookie") is None
 
 
 def test_pipelined_bytes_belong_to_the_next_request():
-    """Two requests in one packet stay two.
+    """Guards against mixing up two requests in one packet.
 
-    A client sends its second request right behind the first one's body; a
-    parser that takes all it has for the body runs the first with bytes of
-    the second and loses that one.
+    A client sends its second request directly after the first one's body. A
+    parser that treats all bytes as the body would run the first request with
+    bytes of the second and lose the second.
     """
     first = HEAD + b"Content-Length: 3\r\n\r\nabc"
-    reader, taken = read(first + b"GET /2 HTTP/1.1\r\nHost: a\r\n\r\n")
-    assert (taken.body, taken.path, taken.query) == (b"abc", "/x", "y=1")
+    reader, parsed = read(first + b"GET /2 HTTP/1.1\r\nHost: a\r\n\r\n")
+    assert (parsed.body, parsed.path, parsed.query) == (b"abc", "/x", "y=1")
     assert reader.start_next()
-    assert reader.take().path == "/2"
+    assert reader.parse_request().path == "/2"
 
 
 pieces = st.one_of(
@@ -99,8 +99,8 @@
     for part in parts:
         if part:
             reader.feed(part)
-        taken = reader.take()
-        if isinstance(taken, errors.ErrorKind):
+        parsed = reader.parse_request()
+        if isinstance(parsed, errors.ErrorKind):
             return
-        if taken is not None:
+        if parsed is not None:
             reader.start_next()
--- a/sycamorefall/transport/tests/test_request_writer.py
+++ b/sycamorefall/transport/tests/test_request_writer.py
@@ -1,4 +1,4 @@
-"""Requests as they are written to upstreams."""
+"""Formatting of requests to upstreams."""
 
 import h11
 from hypothesis import given, strategies
@@ -22,9 +22,9 @@
     ),
     body=strategies.binary(max_size=30),
 )
-def test_request_is_read_as_it_was_meant(headers, body):
-    # An upstream that reads another request than was written runs what no
-    # caller asked for.
+def test_formatted_request_is_parsed_unchanged(headers, body):
+    # Guards against an upstream that parses another request than was formatted,
+    # and runs something that no caller requested.
     data = request_writer.format_request(
         "POST", "/a/b?c=d", "e:80", headers, body
     )
@@ -48,8 +48,9 @@
 @pytest.mark.parametrize("bad", ["a\r\nB: c", "a\nB: c", "a\rb", "a\0b"])
 @pytest.mark.parametrize("place", ["method", "target", "host", "header"])
 def test_line_break_in_a_part_is_refused(bad, place):
-    # Whoever writes a part of a request that ends a line can forge headers,
-    # such as the team that it is charged to, or a request of its own.
+    # Guards against request forgery: a caller who can put a line break into a
+    # part of a request could forge headers, such as the team that is charged,
+    # or a whole request.
     parts = {
         "method": "GET",
         "target": "/",
@@ -66,8 +67,8 @@
         )
 
 
-def test_question_without_a_body_has_no_length():
-    # Some services take a length on a read for a body that is to come.
+def test_read_without_body_has_no_length():
+    # Guards against services that wait for a body if a read has a length.
     assert b"Length" not in request_writer.format_request(
         "GET", "/", "a", [], b""
     )
--- a/sycamorefall/transport/tests/test_response_output.py
+++ b/sycamorefall/transport/tests/test_response_output.py
@@ -1,4 +1,4 @@
-"""Streamed answers: in order and whole, however slowly they are taken."""
+"""Streamed responses arrive complete and in order, also at slow callers."""
 
 import contextlib
 import socket
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def served():
-    """A loop with a server that keeps the calls it takes."""
+    """A loop, its server, and the list of calls that the server received."""
     calls = []
     loop = transport.create_loop(lambda: None)
     address = settings.Address("127.0.0.1", 0)
@@ -25,7 +25,7 @@
 
 
 def open_call(loop, server, calls):
-    """Sends a request; gives its caller's socket and the call."""
+    """Sends a request; returns its caller's socket and the call."""
     caller = socket.create_connection((server.host, server.port))
     caller.sendall(b"GET /x HTTP/1.1\r\nHost: here\r\n\r\n")
     taken = len(calls)
@@ -35,17 +35,17 @@
 
 
 def turn_until(loop, check):
-    """Runs the loop's turns until a check holds."""
+    """Runs passes of the loop until a check holds."""
     loop._running = True
     for _ in range(100_000):
         if check():
             return
         loop.tick(0.01)
-    pytest.fail("the loop never came to it")
+    pytest.fail("the condition was never met")
 
 
-def read_answer(loop, caller):
-    """Reads an answer to its end; gives its body and the last event."""
+def read_response(loop, caller):
+    """Reads a response to its end; returns its body and the last event."""
     parser = h11.Connection(h11.CLIENT)
     parser.send(h11.Request(method="GET", target="/x", headers=[("host", "h")]))
     parser.send(h11.EndOfMessage())
@@ -73,10 +73,10 @@
 
 
 def test_slow_caller_gets_all_pieces_in_order(served):
-    """What a full socket refuses must not be lost or overtaken.
+    """Guards against losing or reordering bytes that a full socket refuses.
 
-    A caller stops reading while its answer streams; the socket fills up and
-    a piece is sent in part. Later pieces must wait behind its rest.
+    A caller stops reading while its response streams; the socket buffer fills
+    up and a piece is sent in part. Later pieces must wait for its rest.
     """
     loop, server, calls = served
     caller, call = open_call(loop, server, calls)
@@ -87,13 +87,13 @@
         call.write(piece)
     assert call.unsent_bytes > 0
     call.end()
-    body, end = read_answer(loop, caller)
+    body, end = read_response(loop, caller)
     assert body == b"".join(PIECES)
     assert end is h11.EndOfMessage
 
 
-def test_caller_that_catches_up_is_told_of(served):
-    """Whoever was paused for a slow caller must be resumed."""
+def test_drained_connection_is_reported(served):
+    """Guards against a source that stays paused when the caller caught up."""
     loop, server, calls = served
     caller, call = open_call(loop, server, calls)
     drained = []
@@ -111,13 +111,13 @@
     assert drained[0] == 0
 
 
-def test_connection_serves_again_after_a_streamed_answer(served):
-    """The next request on a connection must not get the last one's head."""
+def test_connection_is_reused_after_a_streamed_response(served):
+    """Guards against reusing the last response's head for the next request."""
     loop, server, calls = served
     caller, call = open_call(loop, server, calls)
     call.begin(200)
     call.end()
-    read_answer(loop, caller)
+    read_response(loop, caller)
     caller.setblocking(True)
     caller.sendall(b"GET /y HTTP/1.1\r\nHost: here\r\n\r\n")
     turn_until(loop, lambda: len(calls) == 2)
@@ -125,14 +125,14 @@
     calls[1].begin(201)
     calls[1].end()
     caller.setblocking(False)
-    assert read_answer(loop, caller) == (b"", h11.EndOfMessage)
+    assert read_response(loop, caller) == (b"", h11.EndOfMessage)
 
 
-def test_broken_off_answer_is_not_taken_for_whole(served):
-    """A caller must see that the end is missing, and all before it.
+def test_aborted_response_is_incomplete(served):
+    """Guards against an aborted response that the caller sees as complete.
 
-    The upstream breaks while a slow caller still has pieces to come: they
-    are sent, then the connection closes without the last chunk.
+    The upstream fails while pieces for a slow caller are unsent: they are sent,
+    then the connection closes without the last chunk.
     """
     loop, server, calls = served
     caller, call = open_call(loop, server, calls)
@@ -140,6 +140,6 @@
     for piece in PIECES:
         call.write(piece)
     call.abort()
-    body, end = read_answer(loop, caller)
+    body, end = read_response(loop, caller)
     assert body == b"".join(PIECES)
     assert end is None
--- a/sycamorefall/transport/tests/test_response_reader.py
+++ b/sycamorefall/transport/tests/test_response_reader.py
@@ -1,4 +1,4 @@
-"""Answers read from a connection's bytes: whole, broken, or one too many."""
+"""Parsing of responses: complete, broken and duplicate ones."""
 
 from hypothesis import given, strategies
 import pytest
@@ -9,24 +9,24 @@
 
 
 def read(*parts, **kinds):
-    """Feeds some bytes; gives the reader and what they told."""
-    reader = response_reader.AnswerReader(**kinds)
+    """Parses bytes; returns the reader and the events."""
+    reader = response_reader.ResponseReader(**kinds)
     events = [event for part in parts for event in reader.feed(part)]
     return reader, events
 
 
-def list_bodies(events):
-    """Joins the pieces between the heads."""
+def join_bodies(events):
+    """Joins the pieces of each response's body."""
     bodies = []
     for event in events:
-        if isinstance(event, response_reader.AnswerHead):
+        if isinstance(event, response_reader.ResponseHead):
             bodies.append(b"")
         elif isinstance(event, bytes):
             bodies[-1] += event
     return bodies
 
 
-def is_whole(events):
+def is_complete(events):
     return bool(events) and events[-1] is response_reader.END
 
 
@@ -40,45 +40,48 @@
 
 
 @given(cuts=strategies.lists(strategies.integers(0, len(CHUNKED)), max_size=5))
-def test_answer_is_the_same_however_it_is_cut(cuts):
-    # The network cuts an answer anywhere; the caller's must be the same.
+def test_response_does_not_depend_on_splitting(cuts):
+    # Guards against results that depend on where the network splits a response.
     edges = [0, *sorted(cuts), len(CHUNKED)]
     parts = [CHUNKED[a:b] for a, b in zip(edges, edges[1:], strict=False)]
     reader, events = read(*parts)
-    assert list_bodies(events) == [b"abcdefgh"]
-    assert is_whole(events)
+    assert join_bodies(events) == [b"abcdefgh"]
+    assert is_complete(events)
     assert reader.keep_alive and reader.is_between
 
 
-def test_bytes_beyond_an_answer_spoil_the_connection():
-    # An upstream sends more than it announced. On a kept connection another
-    # caller would get it as the answer to its request.
+def test_extra_bytes_prevent_connection_reuse():
+    # Guards against delivering another caller's bytes: an upstream sends more
+    # than it announced, and on a kept connection the rest would be taken for
+    # the response to the next request.
     reader, events = read(OK + b"Content-Length: 3\r\n\r\nabcXY")
-    assert list_bodies(events) == [b"abc"]
-    assert is_whole(events), "the answer itself is whole"
+    assert join_bodies(events) == [b"abc"]
+    assert is_complete(events), "the response itself is complete"
     assert not reader.is_between
 
 
-def test_second_answer_is_told_apart():
-    # An upstream answers an earlier request once more, just before the next
-    # answer. Which of them is whose, only their headers say.
+def test_second_response_is_parsed_separately():
+    # Guards against mixing up two responses: an upstream repeats the response
+    # to an earlier request just before the next one. Only their headers tell
+    # which request each belongs to.
     first = OK + b"Id: a\r\nContent-Length: 1\r\n\r\n1"
     second = OK + b"Id: b\r\nContent-Length: 1\r\n\r\n2"
     reader, events = read(first + second)
     heads = [
-        one for one in events if isinstance(one, response_reader.AnswerHead)
+        one for one in events if isinstance(one, response_reader.ResponseHead)
     ]
     assert [dict(head.headers)["id"] for head in heads] == ["a", "b"]
-    assert list_bodies(events) == [b"1", b"2"]
+    assert join_bodies(events) == [b"1", b"2"]
     assert reader.is_between
 
 
-def test_answer_without_a_length_ends_with_its_connection():
-    # It is whole once the upstream closes; until then it is not.
+def test_response_without_length_ends_with_its_connection():
+    # A response without a length is complete when the upstream closes the
+    # connection, and not before.
     reader, events = read(OK + b"\r\nabc", b"def")
-    assert list_bodies(events) == [b"abcdef"]
-    assert not is_whole(events)
-    assert reader.finish()
+    assert join_bodies(events) == [b"abcdef"]
+    assert not is_complete(events)
+    assert reader.completes_at_close()
 
 
 @pytest.mark.parametrize(
@@ -90,12 +93,12 @@
         b"",
     ],
 )
-def test_answer_that_breaks_off_is_not_whole(cut):
-    # An upstream crashes in the middle of an answer. A caller that takes it
-    # for whole acts on half of it.
+def test_truncated_response_is_not_complete(cut):
+    # Guards against treating the response of an upstream that crashed as
+    # complete: the caller would act on half of it.
     reader, events = read(cut)
-    assert not is_whole(events)
-    assert not reader.finish()
+    assert not is_complete(events)
+    assert not reader.completes_at_close()
 
 
 @pytest.mark.parametrize(
@@ -109,37 +112,37 @@
         b"X: a\x00b",
     ],
 )
-def test_head_that_has_two_meanings_is_refused(head):
-    # Two readers would see other ends of the answer, and bytes of one
-    # caller's would become another's.
+def test_ambiguous_head_is_rejected(head):
+    # Guards against response smuggling: two parsers would see different ends of
+    # the response, and a caller would receive bytes of another's.
     reader, events = read(OK + head + b"\r\n\r\nabc")
     assert reader.is_broken
-    assert not is_whole(events)
+    assert not is_complete(events)
 
 
-def test_head_without_end_is_refused():
-    # An upstream sends a header that never ends; the process must not keep it
-    # all in memory.
+def test_endless_head_is_rejected():
+    # Guards against unbounded memory use if an upstream sends a header that
+    # never ends.
     reader, _ = read(OK + b"X: ", *[b"a" * 1000] * 70)
     assert reader.is_broken
 
 
-def test_interim_answer_is_passed_over():
-    # An upstream says that it goes on, then answers.
+def test_interim_response_is_skipped():
+    # An upstream sends an interim response before the final one.
     interim = b"HTTP/1.1 100 Continue\r\n\r\n"
     reader, events = read(interim + OK + b"Content-Length: 1\r\n\r\n1")
     assert events[0].status == 200
-    assert list_bodies(events) == [b"1"] and is_whole(events)
+    assert join_bodies(events) == [b"1"] and is_complete(events)
 
 
-def test_answer_to_a_question_for_the_head_has_no_body():
-    # It announces the length that the body would have.
+def test_response_to_head_request_has_no_body():
+    # The response to HEAD announces the length that the body would have.
     _, events = read(OK + b"Content-Length: 9\r\n\r\n", is_bodiless=True)
-    assert is_whole(events) and list_bodies(events) == [b""]
+    assert is_complete(events) and join_bodies(events) == [b""]
 
 
 @given(data=strategies.binary(max_size=200))
-def test_nothing_that_comes_stops_the_reader(data):
-    # Whatever an upstream sends, it is read or found broken.
+def test_any_input_is_handled(data):
+    # Whatever an upstream sends is parsed or reported as broken.
     for start in (b"", OK, CHUNKED[:40]):
         read(start, data)
--- a/sycamorefall/transport/tests/test_server.py
+++ b/sycamorefall/transport/tests/test_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server against callers that are slow, hasty, odd or gone."""
+"""The HTTP server with callers that are slow, hasty, malformed or gone."""
 
 import contextlib
 import json
@@ -20,7 +20,7 @@
 
 
 class Site:
-    """A server on a loop that the test turns, by a clock the test sets."""
+    """A server on a loop and a clock that the test controls."""
 
     def __init__(self, shedding=None, **limits):
         port = fleet.reserve_ports(1)[0]
@@ -37,7 +37,8 @@
             read_clock=lambda: self.now,
             shedding=shedding,
         ).register(self.loop)
-        # As `run` does, but the test keeps the thread and turns the loop.
+        # Does what `run` does, but the test keeps the thread and runs the
+        # passes.
         self.loop._running = True
         self.loop._executing_thread = threading.current_thread()
         self.loop.fire(events.started(self.loop))
@@ -54,14 +55,14 @@
             self.now += 0.03
             call.respond(200, b"slow")
         if call.path == "/fault":
-            raise RuntimeError("a fault of ours")
+            raise RuntimeError("a test exception")
 
     def turn_until(self, check):
         for _ in range(TURNS):
             self.loop.tick(0.001)
             if found := check():
                 return found
-        raise AssertionError("the condition never came")
+        raise AssertionError("the condition was never met")
 
     def connect(self):
         caller = socket.create_connection(self.address.pair)
@@ -69,7 +70,7 @@
         return caller
 
     def read(self, caller, until, times=1):
-        """Reads until a text has come so often, or to the end."""
+        """Reads until a text was received that many times, or to the end."""
         parts = []
 
         def check():
@@ -96,10 +97,10 @@
 
 
 def test_slow_request_is_refused_when_its_time_is_over():
-    """A caller that sends a byte now and then can't hold a connection.
+    """Guards against a caller that holds a connection by sending slowly.
 
-    It begins a request and never ends it; without a limit on the whole
-    request each further byte would earn it more time.
+    The caller begins a request and never completes it. Without a time limit on
+    the whole request, each further byte would give it more time.
     """
     site = Site(header_timeout=20.0)
     caller = site.connect()
@@ -108,9 +109,9 @@
     site.advance(19.0)
     caller.send(b"Host: a\r\n")
     site.advance(1.0)
-    answer = site.read(caller, b"}}")
-    assert b"408" in answer.splitlines()[0]
-    assert b"request_timeout" in answer
+    response = site.read(caller, b"}}")
+    assert b"408" in response.splitlines()[0]
+    assert b"request_timeout" in response
     site.advance(20.0)
     assert site.read(caller, b"nothing more") == b""
 
@@ -126,11 +127,11 @@
     assert site.read(third, b"nothing") == b""
 
 
-def test_caller_that_takes_nothing_is_dropped():
-    """An answer nobody reads does not hold its connection for ever.
+def test_caller_that_reads_nothing_is_dropped():
+    """Guards against a caller that holds a connection by reading nothing.
 
-    The caller asks, then stops reading; what is unsent keeps a graceful
-    close waiting, and so the connection would outlive its request.
+    The caller sends a request, then stops reading. A graceful close waits for
+    the unsent bytes, so the connection would outlive its request.
     """
     site = Site(header_timeout=20.0)
     caller = site.connect()
@@ -147,10 +148,10 @@
 
 
 def test_pipelined_requests_are_answered_in_turn():
-    """The second of two requests waits for the first one's answer.
+    """Guards against responses in the wrong order for pipelined requests.
 
-    Both come in one packet; answered as they come, the first caller would
-    get the answer of the second.
+    Both requests arrive in one packet. If they were answered as their responses
+    become known, the first request would get the response to the second.
     """
     site = Site()
     caller = site.connect()
@@ -159,13 +160,13 @@
     caller.send(GET % b"now")
     assert [call.path for call in site.calls] == ["/later"]
     call.respond(200, b"first")
-    answer = site.read(caller, b"now", times=2)
-    assert answer.index(b"first") < answer.index(b"now")
-    assert answer.count(b"HTTP/1.1 200") == 3
+    response = site.read(caller, b"now", times=2)
+    assert response.index(b"first") < response.index(b"now")
+    assert response.count(b"HTTP/1.1 200") == 3
     assert [call.path for call in site.calls] == ["/later", "/now", "/now"]
 
 
-def test_hangup_is_told_once():
+def test_hangup_is_reported_once():
     site = Site()
     caller = site.connect()
     caller.send(GET % b"later")
@@ -177,7 +178,7 @@
     assert site.hung_up == ["/later"]
 
 
-def test_body_is_asked_for():
+def test_expect_continue_is_answered():
     site = Site()
     caller = site.connect()
     caller.send(
@@ -190,13 +191,15 @@
     assert site.calls[0].body == b"abc"
 
 
-def test_fault_in_a_handler_is_answered():
+def test_exception_in_a_handler_is_answered():
     site = Site()
     caller = site.connect()
     caller.send(GET % b"fault")
-    answer = site.read(caller, b"}}")
-    assert json.loads(answer.split(b"\r\n\r\n")[1])["error"]["ran"] == "unknown"
-    assert "a fault of ours" in site.turn_until(lambda: site.faults)[0]
+    response = site.read(caller, b"}}")
+    assert (
+        json.loads(response.split(b"\r\n\r\n")[1])["error"]["ran"] == "unknown"
+    )
+    assert "a test exception" in site.turn_until(lambda: site.faults)[0]
 
 
 requests = st.lists(
@@ -231,8 +234,8 @@
                 caller.send(part)
         with contextlib.suppress(OSError):
             caller.shutdown(socket.SHUT_WR)
-        answers = shared.read(caller, b"\0never")
-    for head in answers.split(b"HTTP/1.")[1:]:
+        responses = shared.read(caller, b"\0never")
+    for head in responses.split(b"HTTP/1.")[1:]:
         status = int(head.split(b" ")[1])
         assert status in (100, 200) or any(
             kind.encode() in head for kind in KINDS
@@ -241,10 +244,11 @@
     assert shared.faults == []
 
 
-def test_many_new_connections_are_taken_in_one_turn():
-    # A crowd of callers meets a small VM. Each turn of its loop costs time,
-    # and took one connection: the rest waited in the kernel until their
-    # deadlines, though their requests were there.
+def test_many_new_connections_are_accepted_in_one_turn():
+    # Guards against accepting too slowly. Many callers connect to a small VM.
+    # Each pass of its loop takes time and accepted one connection, so the
+    # others waited in the kernel until their deadlines although their requests
+    # had arrived.
     site = Site()
     site.turn_until(lambda: site.server.port)
     callers = [site.connect() for _ in range(40)]
@@ -257,9 +261,9 @@
         caller.close()
 
 
-def test_connection_made_before_listening_ends_is_served():
-    # A process stops as callers connect. Those whose connection the kernel
-    # has made already must get their answer, not a reset.
+def test_connection_established_before_listening_ends_is_served():
+    # Guards against resetting connections that the kernel has made when a
+    # process ends listening.
     site = Site()
     site.turn_until(lambda: site.server.port)
     callers = [site.connect() for _ in range(5)]
@@ -271,9 +275,10 @@
         caller.close()
 
 
-def test_request_of_a_caller_that_has_left_is_not_begun():
-    # A VM freezes; its callers give up and close. Awake again, it reads their
-    # requests first and the closing after, and has an engine work for nobody.
+def test_request_of_a_caller_that_has_left_is_not_started():
+    # Guards against work for callers that have left. A VM is frozen and its
+    # callers close their connections. On resuming, it reads their requests
+    # first and the end of input after, and an engine would run the requests.
     site = Site()
     site.turn_until(lambda: site.server.port)
     gone, waits = site.connect(), site.connect()
@@ -287,33 +292,35 @@
     waits.close()
 
 
-def test_crowd_beyond_what_can_be_served_is_refused_soon():
-    # A crowd meets a small VM. Its requests were read in turn, each later
-    # than the one before, until all were too late to be of use. Whoever would
-    # wait for longer than a tenth of a second is told at once to ask again.
-    site = Site(shedding=transport.Shedding(0.1, pause=0.2))
+def test_overload_is_refused_at_once():
+    # Guards against an overloaded VM that serves no request on time. It read
+    # the requests one after the other, each later than the one before, until
+    # all were too late. Requests that would wait for more than a tenth of a
+    # second must be refused at once with the advice to retry.
+    site = Site(shedding=transport.Shedding(0.1, retry_after=0.2))
     site.turn_until(lambda: site.server.port)
     callers = [site.connect() for _ in range(20)]
     site.turn_until(lambda: len(site.server._connections) == 20)
     for caller in callers:
         caller.sendall(GET % b"slow")
-    answers = [site.read(caller, b"\r\n\r\n") for caller in callers]
-    heads = [answer.splitlines()[0] for answer in answers]
+    responses = [site.read(caller, b"\r\n\r\n") for caller in callers]
+    heads = [response.splitlines()[0] for response in responses]
     assert len(site.calls) == heads.count(b"HTTP/1.1 200 OK") == 4
-    refused = [answer for answer in answers if b" 503 " in answer]
+    refused = [response for response in responses if b" 503 " in response]
     assert len(refused) == site.server.shed == 16
-    assert all(b"Retry-After: 0.2\r\n" in answer for answer in refused)
-    assert all(b'"ran":"no"' in answer for answer in refused)
+    assert all(b"Retry-After: 0.2\r\n" in response for response in refused)
+    assert all(b'"ran":"no"' in response for response in refused)
     later = site.connect()
     later.sendall(GET % b"now")
     assert b" 200 " in site.read(later, b"now")
 
 
-def test_callers_that_left_do_not_keep_those_that_wait(monkeypatch):
-    # A large team's callers all reach one small VM, which falls behind. They
-    # give up after a second, but it read the requests of all of them, in the
-    # order of arrival, before it came to callers that still waited: those
-    # had given up too by then, and so on for as long as the crowd came.
+def test_callers_that_left_do_not_delay_waiting_ones(monkeypatch):
+    # Guards against callers that left delaying those that still wait. Callers
+    # of a large team overload one small VM and give up after a second. The VM
+    # read all their requests in the order of arrival before those of callers
+    # that still waited; those had given up too by then, and so on for as long
+    # as the overload lasted.
     site = Site()
     site.turn_until(lambda: site.server.port)
     for _ in range(30):
@@ -323,28 +330,30 @@
     waits = site.connect()
     waits.sendall(GET % b"now")
     readers = []
-    take = request_reader.RequestReader.take
+    parse_request = request_reader.RequestReader.parse_request
     monkeypatch.setattr(
         request_reader.RequestReader,
-        "take",
-        lambda reader: readers.append(reader) or take(reader),
+        "parse_request",
+        lambda reader: readers.append(reader) or parse_request(reader),
     )
     assert b"now" in site.read(waits, b"now")
-    assert len(readers) <= 2, "one that has left is told of, no more are read"
+    assert len(readers) <= 2, (
+        "only the first request of a caller that left is parsed"
+    )
     waits.close()
     site.turn_until(lambda: not site.server._connections)
 
 
-def test_requests_that_came_while_a_vm_was_frozen_are_served():
-    # A VM freezes in the middle of a turn of its loop. The time that passed
-    # was taken for a crowd's, and all requests behind it were refused, though
-    # the VM had nothing else to do.
-    site = Site(shedding=transport.Shedding(0.1, pause=0.2))
+def test_requests_that_arrived_during_a_freeze_are_served():
+    # Guards against treating a freeze as overload. A VM is frozen during a turn
+    # of its loop. The elapsed time was taken for overload, and all later
+    # requests of the turn were refused although the VM had nothing else to do.
+    site = Site(shedding=transport.Shedding(0.1, retry_after=0.2))
     site.turn_until(lambda: site.server.port)
     callers = [site.connect() for _ in range(5)]
     site.turn_until(lambda: len(site.server._connections) == 5)
     callers[0].sendall(GET % b"frozen")
     for caller in callers[1:]:
         caller.sendall(GET % b"now")
-    answers = [site.read(caller, b"\r\n\r\n") for caller in callers]
-    assert [b" 200 " in answer for answer in answers] == [True] * 5
+    responses = [site.read(caller, b"\r\n\r\n") for caller in callers]
+    assert [b" 200 " in response for response in responses] == [True] * 5
