--- a/benchmarks/capacity_fleet.py
+++ b/benchmarks/capacity_fleet.py
@@ -110,7 +110,7 @@
         )
     else:
         membership.list_linked_routers(*view)
-        peers = [*state.links.routers, *state.links.siblings]
+        peers = [*state.links.linked_routers, *state.links.siblings]
     for name in peers:
         membership.record_peer_message(state.directory, now, name, 1, False)
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -161,7 +161,7 @@
     claimed: list[messages.Claim] = []
 
     def sweep_queues(serial: int) -> None:
-        router.next_sweep = 0.0
+        router.next_sweep_at = 0.0
         sweep.sweep_waiting(router, 1.0)
 
     def take_announcement(serial: int) -> None:
@@ -170,7 +170,7 @@
 
     def choose_and_claim(serial: int) -> None:
         sidecar.limit.cap = len(sidecar.claims.open) + 1
-        sidecar.limit.ahead = 0
+        sidecar.limit.extra_claims = 0
         claimed.extend(
             send.message for send in claiming.make_claims(sidecar, 1.0)
         )
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -120,7 +120,7 @@
     for node in fleet.nodes.values():
         if node.upstream is not None:
             if options.ahead is not None:
-                node.state.limit.ahead = options.ahead
+                node.state.limit.extra_claims = options.ahead
             prepare(node.state)
     slots = options.upstreams * options.slots
     arrivals = loads.plan_arrivals(
--- a/sycamorefall/admission/limit.py
+++ b/sycamorefall/admission/limit.py
@@ -38,8 +38,9 @@
 
     Attributes:
         cap: Configured maximum of requests in progress.
-        ahead: Claims made before a slot is free, which hides the round trip
-            of a claim. Their requests wait in the upstream's internal queue.
+        extra_claims: Claims made before a slot is free, which hides the
+            round trip of a claim. Their requests wait in the upstream's
+            internal queue.
         foreign: Requests at the upstream that this process did not start,
             according to the upstream's last load report.
         capacity: Measured number of requests that the upstream processes
@@ -49,7 +50,8 @@
         in_flight: Recent history of this process's requests at the upstream.
         reported_at: When the last load report was received.
         running_while_queued: Running requests according to the last load
-            report, if it showed more queued requests than `ahead`; else -1.
+            report, if it showed more queued requests than `extra_claims`;
+            else -1.
         baseline: Mean latency without queueing, in seconds; 0 if unknown.
         slow_mean: Highest mean latency since the limit began to decrease, in
             seconds; 0 while the limit is not decreasing.
@@ -63,7 +65,7 @@
     """
 
     cap: int = 1
-    ahead: int = 1
+    extra_claims: int = 1
     foreign: int = 0
     capacity: float = math.inf
     probing: bool = True
@@ -142,7 +144,9 @@
     Returns:
         Number of claims, not negative.
     """
-    return max(0, compute_own_limit(limit) + limit.ahead - running - claimed)
+    return max(
+        0, compute_own_limit(limit) + limit.extra_claims - running - claimed
+    )
 
 
 def count_startable(limit: ConcurrencyLimit) -> int:
@@ -161,5 +165,5 @@
         >>> count_startable(limit)
         3
     """
-    maximum = min(limit.cap, compute_own_limit(limit) + limit.ahead)
+    maximum = min(limit.cap, compute_own_limit(limit) + limit.extra_claims)
     return max(0, maximum - limit.in_flight.current)
--- a/sycamorefall/admission/load_reports.py
+++ b/sycamorefall/admission/load_reports.py
@@ -74,12 +74,12 @@
     """
     is_first = limit.reported_at == -math.inf
     record_foreign(limit, now, report)
-    surplus = report.queued > limit.ahead
+    surplus = report.queued > limit.extra_claims
     if surplus:
         _decrease_capacity(limit, report.running, is_first)
     elif is_first and report.slots:
         limit_module.set_capacity(limit, report.slots)
-    elif report.queued < limit.ahead and _was_used_up(limit, now):
+    elif report.queued < limit.extra_claims and _was_used_up(limit, now):
         limit_module.increase_capacity(limit, report.slots or math.inf)
     limit.running_while_queued = report.running if surplus else -1
 
--- a/sycamorefall/admission/wait_estimates.py
+++ b/sycamorefall/admission/wait_estimates.py
@@ -64,11 +64,11 @@
     Attributes:
         seconds: `RUN_QUANTILE` quantile of the time from the start of an
             attempt to its complete response; 0 if unknown.
-        last_answer: Time of the last complete response.
+        last_response_at: Time of the last complete response.
     """
 
     seconds: float = 0.0
-    last_answer: float = 0.0
+    last_response_at: float = 0.0
 
 
 def record_run_time(run_time: RunTime, now: float, seconds: float) -> None:
@@ -85,7 +85,7 @@
         seconds: Seconds from the start of the attempt to the complete
             response.
     """
-    run_time.last_answer = now
+    run_time.last_response_at = now
     if run_time.seconds == 0.0:
         run_time.seconds = seconds
     elif seconds > run_time.seconds:
--- a/sycamorefall/direct/replica.py
+++ b/sycamorefall/direct/replica.py
@@ -349,7 +349,7 @@
 def _handle_reader_state(
     replica: Replica, now: float, sender: str, state: messages.ReaderState
 ) -> list[Effect]:
-    if state.process != replica.incarnation:
+    if state.process_incarnation != replica.incarnation:
         return []
     readers = replica.readers
     if sender in readers.subscriptions:
--- a/sycamorefall/membership/links.py
+++ b/sycamorefall/membership/links.py
@@ -49,8 +49,9 @@
             preference.
         degrees: At a router, number of sidecars to which it is linked, by
             service. These are the first ones in `ranked`.
-        routers: At a sidecar, names of the routers to which it is linked.
-        unlinked: At a sidecar, names of all other routers.
+        linked_routers: At a sidecar, names of the routers to which it is
+            linked.
+        unlinked_routers: At a sidecar, names of all other routers.
         siblings: At a sidecar, names of the other sidecars of its service.
     """
 
@@ -58,8 +59,8 @@
     computed_at: float = 0.0
     ranked: dict[str, list[str]] = dataclasses.field(default_factory=dict)
     degrees: dict[str, int] = dataclasses.field(default_factory=dict)
-    routers: list[str] = dataclasses.field(default_factory=list)
-    unlinked: list[str] = dataclasses.field(default_factory=list)
+    linked_routers: list[str] = dataclasses.field(default_factory=list)
+    unlinked_routers: list[str] = dataclasses.field(default_factory=list)
     siblings: list[str] = dataclasses.field(default_factory=list)
 
 
@@ -207,12 +208,12 @@
     _update_links(links, directory, now, own)
     recently_heard = [
         name
-        for name in links.unlinked
+        for name in links.unlinked_routers
         if name in directory.peers
         and now - directory.peers[name].heard_at
         <= directory_module.SUSPECT_AFTER
     ]
-    return links.routers + recently_heard
+    return links.linked_routers + recently_heard
 
 
 def list_unlinked_routers(
@@ -220,7 +221,7 @@
 ) -> list[str]:
     """Lists the routers to which a sidecar is not linked."""
     _update_links(links, directory, now, own)
-    return links.unlinked
+    return links.unlinked_routers
 
 
 def list_siblings(
@@ -244,7 +245,7 @@
     sidecars = [vm for vm in vms if vm.role is role.UPSTREAM]
     entry = directory.vms.get(own)
     links.ranked, links.degrees = {}, {}
-    links.routers, links.unlinked, links.siblings = [], [], []
+    links.linked_routers, links.unlinked_routers, links.siblings = [], [], []
     if entry is None:
         return
     if entry.role is role.ROUTER:
@@ -278,5 +279,7 @@
     for router in routers:
         ranked, degree = rank_sidecars(router, in_service, len(routers))
         linked = sidecar.name in ranked[:degree]
-        (links.routers if linked else links.unlinked).append(router.name)
+        (links.linked_routers if linked else links.unlinked_routers).append(
+            router.name
+        )
     links.siblings = [vm.name for vm in in_service if vm.name != sidecar.name]
--- a/sycamorefall/messages/records.py
+++ b/sycamorefall/messages/records.py
@@ -56,9 +56,9 @@
     """Revision and age of a router's records, sent to a subscriber.
 
     Attributes:
-        process: Incarnation of the subscriber's process for which the message
-            is meant. A later process has another clock, by which `proven_at`
-            would be another time.
+        process_incarnation: Incarnation of the subscriber's process for which
+            the message is meant. A later process has another clock, by which
+            `proven_at` would be another time.
         revision: Revision up to which the sender has the records.
         proven_at: Time at which the sender's records were proven to be the
             latest, in seconds by the subscriber's clock. The conversion between
@@ -66,7 +66,7 @@
         reads_succeed: Whether the sender's reads of the platform succeed.
     """
 
-    process: int
+    process_incarnation: int
     revision: int
     proven_at: float
     reads_succeed: bool
--- a/sycamorefall/node.py
+++ b/sycamorefall/node.py
@@ -47,7 +47,7 @@
         find_next_due: Returns the time at which the next action is due.
         apply_configuration: Called after a configuration or VM list has come
             into force.
-        perform_effects: Called with each effect that is not a control message.
+        perform_effect: Called with each effect that is not a control message.
         is_idle: Tells whether nothing is in progress, so that a stopping
             process may exit.
         begin_stop: Makes the decision logic accept no new work.
@@ -61,7 +61,7 @@
     run_timers: Callable[[float], Iterable]
     find_next_due: Callable[[], float]
     apply_configuration: Callable[[], None]
-    perform_effects: Callable[[object], None]
+    perform_effect: Callable[[object], None]
     is_idle: Callable[[], bool]
     begin_stop: Callable[[], None]
 
@@ -270,7 +270,7 @@
             )
             node.control.send(effect.to, envelope)
         else:
-            node.core.perform_effects(effect)
+            node.core.perform_effect(effect)
 
 
 def _get_control_address(
--- a/sycamorefall/router/daemon.py
+++ b/sycamorefall/router/daemon.py
@@ -47,9 +47,7 @@
         run_timers=lambda now: core.run_timers(state, now),
         find_next_due=lambda: core.find_next_due(state),
         apply_configuration=lambda: core.apply_configuration(state),
-        perform_effects=lambda effect: relay.perform_effect(
-            node, proxy, effect
-        ),
+        perform_effect=lambda effect: relay.perform_effect(node, proxy, effect),
         is_idle=lambda: not state.requests and not proxy.calls,
         begin_stop=lambda: core.begin_stop(state),
     )
--- a/sycamorefall/router/estimates.py
+++ b/sycamorefall/router/estimates.py
@@ -68,7 +68,7 @@
     Returns 0 if the latest sample is older than `admission.RATE_LIFETIME`.
     """
     run_time = state.run_times.get(service, admission.RunTime())
-    stale = now - run_time.last_answer > admission.RATE_LIFETIME
+    stale = now - run_time.last_response_at > admission.RATE_LIFETIME
     return 0.0 if stale else run_time.seconds
 
 
--- a/sycamorefall/router/state.py
+++ b/sycamorefall/router/state.py
@@ -180,7 +180,7 @@
             queued again at that time; may contain answered requests.
         outages: Time since which a service can't run requests, by service.
         unswept_queues: Queues not yet visited in the current sweep.
-        next_sweep: When waiting requests are next swept.
+        next_sweep_at: When waiting requests are next swept.
         announced_counts: Waiting requests as known to the sidecars that claim,
             by service and team: the last announced count minus the requests
             that have left since.
@@ -236,7 +236,7 @@
     unswept_queues: list[tuple[str, str]] = dataclasses.field(
         default_factory=list
     )
-    next_sweep: float = 0.0
+    next_sweep_at: float = 0.0
     announced_counts: dict[tuple[str, str], int] = dataclasses.field(
         default_factory=dict
     )
--- a/sycamorefall/router/sweep.py
+++ b/sycamorefall/router/sweep.py
@@ -33,7 +33,7 @@
     idle = not (
         state.waiting.total or state.drain_rates or state.retry_budgets.teams
     )
-    sweep = float("inf") if idle else state.next_sweep
+    sweep = float("inf") if idle else state.next_sweep_at
     return min(sweep, *backoffs, float("inf"))
 
 
@@ -70,9 +70,9 @@
     Returns:
         Answers and messages.
     """
-    if now < state.next_sweep or state.versions.configuration is None:
+    if now < state.next_sweep_at or state.versions.configuration is None:
         return []
-    state.next_sweep = now + SWEEP_INTERVAL
+    state.next_sweep_at = now + SWEEP_INTERVAL
     answers = _refuse_during_outages(state, now)
     if not state.unswept_queues:
         state.unswept_queues = queues.list_queues(state.waiting)
--- a/sycamorefall/sidecar/daemon.py
+++ b/sycamorefall/sidecar/daemon.py
@@ -108,7 +108,7 @@
         run_timers=lambda now: core.run_timers(state, now),
         find_next_due=lambda: core.find_next_due(state),
         apply_configuration=lambda: core.apply_configuration(state),
-        perform_effects=lambda effect: _perform_effect(node, proxy, effect),
+        perform_effect=lambda effect: _perform_effect(node, proxy, effect),
         is_idle=lambda: core.is_idle(state),
         begin_stop=lambda: core.begin_stop(state),
     )
--- a/sycamorefall/sidecar/hinting.py
+++ b/sycamorefall/sidecar/hinting.py
@@ -173,6 +173,6 @@
     next_send_time = sharing.compute_next_send_time(state.hint_budget)
     if _should_hint(state):
         return next_send_time
-    if not state.links.unlinked:
+    if not state.links.unlinked_routers:
         return float("inf")
     return max(next_send_time, state.next_search_at)
--- a/sycamorefall/sidecar/tests/test_claiming.py
+++ b/sycamorefall/sidecar/tests/test_claiming.py
@@ -55,7 +55,7 @@
 def test_full_sidecar_claims_ahead_for_a_backlog():
     state = create_sidecar(sidecars=4, slots=2)
     claims = announce(state, 0.0, "router-0", {"flood": 50})
-    assert len(claims) == 2 + state.limit.ahead
+    assert len(claims) == 2 + state.limit.extra_claims
 
 
 def test_failed_router_costs_one_lease_in_total_not_one_per_request():
