--- a/sycamorefall/configuration/ini_reader.py
+++ b/sycamorefall/configuration/ini_reader.py
@@ -51,4 +51,4 @@
         text.encode("utf-8")
     except UnicodeEncodeError as error:
         line = text.count("\n", 0, error.start) + 1
-        raise errors.ConfigurationRefused(line, "not valid Unicode") from error
+        raise errors.ConfigurationRefused(line, "not Unicode") from error
--- a/sycamorefall/configuration/schema.py
+++ b/sycamorefall/configuration/schema.py
@@ -62,7 +62,8 @@
         prompt_weight: Cost units of one prompt token.
         output_weight: Cost units of one output token.
         upstreams_check_orders: Whether the service's upstreams refuse a
-            request that carries an outdated fencing number.
+            command to an engine, such as to load a model, that carries an
+            outdated fencing number.
     """
 
     name: str
--- a/sycamorefall/configuration/text.py
+++ b/sycamorefall/configuration/text.py
@@ -156,7 +156,7 @@
     limits = [block.limits for _, block in parsed if block.limits is not None]
     if len(limits) > 1:
         raise errors.ConfigurationRefused(
-            lines.find("limits"), "[limits] is listed twice"
+            lines.find("limits"), "section [limits] is there twice"
         )
     _check_dependencies(services, lines)
     return schema.Configuration(
@@ -205,7 +205,7 @@
     for section, name in selected:
         if not _NAME.match(name):
             raise errors.ConfigurationRefused(
-                lines.find(section), f"invalid {kind} name {name!r}"
+                lines.find(section), f"bad {kind} name {name!r}"
             )
         if counts[name] > 1:
             raise errors.ConfigurationRefused(
@@ -238,7 +238,7 @@
             )
     if "name" in options:
         raise errors.ConfigurationRefused(
-            lines.find(section, "name"), f"[{section}]: unknown option `name`"
+            lines.find(section, "name"), f"[{section}]: unknown key name"
         )
     fields = options | {"name": name, "keys_sha256": keys}
     return _convert_options(fields, schema.Team, section, lines)
@@ -250,7 +250,7 @@
     section = f"service {name}"
     if "name" in options:
         raise errors.ConfigurationRefused(
-            lines.find(section, "name"), f"[{section}]: unknown option `name`"
+            lines.find(section, "name"), f"[{section}]: unknown key name"
         )
     depends_on = _split_list(options.pop("depends_on", ""))
     fields = options | {"name": name, "depends_on": depends_on}
@@ -315,8 +315,7 @@
             if dependency not in services:
                 raise errors.ConfigurationRefused(
                     lines.find(f"service {service.name}", "depends_on"),
-                    f"service {service.name} depends on unknown "
-                    f"service {dependency}",
+                    f"service {service.name} depends on unknown {dependency}",
                 )
     dependencies = {
         name: service.depends_on for name, service in services.items()
--- a/sycamorefall/replication/replica.py
+++ b/sycamorefall/replication/replica.py
@@ -353,7 +353,7 @@
 def describe_alarms(state: ReplicaState) -> tuple[str, ...]:
     """Describes problems of the platform that operators have to fix."""
     return tuple(
-        f"the platform publishes {kind.value} revision {revision}, lower than "
+        f"the platform shows {kind.value} revision {revision}, lower than "
         "the one in use: it is ignored until it is higher"
         for kind, revision in state.lagging_revisions.items()
     )
--- a/sycamorefall/router/request_parsing.py
+++ b/sycamorefall/router/request_parsing.py
@@ -104,7 +104,7 @@
         service, path = _read_service_path(call, in_force)
     else:
         kind = errors.ErrorKind.UNKNOWN_SERVICE
-        raise _Refused(kind, f"unknown path {call.path}")
+        raise _Refused(kind, f"nothing is served at {call.path}")
     return state_module.NewRequest(
         service=service.name,
         team=team,
@@ -137,7 +137,7 @@
 ) -> tuple[configuration.Service, str]:
     if call.method != "POST":
         kind = errors.ErrorKind.METHOD_NOT_ALLOWED
-        raise _Refused(kind, "completions require the method POST")
+        raise _Refused(kind, "completions are asked for with POST")
     try:
         completion = _completion_decoder.decode(call.body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
@@ -180,7 +180,7 @@
     timeout = _read_number(call, TIMEOUT_HEADER, limits.default_timeout)
     if timeout == 0.0:
         kind = errors.ErrorKind.MALFORMED_REQUEST
-        raise _Refused(kind, f"{TIMEOUT_HEADER}: expected a number above 0")
+        raise _Refused(kind, f"{TIMEOUT_HEADER}: expected more than 0")
     return min(timeout, limits.max_timeout)
 
 
@@ -194,7 +194,7 @@
         number = math.nan
     if not (math.isfinite(number) and number >= 0):
         kind = errors.ErrorKind.MALFORMED_REQUEST
-        raise _Refused(kind, f"{name}: expected a number of at least 0")
+        raise _Refused(kind, f"{name}: expected a number, not below 0")
     return number
 
 
--- a/sycamorefall/router/status.py
+++ b/sycamorefall/router/status.py
@@ -49,7 +49,7 @@
     common = pages.list_common_unready_reasons(node)
     if _list_available_services(state, transport.read_clock()):
         return common
-    return (*common, "no service has a usable upstream")
+    return (*common, "no upstream of any service is reached")
 
 
 def _list_available_services(
--- a/sycamorefall/sidecar/status.py
+++ b/sycamorefall/sidecar/status.py
@@ -140,11 +140,11 @@
         "running": (len(state.runs), "Requests in progress at the upstream."),
         "claimed": (
             len(state.claims.open),
-            "Claims whose request has not arrived yet.",
+            "Claims not yet fulfilled.",
         ),
         "limit": (
             admission.compute_own_limit(state.limit),
-            "Concurrency limit for this sidecar's requests.",
+            "Most requests in progress.",
         ),
         "foreign": (
             state.limit.foreign,
