--- a/sycamorefall/admission/count_history.py
+++ b/sycamorefall/admission/count_history.py
@@ -64,7 +64,7 @@
 
     Args:
         history: The history; buckets older than the window are dropped.
-        now: This process's time.
+        now: This process's time, in seconds.
 
     Returns:
         Minimum and maximum, including the current value.
--- a/sycamorefall/admission/latency.py
+++ b/sycamorefall/admission/latency.py
@@ -53,7 +53,7 @@
 
     Args:
         limit: The limit; changed.
-        now: This process's time.
+        now: This process's time, in seconds.
         latency: Seconds that the upstream took to respond.
         is_engine: Whether the upstream is a model engine.
     """
--- a/sycamorefall/admission/load_reports.py
+++ b/sycamorefall/admission/load_reports.py
@@ -39,13 +39,12 @@
     """Updates the number of foreign requests from a load report.
 
     The report describes an unknown time within the last
-    `limit.MAX_REPORT_LAG` seconds.
-    Only what exceeds the maximum of this process's own requests within that
-    time is certainly foreign.
+    `limit.MAX_REPORT_LAG` seconds. Only what exceeds the maximum of this
+    process's own requests within that time is certainly foreign.
 
     Args:
         limit: The limit; changed.
-        now: This process's time.
+        now: This process's time, in seconds.
         report: The report.
     """
     _, maximum = count_history.compute_range(limit.in_flight, now)
@@ -69,7 +68,7 @@
 
     Args:
         limit: The limit; changed.
-        now: This process's time.
+        now: This process's time, in seconds.
         report: The report.
     """
     is_first = limit.reported_at == -math.inf
--- a/sycamorefall/admission/wait_estimates.py
+++ b/sycamorefall/admission/wait_estimates.py
@@ -126,7 +126,7 @@
 
     Args:
         rate: The queue's drain rate.
-        now: This process's time.
+        now: This process's time, in seconds.
         busy_since: Time since which the queue has not been empty, as for
             `record_departure`; None if the queue is empty.
 
@@ -159,7 +159,7 @@
     ahead: int,
     time_left: float,
 ) -> bool:
-    """Tells whether a request is expected to wait beyond its deadline.
+    """Returns whether a request is expected to wait beyond its deadline.
 
     An outdated low rate must not refuse requests forever. A request that no
     other precedes is therefore never refused: its departure yields a new
@@ -170,7 +170,7 @@
         interval: Mean seconds between departures, of
             `compute_departure_interval`.
         ahead: Requests that leave before the request.
-        time_left: Seconds until the request has to be handed out.
+        time_left: Seconds until the request has to leave the queue.
 
     Returns:
         Whether the request is to be refused at once.
@@ -181,7 +181,7 @@
 
 
 def is_stale(rate: DrainRate, now: float) -> bool:
-    """Tells whether an idle queue's rate is too old to be used."""
+    """Returns whether an idle queue's rate is too old to be used."""
     return now - rate.last_departure > RATE_LIFETIME
 
 
--- a/sycamorefall/authentication.py
+++ b/sycamorefall/authentication.py
@@ -126,7 +126,7 @@
         return _sign_order(self._keys[0], sidecar, order, body)
 
     def verify_order(self, order: str, body: bytes, digest: str) -> bool:
-        """Tells whether one of the keys signed an order to this sidecar."""
+        """Returns whether one of the keys signed an order to this sidecar."""
         if not self._keys:
             return True
         expected = [
@@ -151,7 +151,7 @@
         return _sign_body(self._keys[0], path, body) if self._keys else ""
 
     def verify_body(self, path: str, body: bytes, digest: str) -> bool:
-        """Tells whether one of the keys signed a body between replicas."""
+        """Returns whether one of the keys signed a body between replicas."""
         if not self._keys:
             return True
         given = digest.encode("latin-1", "replace")
@@ -202,8 +202,8 @@
         return Authenticator(vm)
     try:
         lines = pathlib.Path(path).read_bytes().split()
-    except OSError as fault:
-        raise errors.SettingsRefused(f"shared_key_file: {fault}") from fault
+    except OSError as error:
+        raise errors.SettingsRefused(f"shared_key_file: {error}") from error
     if not lines or min(map(len, lines)) < MIN_KEY_LENGTH:
         raise errors.SettingsRefused(
             f"shared_key_file {path}: expected keys of at least "
--- a/sycamorefall/configuration/polling.py
+++ b/sycamorefall/configuration/polling.py
@@ -70,7 +70,7 @@
 
     Attributes:
         interval: Seconds between two polls, before jitter.
-        random: Random number generator of the jitter.
+        rng: Random number generator of the jitter.
         next_read_at: Time at which the next read is due.
         watching: Whether this process watches the value, instead of polling.
         read_unconditionally: Whether the next read asks for the value even if
@@ -81,7 +81,7 @@
     """
 
     interval: float
-    random: random.Random
+    rng: random.Random
     next_read_at: float
     watching: bool = False
     read_unconditionally: bool = True
@@ -130,7 +130,7 @@
         interval: Seconds between two polls, before jitter.
         start_spread: Seconds over which the first reads are spread.
         seed: Seed of the jitter.
-        now: Current time, in seconds of this process's clock.
+        now: This process's time, in seconds.
 
     Returns:
         The schedule.
@@ -149,7 +149,7 @@
 
     Args:
         schedule: The schedule; changed.
-        now: Current time, in seconds of this process's clock.
+        now: This process's time, in seconds.
         watching: Whether this process is to watch the value from now on.
     """
     if watching and not schedule.watching:
@@ -167,11 +167,11 @@
 
     Args:
         schedule: The schedule; changed.
-        now: Current time, in seconds of this process's clock.
+        now: This process's time, in seconds.
     """
     schedule.skip_wait = True
     if not schedule.failures:
-        soon = now + schedule.random.uniform(0.0, WATCH_START_SPREAD)
+        soon = now + schedule.rng.uniform(0.0, WATCH_START_SPREAD)
         schedule.next_read_at = min(schedule.next_read_at, soon)
 
 
@@ -204,7 +204,7 @@
 
     Args:
         schedule: The schedule; changed.
-        now: Current time, in seconds of this process's clock.
+        now: This process's time, in seconds.
         read: The read that was answered.
         useful: Whether the response was that of a first unconditional read,
             brought a higher revision, or came after most of the wait.
@@ -216,9 +216,9 @@
     schedule.read_unconditionally = False
     schedule.skip_wait = False
     if schedule.watching:
-        pause = schedule.random.uniform(0.0, MAX_WATCH_PAUSE)
+        pause = schedule.rng.uniform(0.0, MAX_WATCH_PAUSE)
     else:
-        pause = schedule.interval * schedule.random.uniform(0.5, 1.5)
+        pause = schedule.interval * schedule.rng.uniform(0.5, 1.5)
     schedule.next_read_at = now + pause
 
 
@@ -234,12 +234,12 @@
 
     Args:
         schedule: The schedule; changed.
-        now: Current time, in seconds of this process's clock.
+        now: This process's time, in seconds.
         retry_after: Value of the platform's Retry-After header, in seconds.
     """
     doubled = INITIAL_BACKOFF * 2.0 ** min(schedule.failures, 16)
-    pause = min(MAX_BACKOFF, doubled) * schedule.random.uniform(0.5, 1.5)
+    pause = min(MAX_BACKOFF, doubled) * schedule.rng.uniform(0.5, 1.5)
     requested = min(retry_after, MAX_RETRY_AFTER)
-    requested *= schedule.random.uniform(1.0, 1.5)
+    requested *= schedule.rng.uniform(1.0, 1.5)
     schedule.failures += 1
     schedule.next_read_at = now + max(pause, requested)
--- a/sycamorefall/dispatch/outcomes.py
+++ b/sycamorefall/dispatch/outcomes.py
@@ -46,11 +46,11 @@
     """Records of the attempts that one sidecar process was sent.
 
     Attributes:
-        started: Ids of the attempts in progress. They don't expire. If they
+        started: IDs of the attempts in progress. They don't expire. If they
             did, a long run would be reported as never seen, and its request
             would be run a second time.
         settled: Records of attempts that were refused or have ended, by attempt
-            id, earliest first.
+            ID, earliest first.
     """
 
     started: set[str] = dataclasses.field(default_factory=set)
--- a/sycamorefall/dispatch/tests/model.py
+++ b/sycamorefall/dispatch/tests/model.py
@@ -92,12 +92,12 @@
         processes: VMs and their processes by VM name.
         pending_messages: Control messages in transit, with the receiver's VM
             name.
-        pending_attempts: Ids of the attempts whose requests are in transit to a
+        pending_attempts: IDs of the attempts whose requests are in transit to a
             sidecar.
         pending_replies: Attempts whose results are in transit to the router,
             and the results.
-        connections: Connections by attempt id.
-        runs: Names of the requests that run at an upstream, by attempt id.
+        connections: Connections by attempt ID.
+        runs: Names of the requests that run at an upstream, by attempt ID.
         start_counts: How often each request was started at an upstream.
         idempotent: Whether each request is idempotent, by its name.
         final_answers: Error kind, empty for success, and the reported
--- a/sycamorefall/dispatch/tests/test_outcomes_scenarios.py
+++ b/sycamorefall/dispatch/tests/test_outcomes_scenarios.py
@@ -20,7 +20,7 @@
             slots; otherwise a sidecar claims it.
 
     Returns:
-        The fleet and the id of the attempt.
+        The fleet and the ID of the attempt.
     """
     fleet = model.Fleet()
     fleet.advance_connected(1.0)
--- a/sycamorefall/membership/directory.py
+++ b/sycamorefall/membership/directory.py
@@ -239,7 +239,7 @@
 def is_outdated(
     directory: Directory, now: float, name: str, incarnation: int
 ) -> bool:
-    """Checks whether a message is from a process that has been replaced.
+    """Returns whether a message is from a process that has been replaced.
 
     A late message of an old process must not replace the state of the new
     process; the new one would then seem to have restarted again. Later
@@ -342,14 +342,14 @@
 def is_usable_upstream(
     directory: Directory, now: float, name: str, service: str
 ) -> bool:
-    """Checks whether a VM is an upstream of a service and usable."""
+    """Returns whether a VM is an upstream of a service and usable."""
     vm = directory.vms.get(name)
     known = vm is not None and vm.service == service
     return known and _is_usable(directory, now, vm)
 
 
 def has_usable_upstream(directory: Directory, now: float, service: str) -> bool:
-    """Checks whether any upstream of a service may get new requests."""
+    """Returns whether any upstream of a service may get new requests."""
     listed = _list_service_vms(directory, service)
     return any(_is_usable(directory, now, vm) for vm in listed)
 
--- a/sycamorefall/membership/links.py
+++ b/sycamorefall/membership/links.py
@@ -155,10 +155,10 @@
 
     A failure may remove all linked sidecars of a service, such as the loss of a
     rack or failure domain, while the platform's list still contains them. To
-    avoid that callers are told that there is no upstream although others are
-    idle, the list is extended by one further sidecar, in order of preference,
-    for each linked one that is silent. A sidecar responds to any router that it
-    hears from.
+    avoid refusing requests for lack of an upstream although others are idle,
+    the list is extended by one further sidecar, in order of preference, for
+    each linked one that is silent. A sidecar responds to any router that sends
+    it a message.
 
     Args:
         links: The router's links; updated if the list of VMs has changed.
--- a/sycamorefall/messages/attempts.py
+++ b/sycamorefall/messages/attempts.py
@@ -33,7 +33,7 @@
 """HTTP path at which a sidecar accepts attempt requests."""
 
 ATTEMPT_HEADER = "Sycamorefall-Attempt"
-"""Header of a sidecar's response: id of the attempt that it answers."""
+"""Header of a sidecar's response: ID of the attempt that it answers."""
 
 ORDER_HEADER = "Sycamorefall-Order"
 """Header of an attempt request: its encoded `AttemptOrder`."""
@@ -115,8 +115,8 @@
     It is sent in one header of the attempt request, as Base64 of MessagePack.
 
     Attributes:
-        attempt_id: Id, unique over all routers, incarnations and attempts.
-        claim_id: Number of the sidecar's claim that the attempt answers, or
+        attempt_id: ID, unique over all routers, incarnations and attempts.
+        claim_id: Number of the sidecar's claim that the attempt redeems, or
             `UNCLAIMED`.
         router: VM name of the router.
         incarnation: Incarnation of the router's process.
@@ -132,7 +132,7 @@
         sidecar: VM name of the receiving sidecar.
         sidecar_incarnation: Incarnation of the receiving process.
         hinted: If the attempt is an offer, `Heartbeat.clock_seconds` of the
-            sidecar's hint at free slots that led to it.
+            sidecar's hint of free slots that led to it.
     """
 
     attempt_id: str
@@ -180,5 +180,5 @@
         binascii.Error,
         ValueError,
         RecursionError,
-    ) as fault:
-        raise errors.MessageRefused(str(fault)) from fault
+    ) as error:
+        raise errors.MessageRefused(str(error)) from error
--- a/sycamorefall/messages/envelope.py
+++ b/sycamorefall/messages/envelope.py
@@ -79,7 +79,7 @@
     """
     try:
         return _envelope_decoder.decode(data)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         # Nesting that is too deep raises RecursionError. Uncaught, it would
         # reach the event loop, and the reader of the link would not run again.
-        raise errors.MessageRefused(str(fault)) from fault
+        raise errors.MessageRefused(str(error)) from error
--- a/sycamorefall/names.py
+++ b/sycamorefall/names.py
@@ -39,8 +39,8 @@
 
 
 MAX_NUMBERED_TEAMS = 1000
-"""Most teams in the configuration up to which all names are numbered; if there
-are more teams, their names are sent as digests."""
+"""Maximum number of teams in the configuration up to which all names are
+numbered; if there are more teams, their names are sent as digests."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -48,7 +48,7 @@
     """Names that a process of a peer has defined.
 
     Attributes:
-        incarnation: Number of the peer's process.
+        incarnation: Incarnation of the peer's process.
         names: Names by index.
     """
 
--- a/sycamorefall/node.py
+++ b/sycamorefall/node.py
@@ -39,7 +39,7 @@
 
     Attributes:
         vm: Name of this VM.
-        incarnation: Number of this process.
+        incarnation: Incarnation of this process.
         versions: Configuration in force.
         directory: VMs of the fleet.
         receive: Handles a control message and returns effects.
@@ -48,7 +48,7 @@
         apply_configuration: Called after a configuration or VM list has come
             into force.
         perform_effect: Called with each effect that is not a control message.
-        is_idle: Tells whether nothing is in progress, so that a stopping
+        is_idle: Returns whether nothing is in progress, so that a stopping
             process may exit.
         begin_stop: Makes the decision logic accept no new work.
     """
@@ -213,7 +213,7 @@
 
 
 def run_node(node: Node) -> None:
-    """Runs a process until it is told to stop and nothing is in progress."""
+    """Runs a process until it is stopped and nothing is in progress."""
     core = node.core
     observation.write_record(
         observation.Level.INFO,
--- a/sycamorefall/replication/peers.py
+++ b/sycamorefall/replication/peers.py
@@ -86,7 +86,7 @@
 
     Args:
         state: The replica; changed.
-        now: Current time, in seconds of this process's clock.
+        now: This process's time, in seconds.
         envelope: The received message with its sender.
     """
     sender, message = envelope.sender, envelope.message
@@ -112,7 +112,7 @@
         state.peers_ahead.discard(name)
         return
     if not state.peers_ahead:
-        soon = now + state.jitter.uniform(0.0, FETCH_JITTER)
+        soon = now + state.rng.uniform(0.0, FETCH_JITTER)
         state.next_fetch_at = max(state.next_fetch_at, soon)
     state.peers_ahead.add(name)
 
@@ -153,7 +153,7 @@
 
     Args:
         state: The replica; changed.
-        now: Current time, in seconds of this process's clock.
+        now: This process's time, in seconds.
 
     Returns:
         Data addresses of the peers, `IP:port`.
@@ -181,7 +181,7 @@
     if not free:
         state.next_fetch_at = now + CHOICE_INTERVAL
         return []
-    name, address = state.jitter.choice(free)
+    name, address = state.rng.choice(free)
     state.fetched_views[name] = state.peer_views[name]
     return [address]
 
@@ -213,7 +213,7 @@
     ]
     pool = untried or free
     room = min(MAX_STARTUP_FETCHES - len(state.fetching), len(pool))
-    chosen = state.jitter.sample(pool, max(0, room))
+    chosen = state.rng.sample(pool, max(0, room))
     state.tried_addresses.update(chosen)
     return chosen
 
@@ -231,7 +231,7 @@
 
     Args:
         state: The replica; changed.
-        now: Current time, in seconds of this process's clock.
+        now: This process's time, in seconds.
         address: Data address of the peer.
         settled: Whether the peer was settled.
     """
@@ -239,7 +239,7 @@
     state.failures.pop(address, None)
     state.settled_by_address[address] = settled
     if not settled:
-        pause = INITIAL_BACKOFF * state.jitter.uniform(0.5, 1.5)
+        pause = INITIAL_BACKOFF * state.rng.uniform(0.5, 1.5)
         state.blocked_until[address] = now + pause
     update_peers_ahead(state, now)
 
@@ -254,7 +254,7 @@
 
     Args:
         state: The replica; changed.
-        now: Current time, in seconds of this process's clock.
+        now: This process's time, in seconds.
         address: Data address of the peer.
     """
     state.fetching.discard(address)
@@ -262,7 +262,7 @@
     state.failures[address] = failed + 1
     max_pause = MAX_BACKOFF if state.settled else 2 * INITIAL_BACKOFF
     pause = min(max_pause, INITIAL_BACKOFF * 2.0 ** min(failed, 8))
-    state.blocked_until[address] = now + pause * state.jitter.uniform(0.5, 1.5)
+    state.blocked_until[address] = now + pause * state.rng.uniform(0.5, 1.5)
     for name, vm in state.directory.vms.items():
         if vm.data == address:
             state.fetched_views.pop(name, None)
--- a/sycamorefall/replication/replica.py
+++ b/sycamorefall/replication/replica.py
@@ -99,7 +99,7 @@
             settled.
         fixed_peers: Addresses of peers to fetch from before a VM list is
             known.
-        jitter: Random number generator of jitter and random choices.
+        rng: Random number generator of jitter and random choices.
         settled: Whether enough peers and the platform have answered since the
             start, so that the process may serve.
         published_revisions: Revision in the platform's last response, by
@@ -126,7 +126,7 @@
     versions: configuration.VersionState
     directory: membership.Directory
     fixed_peers: tuple[str, ...] = ()
-    jitter: random.Random = dataclasses.field(
+    rng: random.Random = dataclasses.field(
         default_factory=lambda: random.Random(0)
     )
     startup_versions: configuration.VersionState = dataclasses.field(
--- a/sycamorefall/replication/settling.py
+++ b/sycamorefall/replication/settling.py
@@ -44,7 +44,7 @@
 
     Args:
         state: The replica; changed.
-        now: Current time, in seconds of this process's clock.
+        now: This process's time, in seconds.
 
     Returns:
         The changes; empty if the process doesn't settle now.
--- a/sycamorefall/router/announcement.py
+++ b/sycamorefall/router/announcement.py
@@ -51,8 +51,8 @@
     allows it, together with other changes that were received at the same time.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
         service: Name of the service.
         team: Name of the team.
 
@@ -90,7 +90,7 @@
 
 
 def _is_urgent(state: state_module.RouterState, key: tuple[str, str]) -> bool:
-    """Tells whether a team has waiting requests that no sidecar may know of.
+    """Returns whether a team has waiting requests that no sidecar may know of.
 
     Such a team may overdraw the budget. Otherwise a team that seldom has
     requests would wait until the budget recovers from the announcements of
@@ -111,8 +111,8 @@
     that is undone in the meantime is not announced.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
 
     Returns:
         Messages to send.
@@ -141,11 +141,12 @@
     """Announces changes of some teams to the sidecars that can act on them.
 
     For each waiting request, only a few sidecars are chosen: first those with
-    free slots, then random ones, drawn anew each time. If every sidecar were
-    told, all would claim the same few requests and most claims would come back
-    empty. When a team's queue becomes empty, only the sidecars that were told
-    of its requests are informed. A sidecar that was not told and has nothing to
-    claim sends a hint and gets an announcement in response.
+    free slots, then random ones, drawn anew each time. If every sidecar got
+    the announcement, all would claim the same few requests and most claims
+    would come back empty. That a team's queue has become empty is announced
+    only to the sidecars that know of its requests. A sidecar that got no
+    announcement and has nothing to claim sends a hint and gets one in
+    response.
     """
     receivers = _list_receivers(state, now, service)
     shuffled = state.rng.sample(receivers, len(receivers))
@@ -197,8 +198,8 @@
     """Announces all waiting requests, which repairs lost announcements.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
 
     Returns:
         Messages to send.
@@ -223,8 +224,8 @@
     """Announces all waiting requests of a sidecar's service to that sidecar.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
         sidecar: VM name of a sidecar that is new or has nothing to claim.
 
     Returns:
--- a/sycamorefall/router/attempt_lifecycle.py
+++ b/sycamorefall/router/attempt_lifecycle.py
@@ -1,7 +1,7 @@
 """Attempts: sending requests to sidecars, and handling how attempts end.
 
 A request is sent to a sidecar in response to a claim or as an offer. When the
-attempt ends, the request is answered, queued again, retried after a back-off,
+attempt ends, the request is answered, queued again, retried after a backoff,
 or failed. If the connection breaks, the sidecar is queried for the outcome.
 """
 
@@ -54,7 +54,7 @@
 class AttemptEnd(enum.Enum):
     """How an attempt ended, as observed by the router.
 
-    COMPLETE: the whole answer was received.
+    COMPLETE: the whole response was received.
     REFUSED: the sidecar did not start the attempt.
     NOT_RUN: the sidecar could not reach its upstream.
     FAILED: the upstream failed after it had received the request.
@@ -78,8 +78,8 @@
     """Sends the claiming sidecar the team's request with the earliest deadline.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
         sidecar: VM name of the claiming sidecar.
         incarnation: The sidecar's incarnation.
         claim: The claim.
@@ -128,7 +128,7 @@
     attempt_id = (
         f"{state.vm}/{state.incarnation}/{request.number}/{request.attempts}"
     )
-    request.state = state_module.RequestState.HANDED_OUT
+    request.state = state_module.RequestState.IN_PROGRESS
     request.attempt = state_module.Attempt(
         attempt_id, sidecar, incarnation, started_at=now
     )
@@ -164,8 +164,8 @@
     """Sends a request that left its queue to a sidecar that didn't claim it.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
         request: The request.
         sidecar: VM name of a sidecar that reported free slots.
         hint: The sidecar's hint.
@@ -187,16 +187,16 @@
     now: float,
     attempt_id: str,
     end: AttemptEnd,
-    answer_begun: bool,
+    response_begun: bool,
 ) -> list[router_effects.Effect]:
     """Handles the end of an attempt.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
-        attempt_id: Identifier of the attempt.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
+        attempt_id: ID of the attempt.
         end: How the attempt ended.
-        answer_begun: Whether the caller already has part of the answer.
+        response_begun: Whether the caller already has part of the response.
 
     Returns:
         Effects: none, an error for the caller, or messages.
@@ -212,7 +212,7 @@
     if end in (AttemptEnd.REFUSED, AttemptEnd.NOT_RUN):
         return requeue_request(state, now, request)
     request.attempt.forwarding_started = (
-        request.attempt.forwarding_started or answer_begun
+        request.attempt.forwarding_started or response_begun
     )
     query_needed = end is AttemptEnd.BROKEN and not request.new.idempotent
     if query_needed and not request.attempt.forwarding_started:
@@ -229,8 +229,8 @@
     """Queues a request again, after a delay if its attempt failed.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
         request: A request whose attempt is known not to have run, or which may
             run again.
         delay: Seconds until the request is queued.
@@ -258,11 +258,11 @@
     now: float,
     request: state_module.Request,
 ) -> list[router_effects.Effect]:
-    """Retries or fails a request whose attempt may have run but gave no answer.
+    """Retries or fails a request whose attempt may have run without response.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
         request: The request.
 
     Returns:
@@ -305,7 +305,7 @@
     """Discards a request and answers it with an error.
 
     Args:
-        state: The router's state; modified.
+        state: The router's state; changed.
         request: The request.
         kind: The kind of error.
 
@@ -323,7 +323,7 @@
     now: float,
     request: state_module.Request,
 ) -> list[router_effects.Effect]:
-    request.state = state_module.RequestState.ASKING
+    request.state = state_module.RequestState.AWAITING_OUTCOME
     state.awaiting_outcome.add(request.number)
     request.attempt.query_until = min(now + QUERY_TIMEOUT, request.deadline)
     return query_outcome(state, now, request)
@@ -336,12 +336,12 @@
 ) -> list[router_effects.Effect]:
     """Queries a sidecar for the outcome of an attempt, or fails the request.
 
-    Only the incarnation that received the attempt can tell: a new process on
-    the same VM knows nothing of what the old one started.
+    Only the incarnation that received the attempt knows its outcome: a new
+    process on the same VM knows nothing of what the old one started.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
         request: A request whose attempt has an unknown outcome.
 
     Returns:
@@ -367,8 +367,8 @@
     """Handles a sidecar's report on an attempt.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
         sidecar: VM name of the reporting sidecar.
         incarnation: The sidecar's incarnation.
         report: The state of the attempt at the sidecar.
@@ -386,7 +386,7 @@
     abort = [router_effects.AbortAttempt(attempt.attempt_id)]
     if _proves_not_run(now, attempt, report):
         return abort + requeue_request(state, now, request)
-    if request.state is state_module.RequestState.ASKING:
+    if request.state is state_module.RequestState.AWAITING_OUTCOME:
         return retry_or_fail(state, now, request)
     if stalls.detect_stall(state, now, request, report):
         return abort + retry_or_fail(state, now, request)
@@ -398,7 +398,7 @@
     attempt: state_module.Attempt,
     report: messages.AttemptReport,
 ) -> bool:
-    """Tells whether a report proves that an attempt never ran.
+    """Returns whether a report proves that an attempt never ran.
 
     A sidecar drops its records after a while. To a router that was suspended
     for longer, "never seen" about an old attempt may mean "forgotten", and a
--- a/sycamorefall/router/core.py
+++ b/sycamorefall/router/core.py
@@ -29,7 +29,7 @@
 
 
 def apply_configuration(state: state_module.RouterState) -> None:
-    """Schedules heartbeats at once, to tell peers of the new configuration."""
+    """Schedules heartbeats at once, which report the new revision to peers."""
     state.next_heartbeat_at = 0.0
 
 
@@ -45,8 +45,8 @@
     """Handles a control message.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
         envelope: The message and its sender.
 
     Returns:
@@ -83,7 +83,7 @@
 def _answer_new_peer(
     state: state_module.RouterState, now: float, sidecar: str
 ) -> list[router_effects.Effect]:
-    """Answers a new process with a heartbeat and what waits for its service."""
+    """Sends a new process a heartbeat and what waits for its service."""
     heartbeat = messages.Heartbeat(state.stopping)
     responses = announcement.announce_to_sidecar(state, now, sidecar)
     return [effects.SendMessage(sidecar, heartbeat), *responses]
@@ -119,8 +119,8 @@
     """Performs the actions that are due.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
 
     Returns:
         Effects to perform.
--- a/sycamorefall/router/daemon.py
+++ b/sycamorefall/router/daemon.py
@@ -24,7 +24,7 @@
 
 
 def run_router(config: settings.RouterSettings) -> None:
-    """Runs a router until it is told to stop.
+    """Runs a router until it is stopped.
 
     Args:
         config: The router's settings.
@@ -36,7 +36,7 @@
         config.vm.name, node_module.choose_incarnation()
     )
     proxy = relay.Proxy(state)
-    decisions = node_module.Core(
+    node_core = node_module.Core(
         vm=state.vm,
         incarnation=state.incarnation,
         versions=state.versions,
@@ -53,11 +53,11 @@
     )
     node = node_module.create_node(
         config,
-        decisions,
-        lambda call: _handle_call(node, config, proxy, status_pages, call),
-        lambda call: _handle_operator_call(status_pages, call),
+        node_core,
+        lambda call: _handle_call(node, config, proxy, operator_pages, call),
+        lambda call: _handle_operator_call(operator_pages, call),
     )
-    status_pages = status.create_pages(
+    operator_pages = status.create_pages(
         node, state, proxy.recorder, config.listen
     )
     node_module.run_node(node)
@@ -67,17 +67,17 @@
     node: node_module.Node,
     config: settings.RouterSettings,
     proxy: relay.Proxy,
-    status_pages: pages.Pages,
+    operator_pages: pages.Pages,
     call: transport.IncomingCall,
 ) -> None:
-    if not pages.handle_page_call(status_pages, call, for_operators=False):
+    if not pages.handle_page_call(operator_pages, call, for_operators=False):
         _handle_request(node, config, proxy, call)
 
 
 def _handle_operator_call(
-    status_pages: pages.Pages, call: transport.IncomingCall
+    operator_pages: pages.Pages, call: transport.IncomingCall
 ) -> None:
-    if not pages.handle_page_call(status_pages, call, for_operators=True):
+    if not pages.handle_page_call(operator_pages, call, for_operators=True):
         call.fail(errors.ErrorKind.UNKNOWN_SERVICE)
 
 
--- a/sycamorefall/router/effects.py
+++ b/sycamorefall/router/effects.py
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class SendRequest:
-    """Send a request to a sidecar.
+    """Send a request to a sidecar as an attempt.
 
     Attributes:
         request: Number of the request.
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class AbortAttempt:
-    """Close the connection of an attempt whose answer is no longer wanted."""
+    """Close the connection of an attempt whose response is no longer wanted."""
 
     attempt_id: str
 
--- a/sycamorefall/router/hints.py
+++ b/sycamorefall/router/hints.py
@@ -32,7 +32,7 @@
     is refused, which costs its request one round trip.
 
     Args:
-        state: The router's state; modified.
+        state: The router's state; changed.
         service: The sidecar's service.
         sidecar: VM name of the sidecar.
         incarnation: The sidecar's incarnation.
@@ -54,7 +54,7 @@
     it gets no offer until it sends a new hint.
 
     Args:
-        state: The router's state; modified.
+        state: The router's state; changed.
         request: The request whose attempt ended.
         free: Whether the attempt completed, so that its slot is free again.
     """
@@ -76,7 +76,7 @@
 
     Args:
         state: The router's state; hints of unusable sidecars are removed.
-        now: Current time of this process's clock, in seconds.
+        now: This process's time, in seconds.
         service: Name of the service.
 
     Returns:
@@ -108,8 +108,8 @@
     upstreams are.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
         service: Name of the service.
         count: Number of waiting requests.
 
@@ -138,8 +138,8 @@
     arrive late.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
         service: Name of the service.
 
     Returns:
--- a/sycamorefall/router/intake.py
+++ b/sycamorefall/router/intake.py
@@ -60,7 +60,7 @@
 
     Args:
         state: The router's state.
-        now: Current time of this process's clock, in seconds.
+        now: This process's time, in seconds.
         service: The service that a caller names.
 
     Returns:
@@ -83,7 +83,7 @@
 
     Args:
         state: The router's state, with a configuration in force.
-        now: Current time of this process's clock, in seconds.
+        now: This process's time, in seconds.
         service: Name of the service.
 
     Returns:
@@ -110,8 +110,8 @@
     """Queues a new request, or answers at once that it did not run.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
         new: The request.
 
     Returns:
@@ -154,8 +154,8 @@
     """Adds a request to the queue of its service and team.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
         request: A request in `state.requests` that has no attempt.
 
     Returns:
@@ -203,8 +203,8 @@
     is unknown whether the request ran, instead of that it did not run.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
         request: A request without an attempt.
         kind: The kind of error.
 
@@ -251,8 +251,8 @@
     """Discards a request whose caller no longer waits.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
         number: Number of the request.
 
     Returns:
--- a/sycamorefall/router/offering.py
+++ b/sycamorefall/router/offering.py
@@ -17,8 +17,8 @@
     """Offers requests that have just arrived to sidecars with free slots.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
 
     Returns:
         Effects that send the requests.
@@ -67,8 +67,8 @@
     A request whose earlier attempt was refused is left to claims as well.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
         service: The sidecar's service.
         sidecar: VM name of the sidecar.
 
--- a/sycamorefall/router/relay.py
+++ b/sycamorefall/router/relay.py
@@ -1,4 +1,4 @@
-"""I/O side of a router: sends requests to sidecars, forwards the answers."""
+"""I/O side of a router: sends requests to sidecars, forwards responses."""
 
 __all__ = ["Proxy", "handle_request", "perform_effect"]
 
@@ -18,7 +18,7 @@
 from sycamorefall.router import state as state_module
 
 MAX_UNSENT_BYTES = 1 << 18
-"""Unsent bytes for a slow caller above which its sidecar's answer is paused."""
+"""Unsent bytes for a slow caller above which reading the response is paused."""
 
 _END_BY_OUTCOME = {
     messages.AttemptOutcome.REFUSED.value: attempt_lifecycle.AttemptEnd.REFUSED,
@@ -29,11 +29,11 @@
 
 
 class _Delivery:
-    """The answer of an attempt, as it is received and forwarded to the caller.
+    """The response to an attempt, as received and forwarded to the caller.
 
-    A streamed answer is forwarded as it arrives. Any other answer is buffered
-    until it is complete, so that an incomplete one can still be replaced by the
-    answer of another attempt.
+    A streamed response is forwarded as it arrives. Any other response is
+    buffered until it is complete, so that an incomplete one can still be
+    replaced by the response to another attempt.
     """
 
     __slots__ = (
@@ -63,7 +63,7 @@
     Attributes:
         state: State of the router's decisions.
         calls: Calls by request number.
-        deliveries: Answers in progress by attempt identifier.
+        deliveries: Responses in progress by attempt ID.
         traces: Log actions and times of the calls, by request number.
         recorder: Counters and histograms of the process.
     """
@@ -104,7 +104,7 @@
     node_module.perform_effects(node, outcome)
 
 
-def _end_track(
+def _end_trace(
     proxy: Proxy, number: int, result: str, **fields: object
 ) -> None:
     trace = proxy.traces.pop(number, None)
@@ -117,7 +117,7 @@
 
 def _cancel(node: node_module.Node, proxy: Proxy, number: int) -> None:
     proxy.calls.pop(number, None)
-    _end_track(proxy, number, "cancelled")
+    _end_trace(proxy, number, "cancelled")
     now = transport.read_clock()
     node_module.perform_effects(
         node, intake.cancel_request(proxy.state, now, number)
@@ -143,13 +143,13 @@
     call = proxy.calls.pop(effect.request, None)
     if call is None:
         return
-    _end_track(proxy, effect.request, effect.kind.value, ran=effect.ran.value)
+    _end_trace(proxy, effect.request, effect.kind.value, ran=effect.ran.value)
     if not call.begun:
         call.fail(effect.kind, ran=effect.ran, retry_after=effect.retry_after)
         return
-    # The caller already has part of a streamed answer. It gets a final error
+    # The caller already has part of a streamed response. It gets a final error
     # event; then the connection is aborted, so that a client that ignores the
-    # event can't mistake the incomplete answer for a complete one.
+    # event can't mistake the incomplete response for a complete one.
     body = errors.create_error_body(effect.kind, ran=effect.ran)
     call.write(b"event: error\ndata: " + msgspec.json.encode(body) + b"\n\n")
     call.abort()
@@ -211,10 +211,10 @@
     header_by_name = dict(headers)
     answered_attempt = header_by_name.get(messages.ATTEMPT_HEADER.lower())
     if answered_attempt != delivery.attempt_id:
-        # This answer belongs to an earlier request on this connection, to
+        # This response belongs to an earlier request on this connection, to
         # another process at this address, or to a server that failed before
         # it read the attempt. It must not be forwarded as the upstream's
-        # answer. The outcome of the attempt itself is unknown.
+        # response. The outcome of the attempt itself is unknown.
         node.client.abort(delivery.exchange)
         _finish(
             node, proxy, call, delivery, attempt_lifecycle.AttemptEnd.BROKEN
@@ -287,7 +287,7 @@
         and request is not None
     ):
         proxy.calls.pop(request, None)
-        _end_track(proxy, request, "answered", status=delivery.status)
+        _end_trace(proxy, request, "answered", status=delivery.status)
         if delivery.streamed:
             call.end()
         else:
@@ -323,6 +323,6 @@
     observation.count_event(proxy.recorder, "attempt", end.value)
     now = transport.read_clock()
     outcome = attempt_lifecycle.end_attempt(
-        proxy.state, now, delivery.attempt_id, end, answer_begun=call.begun
+        proxy.state, now, delivery.attempt_id, end, response_begun=call.begun
     )
     node_module.perform_effects(node, outcome)
--- a/sycamorefall/router/request_parsing.py
+++ b/sycamorefall/router/request_parsing.py
@@ -140,11 +140,11 @@
         raise _Refused(kind, "completions are asked for with POST")
     try:
         completion = _completion_decoder.decode(call.body)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         # Deeply nested JSON makes the decoder raise RecursionError. Left
         # unhandled, it would be reported as a request that may have run.
         kind = errors.ErrorKind.MALFORMED_REQUEST
-        raise _Refused(kind, f"body: {fault}") from fault
+        raise _Refused(kind, f"body: {error}") from error
     service = _find_service(
         in_force, completion.model, configuration.ServiceKind.ENGINE
     )
--- a/sycamorefall/router/stalls.py
+++ b/sycamorefall/router/stalls.py
@@ -4,7 +4,7 @@
 reported, and the caller would wait until its deadline. A router therefore
 queries the sidecar, by control message, about an attempt from which it has
 received nothing for a while. It abandons the connection if the sidecar doesn't
-answer, or reports bytes that never arrived. An answer that keeps arriving needs
+reply, or reports bytes that never arrived. A response that keeps arriving needs
 no check. While a sidecar confirms that a silent attempt is running, the
 interval between queries grows.
 """
@@ -44,7 +44,7 @@
 
 An idempotent request is better retried elsewhere soon. Any other request could
 only be answered "outcome unknown", so a sidecar that was suspended gets time to
-resume and deliver the answer.
+resume and deliver the response.
 """
 
 
@@ -71,13 +71,13 @@
     size: int,
     forwarding_started: bool,
 ) -> None:
-    """Records that part of an attempt's answer arrived.
+    """Records that part of the response to an attempt arrived.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
         attempt_id: The attempt.
-        size: Number of bytes of the answer's body that arrived.
+        size: Number of bytes of the response's body that arrived.
         forwarding_started: Whether the bytes are forwarded to the caller at
             once.
     """
@@ -98,7 +98,7 @@
 def record_pause(
     state: state_module.RouterState, attempt_id: str, paused: bool
 ) -> None:
-    """Records that an answer was paused for a slow caller, or resumed."""
+    """Records that a response was paused for a slow caller, or resumed."""
     number = state.request_by_attempt.get(attempt_id)
     if number is not None:
         state.requests[number].attempt.paused = paused
@@ -112,9 +112,9 @@
     A check of an attempt that has made progress is rescheduled.
 
     Args:
-        state: The router's state; modified. The caller must query the sidecar
+        state: The router's state; changed. The caller must query the sidecar
             of each returned request or abandon its attempt.
-        now: Current time of this process's clock, in seconds.
+        now: This process's time, in seconds.
 
     Returns:
         Requests whose attempt has been silent for its check interval.
@@ -122,7 +122,7 @@
     silent: list[state_module.Request] = []
     while state.checks and state.checks[0][0] <= now:
         due, attempt_id = heapq.heappop(state.checks)
-        request = _find_handed_out(state, attempt_id)
+        request = _find_in_progress(state, attempt_id)
         if request is None or request.attempt.next_query_at != due:
             continue
         attempt = request.attempt
@@ -134,15 +134,15 @@
     return silent
 
 
-def _find_handed_out(
+def _find_in_progress(
     state: state_module.RouterState, attempt_id: str
 ) -> state_module.Request | None:
     number = state.request_by_attempt.get(attempt_id)
     if number is None:
         return None
     request = state.requests[number]
-    handed_out = request.state is state_module.RequestState.HANDED_OUT
-    return request if handed_out else None
+    in_progress = request.state is state_module.RequestState.IN_PROGRESS
+    return request if in_progress else None
 
 
 def should_abandon(
@@ -150,11 +150,11 @@
     now: float,
     request: state_module.Request,
 ) -> bool:
-    """Tells whether a silent attempt is to be abandoned.
+    """Returns whether a silent attempt is to be abandoned.
 
     Args:
         state: The router's state.
-        now: Current time of this process's clock, in seconds.
+        now: This process's time, in seconds.
         request: A request whose attempt is silent.
 
     Returns:
@@ -180,8 +180,8 @@
     """Creates a query about a silent attempt and schedules the next check.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
         request: A request whose attempt is silent.
 
     Returns:
@@ -201,16 +201,16 @@
     request: state_module.Request,
     report: messages.AttemptReport,
 ) -> bool:
-    """Applies a sidecar's report; tells whether the connection has stalled.
+    """Applies a sidecar's report; returns whether the connection has stalled.
 
     A connection counts as stalled if two reports in a row say that the sidecar
-    sent more of the answer than arrived here, with nothing received between
+    sent more of the response than arrived here, with nothing received between
     them. A single report may have overtaken the bytes. A connection that this
     router itself has paused for a slow caller never counts as stalled.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
         request: A request that was sent to a sidecar.
         report: The sidecar's report; the attempt has at least started.
 
--- a/sycamorefall/router/state.py
+++ b/sycamorefall/router/state.py
@@ -27,13 +27,14 @@
     """Processing state of a request.
 
     WAITING: in a queue, or delayed before a retry.
-    HANDED_OUT: sent to a sidecar; the attempt is in progress.
-    ASKING: the connection broke; the sidecar is queried for the outcome.
+    IN_PROGRESS: sent to a sidecar; the attempt is in progress.
+    AWAITING_OUTCOME: the connection broke; the sidecar is queried for the
+        outcome.
     """
 
     WAITING = "waiting"
-    HANDED_OUT = "handed_out"
-    ASKING = "asking"
+    IN_PROGRESS = "handed_out"
+    AWAITING_OUTCOME = "asking"
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -93,18 +94,18 @@
     """One try to run a request at a sidecar.
 
     Attributes:
-        attempt_id: Identifier, unique across routers, incarnations and
-            attempts.
+        attempt_id: ID, unique over all routers, incarnations and attempts.
         sidecar: VM name of the sidecar.
         incarnation: The sidecar's incarnation when the attempt was created.
         started_at: When the request was sent to the sidecar.
         query_until: Time from which the outcome is no longer queried.
         next_query_at: When the sidecar is queried next.
         offered: Whether the attempt is an offer, made without a claim.
-        forwarding_started: Whether the caller already has part of the answer.
-        paused: Whether reading the answer is paused for a slow caller.
-        received: Bytes of the answer's body received so far.
-        last_heard_at: When a part of the answer or a report was last received.
+        forwarding_started: Whether the caller already has part of the response.
+        paused: Whether reading the response is paused for a slow caller.
+        received: Bytes of the response's body received so far.
+        last_heard_at: When a part of the response or a report was last
+            received.
         check_interval: Seconds of silence after which the sidecar is queried.
         unanswered_since: When the sidecar was first queried without a report
             since; None if no query is open.
@@ -140,7 +141,7 @@
         state: Processing state.
         attempt: The current attempt, if any.
         attempts: Number of attempts so far.
-        failures: Number of attempts that may have run but gave no answer.
+        failures: Number of attempts that may have run but brought no response.
     """
 
     number: int
@@ -165,10 +166,10 @@
         links: The sidecars to which this router is linked.
         waiting: Queues of waiting requests.
         requests: Requests not yet answered, by number.
-        request_by_attempt: Request number by attempt identifier.
+        request_by_attempt: Request number by attempt ID.
         awaiting_outcome: Numbers of requests for whose outcome a sidecar is
             queried.
-        checks: Heap of (time, attempt identifier) at which attempts are checked
+        checks: Heap of (time, attempt ID) at which attempts are checked
             for stalls; may contain attempts that have ended.
         deadlines: Heap of (deadline, request number); may contain answered
             requests.
@@ -184,7 +185,7 @@
         announced_counts: Waiting requests as known to the sidecars that claim,
             by service and team: the last announced count minus the requests
             that have left since.
-        informed_sidecars: Sidecars that were told of waiting requests, by
+        informed_sidecars: Sidecars to which waiting requests were announced, by
             service and team.
         last_counts: Waiting requests at the last recorded change, by service
             and team.
@@ -200,7 +201,8 @@
         next_heartbeat_at: When the next heartbeat is due.
         next_full_announcement_at: Earliest time of the next full announcement.
         stopping: Whether new requests are refused.
-        late_answers: Number of dropped answers that matched no attempt.
+        late_answers: Number of dropped responses and reports that matched no
+            attempt.
     """
 
     vm: str
@@ -272,14 +274,14 @@
 
 
 def find_request(state: RouterState, attempt_id: str) -> Request | None:
-    """Looks up the request whose current attempt has an identifier.
+    """Looks up the request whose current attempt has an ID.
 
-    A late or repeated answer, which belongs to an earlier attempt or to another
-    incarnation, matches no request; it is counted and dropped.
+    A late or repeated response or report belongs to an earlier attempt or to
+    another incarnation. It matches no request, is counted and dropped.
 
     Args:
         state: The router's state; `late_answers` is incremented on a miss.
-        attempt_id: Identifier of the attempt.
+        attempt_id: ID of the attempt.
 
     Returns:
         The request, or None.
--- a/sycamorefall/router/status.py
+++ b/sycamorefall/router/status.py
@@ -36,7 +36,7 @@
     return pages.Pages(
         listen=listen,
         list_unready_reasons=lambda: _list_unready_reasons(node, state),
-        build_status=lambda full_histograms: _describe(
+        build_status=lambda full_histograms: _build_status(
             node, state, recorder, full_histograms
         ),
         list_metrics=lambda: _list_metrics(node, state, recorder),
@@ -76,7 +76,7 @@
     }
 
 
-def _describe(
+def _build_status(
     node: node_module.Node,
     state: state_module.RouterState,
     recorder: observation.Recorder,
@@ -94,7 +94,7 @@
             full_histograms,
         ),
         unready=_list_unready_reasons(node, state),
-        teams=_describe_teams(state, now, listed),
+        teams=_build_team_statuses(state, now, listed),
         teams_total=len(listed),
         services=_list_available_services(state, now),
         waiting=state.waiting.total,
@@ -104,7 +104,7 @@
     )
 
 
-def _describe_teams(
+def _build_team_statuses(
     state: state_module.RouterState,
     now: float,
     listed: list[tuple[str, str]],
--- a/sycamorefall/router/sweep.py
+++ b/sycamorefall/router/sweep.py
@@ -1,4 +1,4 @@
-"""Periodic sweep of waiting requests; those that wait in vain are refused."""
+"""Periodic sweep that refuses requests which can't be served in time."""
 
 __all__ = ["find_next_due", "requeue_after_backoff", "sweep_waiting"]
 
@@ -40,11 +40,11 @@
 def requeue_after_backoff(
     state: state_module.RouterState, now: float
 ) -> list[effects.SendMessage]:
-    """Queues failed requests again whose back-off has ended.
+    """Queues failed requests again whose backoff has ended.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
 
     Returns:
         Messages to send.
@@ -61,11 +61,11 @@
 def sweep_waiting(
     state: state_module.RouterState, now: float
 ) -> list[router_effects.Effect]:
-    """Refuses requests that wait in vain, and drops outdated state.
+    """Refuses requests that can't be served in time, and drops outdated state.
 
     Args:
-        state: The router's state; modified.
-        now: Current time of this process's clock, in seconds.
+        state: The router's state; changed.
+        now: This process's time, in seconds.
 
     Returns:
         Answers and messages.
@@ -160,10 +160,10 @@
 def _is_too_late(
     request: state_module.Request, now: float, run_time: float
 ) -> bool:
-    """Tells whether a request has waited until too little time is left to run.
+    """Returns whether a waiting request has too little time left to run.
 
-    Otherwise upstreams would spend slots on answers that come after the
-    deadline: they would be busy while callers get no answer. A request that
+    Otherwise upstreams would spend slots on responses that come after the
+    deadline: they would be busy while callers get no response. A request that
     arrived with little time is tried nevertheless, as run times are only
     learned from requests that run.
     """
--- a/sycamorefall/router/tests/test_offering.py
+++ b/sycamorefall/router/tests/test_offering.py
@@ -90,7 +90,9 @@
     offers, _ = admit_and_run(router)
     attempt = offers[0].order.attempt_id
     end = attempt_lifecycle.AttemptEnd.REFUSED
-    attempt_lifecycle.end_attempt(router, 0.1, attempt, end, answer_begun=False)
+    attempt_lifecycle.end_attempt(
+        router, 0.1, attempt, end, response_begun=False
+    )
     offers, announcements = split_effects(core.run_timers(router, 0.1))
     assert offers == []
     assert announcements[0].teams[0].count == 1
@@ -102,7 +104,9 @@
     offers, _ = admit_and_run(router)
     attempt = offers[0].order.attempt_id
     end = attempt_lifecycle.AttemptEnd.COMPLETE
-    attempt_lifecycle.end_attempt(router, 0.1, attempt, end, answer_begun=True)
+    attempt_lifecycle.end_attempt(
+        router, 0.1, attempt, end, response_begun=True
+    )
     offers, _ = admit_and_run(router, now=0.2)
     assert [offer.sidecar for offer in offers] == ["engine-2"]
 
--- a/sycamorefall/sharing/account_exchange.py
+++ b/sycamorefall/sharing/account_exchange.py
@@ -174,7 +174,7 @@
         exchange: The exchange; changed.
         accounts: The accounts; teams whose entries are sent, or changed too
             little to be sent, are removed from the unsent ones.
-        now: This process's time.
+        now: This process's time, in seconds.
         siblings: VM names of all siblings.
 
     Returns:
--- a/sycamorefall/sharing/budget.py
+++ b/sycamorefall/sharing/budget.py
@@ -65,7 +65,7 @@
 
     Args:
         budget: The budget; changed.
-        now: This process's time.
+        now: This process's time, in seconds.
         size: Bytes that are sent now, summed over all receivers.
     """
     _refill(budget, now)
@@ -73,7 +73,7 @@
 
 
 def may_send(budget: ByteBudget, now: float, overdraft: float = 0.0) -> bool:
-    """Tells whether the budget allows a transmission now."""
+    """Returns whether the budget allows a transmission now."""
     return now >= compute_next_send_time(budget, overdraft)
 
 
--- a/sycamorefall/sidecar/claim_backoff.py
+++ b/sycamorefall/sidecar/claim_backoff.py
@@ -26,7 +26,7 @@
 
     Args:
         state: The sidecar; changed.
-        now: This process's time.
+        now: This process's time, in seconds.
         claim: The expired claim.
     """
     known = state.claim_backoffs.get(claim.router)
@@ -61,7 +61,7 @@
 
     Args:
         state: The sidecar.
-        now: This process's time.
+        now: This process's time, in seconds.
         router: VM name of the router.
         waiting: The router's announcement.
 
--- a/sycamorefall/sidecar/claiming.py
+++ b/sycamorefall/sidecar/claiming.py
@@ -36,7 +36,7 @@
 
     Args:
         state: The sidecar; changed.
-        now: This process's time.
+        now: This process's time, in seconds.
 
     Returns:
         Claims to send.
@@ -57,7 +57,7 @@
 
 
 def _is_worth_claiming(state: state_module.SidecarState, now: float) -> bool:
-    """Tells whether a claim is likely to get a request that is served soon.
+    """Returns whether a claim is likely to get a request that is served soon.
 
     Without a free slot, a claim is made ahead and only for a backlog. If fewer
     requests wait than there are sidecars, most of the sidecars' claims would
@@ -79,7 +79,7 @@
 
 
 def may_claim(state: state_module.SidecarState) -> bool:
-    """Tells whether this sidecar may accept new work.
+    """Returns whether this sidecar may accept new work.
 
     It may not while it is stopping, not listed as live, or without a
     configuration that has its service.
@@ -143,7 +143,7 @@
 
     Args:
         state: The sidecar; changed.
-        now: This process's time.
+        now: This process's time, in seconds.
     """
     for claim in dispatch.expire_claims(state.claims, now):
         claim_backoff.record_expired_claim(state, now, claim)
--- a/sycamorefall/sidecar/core.py
+++ b/sycamorefall/sidecar/core.py
@@ -41,7 +41,7 @@
     The next heartbeats are due at once, so that the peers learn of the new
     revision.
     """
-    state.next_heartbeat = 0.0
+    state.next_heartbeat_at = 0.0
     in_force = state.versions.configuration
     service = in_force.services.get(state.service) if in_force else None
     if service is not None:
@@ -51,11 +51,11 @@
 def begin_stop(state: state_module.SidecarState) -> None:
     """Stops claiming and announces the stop in heartbeats, due at once."""
     state.stopping = True
-    state.next_heartbeat = 0.0
+    state.next_heartbeat_at = 0.0
 
 
 def is_idle(state: state_module.SidecarState) -> bool:
-    """Tells whether nothing is in progress and all account entries are sent.
+    """Returns whether nothing is in progress and all account entries are sent.
 
     The service that this process has recorded for the teams is lost with it.
     Unless the other sidecars know it, the teams would get that much service
@@ -74,7 +74,7 @@
 
     Args:
         state: The sidecar; changed.
-        now: This process's time.
+        now: This process's time, in seconds.
         envelope: The message and its sender.
 
     Returns:
@@ -94,7 +94,7 @@
     membership.record_peer_message(
         state.directory, now, sender, envelope.incarnation, stopping
     )
-    replies = _handle_reappearance(state, now, sender, known)
+    responses = _handle_reappearance(state, now, sender, known)
     match message:
         case messages.Waiting():
             _handle_waiting(state, now, envelope, message)
@@ -112,8 +112,8 @@
             )
         case messages.AttemptQuery():
             report = running.report_attempt(state, now, message.attempt_id)
-            replies.append(effects.SendMessage(sender, report))
-    return replies + claiming.make_claims(state, now)
+            responses.append(effects.SendMessage(sender, report))
+    return responses + claiming.make_claims(state, now)
 
 
 def _handle_waiting(
@@ -176,7 +176,7 @@
 
     Args:
         state: The sidecar; changed.
-        now: This process's time.
+        now: This process's time, in seconds.
 
     Returns:
         Messages to send and runs to cancel.
@@ -185,13 +185,13 @@
     due_effects: list[effects.SendMessage | sidecar_effects.CancelRun] = []
     due_effects += running.cancel_overdue(state, now)
     due_effects += hinting.send_due_hints(state, now)
-    if now >= state.next_heartbeat:
-        state.next_heartbeat = now + HEARTBEAT_INTERVAL
+    if now >= state.next_heartbeat_at:
+        state.next_heartbeat_at = now + HEARTBEAT_INTERVAL
         outcomes.expire_records(state.outcomes, now)
         sweeping.sweep_accounts(state)
         due_effects += hinting.send_heartbeats(state, now)
-    if now >= state.next_sibling_heartbeat:
-        state.next_sibling_heartbeat = now + SIBLING_HEARTBEAT_INTERVAL
+    if now >= state.next_sibling_heartbeat_at:
+        state.next_sibling_heartbeat_at = now + SIBLING_HEARTBEAT_INTERVAL
         heartbeat = messages.Heartbeat(state.stopping)
         due_effects += [
             effects.SendMessage(name, heartbeat)
@@ -208,8 +208,8 @@
     """Returns the time at which `run_timers` has something to do next."""
     leases = (claim.expires_at for claim in state.claims.open.values())
     return min(
-        state.next_heartbeat,
-        state.next_sibling_heartbeat,
+        state.next_heartbeat_at,
+        state.next_sibling_heartbeat_at,
         hinting.find_next_hint(state),
         running.find_next_overdue(state),
         sharing.compute_next_update_time(
@@ -228,7 +228,7 @@
     )
     if len(updates) >= len(siblings):
         # Account updates to all siblings take the place of heartbeats.
-        state.next_sibling_heartbeat = now + SIBLING_HEARTBEAT_INTERVAL
+        state.next_sibling_heartbeat_at = now + SIBLING_HEARTBEAT_INTERVAL
     return [
         effects.SendMessage(
             name, messages.AccountUpdate(state.service, tuple(entries))
--- a/sycamorefall/sidecar/daemon.py
+++ b/sycamorefall/sidecar/daemon.py
@@ -1,4 +1,4 @@
-"""Process of a sidecar: accepts attempts over HTTP and runs them upstream."""
+"""The sidecar process: accepts attempts and runs them at the upstream."""
 
 __all__ = ["run_sidecar"]
 
@@ -34,7 +34,7 @@
 """Headers of an upstream's response that are forwarded to the caller."""
 
 _FRAMING_HEADERS = frozenset({"content-length", "transfer-encoding"})
-"""Headers that tell where a response ends."""
+"""Headers that determine where a response ends."""
 
 _BODILESS_STATUSES = frozenset({204, 304})
 """Status codes of responses without a body."""
@@ -51,7 +51,7 @@
         "order",
         "started_at",
         "streamed",
-        "track",
+        "trace",
     )
 
     def __init__(
@@ -81,7 +81,7 @@
 
 
 def run_sidecar(config: settings.SidecarSettings) -> None:
-    """Runs a sidecar until it is told to stop.
+    """Runs a sidecar until it is stopped.
 
     Args:
         config: Settings of the process.
@@ -339,7 +339,7 @@
 def _is_framed(
     method: str, status_code: int, headers: list[tuple[str, str]]
 ) -> bool:
-    """Tells whether the end of a response can be detected.
+    """Returns whether the end of a response can be detected.
 
     If the upstream died during a response that ends only by closing the
     connection, the truncated response would pass for a complete one.
--- a/sycamorefall/sidecar/gate.py
+++ b/sycamorefall/sidecar/gate.py
@@ -48,7 +48,7 @@
 
     Args:
         gate: The gate; changed.
-        now: This process's time.
+        now: This process's time, in seconds.
         attempt_id: Attempt of the run.
         start: Sends the request to the upstream.
     """
@@ -77,7 +77,7 @@
 
     Args:
         gate: The gate; changed.
-        now: This process's time.
+        now: This process's time, in seconds.
         attempt_id: Attempt of the run. If it was removed before, nothing
             changes.
         answered: Whether the upstream responded. Without a response, the run's
--- a/sycamorefall/sidecar/hinting.py
+++ b/sycamorefall/sidecar/hinting.py
@@ -49,7 +49,7 @@
 
 
 def _is_leaving(state: state_module.SidecarState) -> bool:
-    """Tells whether operators marked this VM as leaving.
+    """Returns whether operators marked this VM as leaving.
 
     Heartbeats carry the mark to routers whose VM list is still outdated.
     """
@@ -99,7 +99,7 @@
 
 
 def _should_hint(state: state_module.SidecarState) -> bool:
-    """Tells whether free slots are new, or twice as many as hinted last."""
+    """Returns whether free slots are new, or twice as many as hinted last."""
     return claiming.count_free_slots(state) >= max(1, 2 * state.hinted_slots)
 
 
@@ -127,7 +127,7 @@
 
     Args:
         state: The sidecar; changed.
-        now: This process's time.
+        now: This process's time, in seconds.
 
     Returns:
         Heartbeats to send.
--- a/sycamorefall/sidecar/load.py
+++ b/sycamorefall/sidecar/load.py
@@ -63,7 +63,7 @@
         client: Sends the polls.
         address: Address of the upstream.
         on_report: Called with each valid load report.
-        next_poll: Time at which the next poll is due.
+        next_poll_at: Time at which the next poll is due.
         exchange: The poll in progress, if any.
         expires_at: Time at which the poll in progress times out.
         failures: Number of polls without a valid report.
@@ -72,7 +72,7 @@
     client: Client
     address: settings.Address
     on_report: Callable[[admission.LoadReport], None]
-    next_poll: float = 0.0
+    next_poll_at: float = 0.0
     exchange: transport.Exchange | None = None
     expires_at: float = 0.0
     failures: int = 0
@@ -104,7 +104,7 @@
 
 def find_next_poll(poller: LoadPoller) -> float:
     """Returns the time at which `poll_load` has something to do next."""
-    return poller.next_poll if poller.exchange is None else poller.expires_at
+    return poller.next_poll_at if poller.exchange is None else poller.expires_at
 
 
 def poll_load(poller: LoadPoller, now: float) -> None:
@@ -115,14 +115,14 @@
 
     Args:
         poller: State of the polling; changed.
-        now: This process's time.
+        now: This process's time, in seconds.
     """
     if poller.exchange is not None and now >= poller.expires_at:
         poller.client.abort(poller.exchange)
         _handle_poll_end(poller, b"")
-    if poller.exchange is not None or now < poller.next_poll:
+    if poller.exchange is not None or now < poller.next_poll_at:
         return
-    poller.next_poll = now + POLL_INTERVAL
+    poller.next_poll_at = now + POLL_INTERVAL
     poller.expires_at = now + POLL_TIMEOUT
     body = bytearray()
     statuses: list[int] = []
--- a/sycamorefall/sidecar/offers.py
+++ b/sycamorefall/sidecar/offers.py
@@ -17,11 +17,11 @@
 def redeem_order(
     state: state_module.SidecarState, now: float, order: messages.AttemptOrder
 ) -> dispatch.OpenClaim | None:
-    """Redeems the claim that an order answers, or accepts an offer.
+    """Redeems the claim that an order names, or accepts an offer.
 
     Args:
         state: The sidecar; changed.
-        now: This process's time.
+        now: This process's time, in seconds.
         order: Order of the attempt.
 
     Returns:
@@ -34,11 +34,11 @@
         return dispatch.redeem_claim(
             state.claims, now, order.claim_id, order.router, order.team
         )
-    if now - order.hinted > OFFER_LEASE or not _may_take_offer(
+    if now - order.hinted > OFFER_LEASE or not _may_accept_offer(
         state, order.team
     ):
         # An offer may be delayed, on a link or in a frozen process, until this
-        # sidecar has dropped the record that it told the router "never seen".
+        # sidecar has dropped the record of having reported "never seen".
         # Accepted then, its request would run after its caller was told "not
         # run", or run twice. The time of the hint was read from this process's
         # clock, and only this process accepts offers on the hint.
@@ -50,8 +50,8 @@
     )
 
 
-def _may_take_offer(state: state_module.SidecarState, team: str) -> bool:
-    """Tells whether an offer may start now.
+def _may_accept_offer(state: state_module.SidecarState, team: str) -> bool:
+    """Returns whether an offer may start now.
 
     It may only if a slot is free, because several routers may send offers on
     the same hint and would exceed the upstream's limit. It also may not
@@ -73,7 +73,7 @@
 
 
 def has_idle_slots(state: state_module.SidecarState) -> bool:
-    """Tells whether slots are free and no work is known to wait."""
+    """Returns whether slots are free and no work is known to wait."""
     if state.demand.teams or not claiming.may_claim(state):
         return False
     return claiming.count_free_slots(state) > 0
--- a/sycamorefall/sidecar/running.py
+++ b/sycamorefall/sidecar/running.py
@@ -49,7 +49,7 @@
 
     Args:
         state: The sidecar; changed.
-        now: This process's time.
+        now: This process's time, in seconds.
         order: Order of the attempt.
 
     Returns:
@@ -90,7 +90,7 @@
 def _is_addressed_to_this_process(
     state: state_module.SidecarState, order: messages.AttemptOrder
 ) -> bool:
-    """Tells whether an order is addressed to this very process.
+    """Returns whether an order is addressed to this very process.
 
     Claim numbers begin anew in each process. An order to an earlier process, or
     to the VM that had this address before, could match a claim of this process
@@ -104,7 +104,7 @@
 def _is_outdated(
     state: state_module.SidecarState, order: messages.AttemptOrder
 ) -> bool:
-    """Tells whether an order comes from a router that has restarted since.
+    """Returns whether an order comes from a router that has restarted since.
 
     Such an order was in transit when its router died. Nobody waits for the
     response, the caller may have sent the same request again, and the claim
@@ -164,11 +164,11 @@
 
     Args:
         state: The sidecar; changed.
-        now: This process's time.
+        now: This process's time, in seconds.
         attempt_id: The attempt that has ended, for whatever reason.
         ran: Whether the upstream may have received the request. If no byte
             reached the upstream, the attempt is recorded as refused, so that a
-            router that did not hear of the end can still report "not run".
+            router that did not learn of the end can still report "not run".
     """
     run = state.runs.pop(attempt_id, None)
     if run is None:
@@ -191,7 +191,7 @@
     Args:
         state: The sidecar. An attempt that was never seen is refused from now
             on.
-        now: This process's time.
+        now: This process's time, in seconds.
         attempt_id: The attempt.
 
     Returns:
@@ -214,7 +214,7 @@
 
     Args:
         state: The sidecar.
-        now: This process's time.
+        now: This process's time, in seconds.
 
     Returns:
         Runs to be cancelled.
@@ -235,7 +235,7 @@
 
 
 def serves_engine(state: state_module.SidecarState) -> bool:
-    """Tells whether the upstream is a model engine."""
+    """Returns whether the upstream is a model engine."""
     service = state.versions.configuration.services.get(state.service)
     engine = configuration.ServiceKind.ENGINE
     return service is not None and service.kind is engine
--- a/sycamorefall/sidecar/state.py
+++ b/sycamorefall/sidecar/state.py
@@ -68,7 +68,7 @@
 
     Attributes:
         vm: Name of this VM.
-        incarnation: Number of this process.
+        incarnation: Incarnation of this process.
         service: Service of the upstream.
         accounts: Accounts of what each team received from the service.
         versions: Configuration in force.
@@ -84,11 +84,11 @@
         outcomes: Records of the states of attempts.
         claim_backoffs: Backoffs from routers that let a claim expire, by VM
             name.
-        next_heartbeat: Time at which the next heartbeats to routers are due.
+        next_heartbeat_at: Time at which the next heartbeats to routers are due.
         hinted_slots: Free slots in the last hint; 0 if since then there was no
             free slot, or there was work to claim.
-        next_sibling_heartbeat: Time at which the next heartbeats to siblings
-            are due.
+        next_sibling_heartbeat_at: Time at which the next heartbeats to
+            siblings are due.
         next_search_at: Time at which the next search for work at unlinked
             routers is due.
         search_pause: Seconds from that search to the one after it, before
@@ -133,9 +133,9 @@
     claim_backoffs: dict[str, ClaimBackoff] = dataclasses.field(
         default_factory=dict
     )
-    next_heartbeat: float = 0.0
+    next_heartbeat_at: float = 0.0
     hinted_slots: int = 0
-    next_sibling_heartbeat: float = 0.0
+    next_sibling_heartbeat_at: float = 0.0
     next_search_at: float = 0.0
     search_pause: float = 0.0
     rng: random.Random = dataclasses.field(default_factory=random.Random)
@@ -160,7 +160,7 @@
 
     Args:
         vm: Name of this VM.
-        incarnation: Number of this process.
+        incarnation: Incarnation of this process.
         service: Service of the upstream.
 
     Returns:
--- a/sycamorefall/sidecar/status.py
+++ b/sycamorefall/sidecar/status.py
@@ -43,8 +43,8 @@
     return pages.Pages(
         listen=listen,
         list_unready_reasons=lambda: _list_unready_reasons(node, state),
-        build_status=lambda with_histograms: _build_status(
-            node, state, recorder, with_histograms
+        build_status=lambda full_histograms: _build_status(
+            node, state, recorder, full_histograms
         ),
         list_metrics=lambda: _list_metrics(node, state, recorder),
     )
@@ -60,7 +60,9 @@
     return (*common, f"the configuration has no service {state.service}")
 
 
-def _list_linked(state: state_module.SidecarState, now: float) -> set[str]:
+def _collect_linked_peers(
+    state: state_module.SidecarState, now: float
+) -> set[str]:
     links, directory, own = state.links, state.directory, state.vm
     return {
         *membership.list_linked_routers(links, directory, now, own),
@@ -72,7 +74,7 @@
     node: node_module.Node,
     state: state_module.SidecarState,
     recorder: observation.Recorder,
-    with_histograms: bool,
+    full_histograms: bool,
 ) -> status_module.SidecarStatus:
     now = transport.read_clock()
     waiting = _count_waiting(state)
@@ -81,7 +83,11 @@
     )
     return status_module.SidecarStatus(
         **pages.collect_common_status(
-            node, recorder, now, _list_linked(state, now), with_histograms
+            node,
+            recorder,
+            now,
+            _collect_linked_peers(state, now),
+            full_histograms,
         ),
         unready=_list_unready_reasons(node, state),
         teams=tuple(
@@ -134,7 +140,7 @@
     recorder: observation.Recorder,
 ) -> Iterator[metrics_core.Metric]:
     now = transport.read_clock()
-    linked = _list_linked(state, now)
+    linked = _collect_linked_peers(state, now)
     yield from pages.list_metrics(node, recorder, now, linked)
     values = {
         "running": (len(state.runs), "Requests in progress at the upstream."),
