--- a/sycamorefall/admission/load_reports.py
+++ b/sycamorefall/admission/load_reports.py
@@ -25,7 +25,7 @@
         running: Requests that the upstream is processing.
         queued: Requests in the upstream's internal queue.
         slots: Requests that the upstream processes concurrently; 0 if the
-            report doesn't tell.
+            report doesn't say.
     """
 
     running: int
--- a/sycamorefall/admission/tests/test_limit.py
+++ b/sycamorefall/admission/tests/test_limit.py
@@ -46,12 +46,12 @@
         now += 0.3
         if event == "report":
             report = admission.LoadReport(*values)
-            note = (
+            update = (
                 admission.adjust_to_load
                 if is_engine
                 else admission.record_foreign
             )
-            note(limit, now, report)
+            update(limit, now, report)
         elif event == "run":
             now += min(values[1], 100.0)
             serial += 1
--- a/sycamorefall/dispatch/outcomes.py
+++ b/sycamorefall/dispatch/outcomes.py
@@ -90,9 +90,9 @@
     """Records the start of an attempt unless there is a record of it.
 
     The request that carries the attempt may arrive twice, or after the router
-    was told that the attempt was never seen. In the latter case `answer_query`
-    has left a tombstone. Either record prevents the start, so a request that
-    was reported as not run is never run.
+    was informed that the attempt was never seen. In the latter case
+    `answer_query` has left a tombstone. Either record prevents the start, so a
+    request that was reported as not run is never run.
 
     Returns:
         Whether the attempt may start.
--- a/sycamorefall/dispatch/tests/test_outcomes_machine.py
+++ b/sycamorefall/dispatch/tests/test_outcomes_machine.py
@@ -1,4 +1,4 @@
-"""Stateful test: requests run at most once, and callers are told the truth.
+"""Stateful test: requests run at most once, and callers get true outcomes.
 
 A request that isn't idempotent must not run twice, and one that was reported as
 not run must not run later. Either can happen if a message or an attempt between
--- a/sycamorefall/dispatch/tests/test_outcomes_scenarios.py
+++ b/sycamorefall/dispatch/tests/test_outcomes_scenarios.py
@@ -16,7 +16,7 @@
     Args:
         idempotent: Whether the request is idempotent.
         timeout: Seconds until its deadline.
-        offered: Whether the router offers it to a sidecar by a hint at free
+        offered: Whether the router offers it to a sidecar on a hint of free
             slots; otherwise a sidecar claims it.
 
     Returns:
--- a/sycamorefall/replication/settling.py
+++ b/sycamorefall/replication/settling.py
@@ -34,7 +34,7 @@
     force.
 
     A process that restarts while the platform is stale stores nothing by
-    which it could tell that the platform's text is old. It therefore serves
+    which it could detect that the platform's text is old. It therefore serves
     only after a settled peer has answered as well, or after enough peers have
     answered that they are starting too.
 
--- a/sycamorefall/router/announcement.py
+++ b/sycamorefall/router/announcement.py
@@ -1,9 +1,10 @@
 """Announcements of waiting requests from a router to the sidecars.
 
-A router tells sidecars which teams have requests waiting (`messages.Waiting`);
-a sidecar then claims requests of one team. Changes are announced to a few
-sidecars as they happen; a full announcement to all linked sidecars, sent at
-intervals, repairs lost ones. All announcements share one byte budget.
+A router announces to sidecars which teams have requests waiting
+(`messages.Waiting`); a sidecar then claims requests of one team. Changes are
+announced to a few sidecars as they happen; a full announcement to all linked
+sidecars, sent at intervals, repairs lost ones. All announcements share one byte
+budget.
 """
 
 __all__ = [
--- a/sycamorefall/router/core.py
+++ b/sycamorefall/router/core.py
@@ -1,4 +1,7 @@
-"""A router's decisions, without I/O: messages and timers in, effects out."""
+"""Decision logic of a router; no I/O.
+
+It handles control messages and timers and returns effects.
+"""
 
 __all__ = [
     "apply_configuration",
@@ -63,7 +66,7 @@
     is_new = membership.record_peer_message(
         state.directory, now, sender, incarnation, stopping
     )
-    responses = _answer_new_peer(state, now, sender) if is_new else []
+    responses = _handle_reappearance(state, now, sender) if is_new else []
     match message:
         case messages.Heartbeat():
             responses += _handle_hint(state, now, envelope, message)
@@ -80,10 +83,10 @@
     return responses
 
 
-def _answer_new_peer(
+def _handle_reappearance(
     state: state_module.RouterState, now: float, sidecar: str
 ) -> list[router_effects.Effect]:
-    """Sends a new process a heartbeat and what waits for its service."""
+    """Sends a heartbeat and what waits to a sidecar that is new or back."""
     heartbeat = messages.Heartbeat(state.stopping)
     responses = announcement.announce_to_sidecar(state, now, sidecar)
     return [effects.SendMessage(sidecar, heartbeat), *responses]
--- a/sycamorefall/router/effects.py
+++ b/sycamorefall/router/effects.py
@@ -1,4 +1,4 @@
-"""Effects that a router's decisions return for the I/O layer to perform."""
+"""Effects that a router's decision logic returns for the I/O layer."""
 
 __all__ = [
     "AbortAttempt",
--- a/sycamorefall/router/estimates.py
+++ b/sycamorefall/router/estimates.py
@@ -54,7 +54,7 @@
     now: float,
     request: state_module.Request,
 ) -> None:
-    """Updates the run time estimate of a service from a complete response."""
+    """Updates the run-time estimate of a service from a complete response."""
     run_times = state.run_times
     run_time = run_times.setdefault(request.new.service, admission.RunTime())
     admission.record_run_time(run_time, now, now - request.attempt.started_at)
--- a/sycamorefall/router/relay.py
+++ b/sycamorefall/router/relay.py
@@ -61,7 +61,7 @@
     """Calls in progress, and the attempts made for them.
 
     Attributes:
-        state: State of the router's decisions.
+        state: State of the router's decision logic.
         calls: Calls by request number.
         deliveries: Responses in progress by attempt ID.
         traces: Log actions and times of the calls, by request number.
@@ -127,7 +127,7 @@
 def perform_effect(
     node: node_module.Node, proxy: Proxy, effect: effects.Effect
 ) -> None:
-    """Performs an effect of the router's decisions."""
+    """Performs an effect that the router's decision logic returned."""
     match effect:
         case effects.SendRequest():
             _send_request(node, proxy, effect)
--- a/sycamorefall/router/state.py
+++ b/sycamorefall/router/state.py
@@ -1,4 +1,4 @@
-"""State of a router's decisions; kept in memory only."""
+"""State of a router's decision logic, which is lost with the process."""
 
 __all__ = [
     "Attempt",
@@ -156,7 +156,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RouterState:
-    """State on which a router bases all its decisions.
+    """State of a router's decision logic.
 
     Attributes:
         vm: VM name of this router.
@@ -175,7 +175,7 @@
             requests.
         drain_rates: Drain rate of each queue by service and team, least recent
             departure first.
-        run_times: Run time estimate by service.
+        run_times: Run-time estimate by service.
         retry_budgets: Retry budgets of the teams.
         backoffs: Heap of (time, request number) of failed requests that are
             queued again at that time; may contain answered requests.
@@ -274,7 +274,7 @@
 
 
 def find_request(state: RouterState, attempt_id: str) -> Request | None:
-    """Looks up the request whose current attempt has an ID.
+    """Looks up the request whose current attempt has a given ID.
 
     A late or repeated response or report belongs to an earlier attempt or to
     another incarnation. It matches no request, is counted and dropped.
--- a/sycamorefall/router/status.py
+++ b/sycamorefall/router/status.py
@@ -22,13 +22,13 @@
     recorder: observation.Recorder,
     listen: settings.ListenSettings,
 ) -> pages.Pages:
-    """Creates a router's operator pages.
+    """Creates the operators' pages of a router.
 
     Args:
-        node: The router's process.
-        state: State of the router's decisions.
-        recorder: Counters and histograms of the process.
-        listen: The listening addresses.
+        node: The process.
+        state: State of the router's decision logic.
+        recorder: Recorder of events and times.
+        listen: Listening addresses of the process.
 
     Returns:
         The pages.
--- a/sycamorefall/router/tests/fakes.py
+++ b/sycamorefall/router/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A router's decisions with simulated upstreams, for tests."""
+"""A router's decision logic with simulated upstreams, for tests."""
 
 from sycamorefall import configuration, membership, messages
 from sycamorefall.router import attempt_lifecycle, core, intake
--- a/sycamorefall/router/tests/test_admission.py
+++ b/sycamorefall/router/tests/test_admission.py
@@ -62,10 +62,10 @@
 
 
 def test_caller_with_less_time_than_most_requests_run_may_wait():
-    """Most answers take eight seconds; a caller's timeout is six.
+    """Most responses take eight seconds; a caller's timeout is six.
 
-    Some answers are short, so the request may be served in time. It must not be
-    refused for the run time alone whenever another request waits.
+    Some responses are short, so the request may be served in time. It must not
+    be refused for the run time alone whenever another request waits.
     """
     router = fakes.Router()
     now = serve_at_interval(router, 0.0, 12, interval=0.1)
@@ -211,7 +211,7 @@
 
 
 def test_refused_retry_is_not_reported_as_not_run():
-    """An attempt breaks after it started; the retry waits in vain.
+    """An attempt breaks after it started; its retry is refused while waiting.
 
     The answer must not say "not run": the upstream may have run the request.
     """
--- a/sycamorefall/router/tests/test_dependencies.py
+++ b/sycamorefall/router/tests/test_dependencies.py
@@ -194,5 +194,5 @@
     cyclic = text.replace(
         "[service back]\n", "[service back]\ndepends_on = front\n"
     )
-    fault = configuration.parse_configuration(cyclic).failure()
-    assert "cycle" in fault.reason
+    error = configuration.parse_configuration(cyclic).failure()
+    assert "cycle" in error.reason
--- a/sycamorefall/router/tests/test_offering.py
+++ b/sycamorefall/router/tests/test_offering.py
@@ -129,7 +129,7 @@
     assert {sidecars.count(name) for name in SIDECARS} == {4}
 
 
-def test_sidecar_with_free_slots_is_told_at_once_which_teams_wait(router):
+def test_sidecar_with_free_slots_gets_an_announcement_at_once(router):
     admit_and_run(router, team="mill-a")
     admit_and_run(router, team="mill-b")
     offers, announcements = split_effects(
--- a/sycamorefall/sharing/tests/test_account_exchange.py
+++ b/sycamorefall/sharing/tests/test_account_exchange.py
@@ -58,13 +58,13 @@
 @pytest.mark.parametrize("teams", [4, 400])
 def test_exchange_stays_within_its_budget_and_uses_it(siblings, teams):
     accounts = sharing.ServiceAccounts("own")
-    chance = random.Random(5)
+    rng = random.Random(5)
     names_ = [f"engine-{index}" for index in range(siblings)]
 
     def change(_):
         for _ in range(3):
-            team = f"team-{chance.randrange(teams)}"
-            sharing.charge_team(accounts, team, chance.uniform(1, 5000))
+            team = f"team-{rng.randrange(teams)}"
+            sharing.charge_team(accounts, team, rng.uniform(1, 5000))
 
     sent = run(accounts, 60.0, change, names_)
     size = sum(measure_size(updates) for _, updates in sent)
@@ -110,17 +110,17 @@
 def test_one_lost_update_is_repaired_by_the_repetition(seed, teams):
     # An update is lost. Without the repetition the sibling would order its
     # teams by outdated sums until the sums change again, if they ever do.
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     accounts = sharing.ServiceAccounts("own")
     sibling = sharing.ServiceAccounts("other")
 
     def change(now):
         if now < 2.0:
-            team = f"team-{chance.randrange(teams)}"
-            sharing.charge_team(accounts, team, chance.uniform(2, 500))
+            team = f"team-{rng.randrange(teams)}"
+            sharing.charge_team(accounts, team, rng.uniform(2, 500))
 
     sent = run(accounts, 60.0, change)
-    lost = chance.randrange(len(sent))
+    lost = rng.randrange(len(sent))
     for index, (_, updates) in enumerate(sent):
         if index != lost:
             sharing.merge_entries(sibling, updates[0][1])
--- a/sycamorefall/sidecar/claim_backoff.py
+++ b/sycamorefall/sidecar/claim_backoff.py
@@ -25,7 +25,7 @@
     The backoff applies to this link only; other sidecars may reach the router.
 
     Args:
-        state: The sidecar; changed.
+        state: The sidecar's state; changed.
         now: This process's time, in seconds.
         claim: The expired claim.
     """
@@ -60,7 +60,7 @@
     """Reduces the announcement of a router that let a claim expire.
 
     Args:
-        state: The sidecar.
+        state: The sidecar's state.
         now: This process's time, in seconds.
         router: VM name of the router.
         waiting: The router's announcement.
--- a/sycamorefall/sidecar/claiming.py
+++ b/sycamorefall/sidecar/claiming.py
@@ -35,7 +35,7 @@
     """Claims requests while the concurrency limit allows it and work waits.
 
     Args:
-        state: The sidecar; changed.
+        state: The sidecar's state; changed.
         now: This process's time, in seconds.
 
     Returns:
@@ -125,7 +125,7 @@
     """Releases a claim for which a router has no request.
 
     Args:
-        state: The sidecar; changed.
+        state: The sidecar's state; changed.
         router: VM name of the router.
         message: The router's response to the claim.
     """
@@ -142,7 +142,7 @@
     """Releases the claims whose leases have expired.
 
     Args:
-        state: The sidecar; changed.
+        state: The sidecar's state; changed.
         now: This process's time, in seconds.
     """
     for claim in dispatch.expire_claims(state.claims, now):
--- a/sycamorefall/sidecar/core.py
+++ b/sycamorefall/sidecar/core.py
@@ -73,7 +73,7 @@
     A message from an unlisted VM or an outdated process is ignored.
 
     Args:
-        state: The sidecar; changed.
+        state: The sidecar's state; changed.
         now: This process's time, in seconds.
         envelope: The message and its sender.
 
@@ -175,7 +175,7 @@
     """Performs the actions that are due.
 
     Args:
-        state: The sidecar; changed.
+        state: The sidecar's state; changed.
         now: This process's time, in seconds.
 
     Returns:
--- a/sycamorefall/sidecar/hinting.py
+++ b/sycamorefall/sidecar/hinting.py
@@ -126,7 +126,7 @@
     hints keep to a byte budget.
 
     Args:
-        state: The sidecar; changed.
+        state: The sidecar's state; changed.
         now: This process's time, in seconds.
 
     Returns:
--- a/sycamorefall/sidecar/offers.py
+++ b/sycamorefall/sidecar/offers.py
@@ -20,7 +20,7 @@
     """Redeems the claim that an order names, or accepts an offer.
 
     Args:
-        state: The sidecar; changed.
+        state: The sidecar's state; changed.
         now: This process's time, in seconds.
         order: Order of the attempt.
 
@@ -39,9 +39,9 @@
     ):
         # An offer may be delayed, on a link or in a frozen process, until this
         # sidecar has dropped the record of having reported "never seen".
-        # Accepted then, its request would run after its caller was told "not
-        # run", or run twice. The time of the hint was read from this process's
-        # clock, and only this process accepts offers on the hint.
+        # Accepted then, its request would run after its caller was answered
+        # "not run", or run twice. The time of the hint was read from this
+        # process's clock, and only this process accepts offers on the hint.
         return None
     reserved = sharing.estimate_cost(state.estimates, order.team)
     sharing.reserve_units(state.accounts, order.team, reserved)
--- a/sycamorefall/sidecar/running.py
+++ b/sycamorefall/sidecar/running.py
@@ -48,7 +48,7 @@
     """Decides whether an attempt may start, directly before it would.
 
     Args:
-        state: The sidecar; changed.
+        state: The sidecar's state; changed.
         now: This process's time, in seconds.
         order: Order of the attempt.
 
@@ -131,7 +131,7 @@
     reserved ones.
 
     Args:
-        state: The sidecar; changed.
+        state: The sidecar's state; changed.
         attempt_id: The attempt in progress.
         units: Cost units since the last charge.
     """
@@ -163,7 +163,7 @@
     """Ends a run and updates the team's cost estimate.
 
     Args:
-        state: The sidecar; changed.
+        state: The sidecar's state; changed.
         now: This process's time, in seconds.
         attempt_id: The attempt that has ended, for whatever reason.
         ran: Whether the upstream may have received the request. If no byte
@@ -189,8 +189,8 @@
     """Builds a report of an attempt's state for a router.
 
     Args:
-        state: The sidecar. An attempt that was never seen is refused from now
-            on.
+        state: The sidecar's state. An attempt that was never seen is refused
+            from now on.
         now: This process's time, in seconds.
         attempt_id: The attempt.
 
@@ -213,7 +213,7 @@
     aborting it could leave its work half done, such as an order booked in part.
 
     Args:
-        state: The sidecar.
+        state: The sidecar's state.
         now: This process's time, in seconds.
 
     Returns:
@@ -251,7 +251,7 @@
     They attribute these calls to the attempt.
 
     Args:
-        state: The sidecar.
+        state: The sidecar's state.
         order: Order of the attempt that is sent to the upstream.
         held_for: Seconds for which this process held the attempt.
 
--- a/sycamorefall/sidecar/sweeping.py
+++ b/sycamorefall/sidecar/sweeping.py
@@ -11,7 +11,7 @@
     """Drops part of the accounts that the team selection doesn't need.
 
     Args:
-        state: The sidecar; changed.
+        state: The sidecar's state; changed.
     """
     sharing.drop_idle_accounts(
         state.fairness,
