--- a/sycamorefall/admission/load_reports.py
+++ b/sycamorefall/admission/load_reports.py
@@ -25,7 +25,7 @@
         running: Requests that the upstream is processing.
         queued: Requests in the upstream's internal queue.
         slots: Requests that the upstream processes concurrently; 0 if the
-            report doesn't tell.
+            report doesn't say.
     """
 
     running: int
@@ -39,13 +39,12 @@
     """Updates the number of foreign requests from a load report.
 
     The report describes an unknown time within the last
-    `limit.MAX_REPORT_LAG` seconds.
-    Only what exceeds the maximum of this process's own requests within that
-    time is certainly foreign.
+    `limit.MAX_REPORT_LAG` seconds. Only what exceeds the maximum of this
+    process's own requests within that time is certainly foreign.
 
     Args:
         limit: The limit; changed.
-        now: This process's time.
+        now: This process's time, in seconds.
         report: The report.
     """
     _, maximum = count_history.compute_range(limit.in_flight, now)
@@ -69,17 +68,17 @@
 
     Args:
         limit: The limit; changed.
-        now: This process's time.
+        now: This process's time, in seconds.
         report: The report.
     """
     is_first = limit.reported_at == -math.inf
     record_foreign(limit, now, report)
-    surplus = report.queued > limit.ahead
+    surplus = report.queued > limit.extra_claims
     if surplus:
         _decrease_capacity(limit, report.running, is_first)
     elif is_first and report.slots:
         limit_module.set_capacity(limit, report.slots)
-    elif report.queued < limit.ahead and _was_used_up(limit, now):
+    elif report.queued < limit.extra_claims and _was_used_up(limit, now):
         limit_module.increase_capacity(limit, report.slots or math.inf)
     limit.running_while_queued = report.running if surplus else -1
 
--- a/sycamorefall/admission/wait_estimates.py
+++ b/sycamorefall/admission/wait_estimates.py
@@ -64,11 +64,11 @@
     Attributes:
         seconds: `RUN_QUANTILE` quantile of the time from the start of an
             attempt to its complete response; 0 if unknown.
-        last_answer: Time of the last complete response.
+        last_response_at: Time of the last complete response.
     """
 
     seconds: float = 0.0
-    last_answer: float = 0.0
+    last_response_at: float = 0.0
 
 
 def record_run_time(run_time: RunTime, now: float, seconds: float) -> None:
@@ -85,7 +85,7 @@
         seconds: Seconds from the start of the attempt to the complete
             response.
     """
-    run_time.last_answer = now
+    run_time.last_response_at = now
     if run_time.seconds == 0.0:
         run_time.seconds = seconds
     elif seconds > run_time.seconds:
@@ -126,7 +126,7 @@
 
     Args:
         rate: The queue's drain rate.
-        now: This process's time.
+        now: This process's time, in seconds.
         busy_since: Time since which the queue has not been empty, as for
             `record_departure`; None if the queue is empty.
 
@@ -159,7 +159,7 @@
     ahead: int,
     time_left: float,
 ) -> bool:
-    """Tells whether a request is expected to wait beyond its deadline.
+    """Returns whether a request is expected to wait beyond its deadline.
 
     An outdated low rate must not refuse requests forever. A request that no
     other precedes is therefore never refused: its departure yields a new
@@ -170,7 +170,7 @@
         interval: Mean seconds between departures, of
             `compute_departure_interval`.
         ahead: Requests that leave before the request.
-        time_left: Seconds until the request has to be handed out.
+        time_left: Seconds until the request has to leave the queue.
 
     Returns:
         Whether the request is to be refused at once.
@@ -181,7 +181,7 @@
 
 
 def is_stale(rate: DrainRate, now: float) -> bool:
-    """Tells whether an idle queue's rate is too old to be used."""
+    """Returns whether an idle queue's rate is too old to be used."""
     return now - rate.last_departure > RATE_LIFETIME
 
 
--- a/sycamorefall/dispatch/outcomes.py
+++ b/sycamorefall/dispatch/outcomes.py
@@ -46,11 +46,11 @@
     """Records of the attempts that one sidecar process was sent.
 
     Attributes:
-        started: Ids of the attempts in progress. They don't expire. If they
+        started: IDs of the attempts in progress. They don't expire. If they
             did, a long run would be reported as never seen, and its request
             would be run a second time.
         settled: Records of attempts that were refused or have ended, by attempt
-            id, earliest first.
+            ID, earliest first.
     """
 
     started: set[str] = dataclasses.field(default_factory=set)
@@ -90,9 +90,9 @@
     """Records the start of an attempt unless there is a record of it.
 
     The request that carries the attempt may arrive twice, or after the router
-    was told that the attempt was never seen. In the latter case `answer_query`
-    has left a tombstone. Either record prevents the start, so a request that
-    was reported as not run is never run.
+    was informed that the attempt was never seen. In the latter case
+    `answer_query` has left a tombstone. Either record prevents the start, so a
+    request that was reported as not run is never run.
 
     Returns:
         Whether the attempt may start.
--- a/sycamorefall/replication/replica.py
+++ b/sycamorefall/replication/replica.py
@@ -99,7 +99,7 @@
             settled.
         fixed_peers: Addresses of peers to fetch from before a VM list is
             known.
-        jitter: Random number generator of jitter and random choices.
+        rng: Random number generator of jitter and random choices.
         settled: Whether enough peers and the platform have answered since the
             start, so that the process may serve.
         published_revisions: Revision in the platform's last response, by
@@ -126,7 +126,7 @@
     versions: configuration.VersionState
     directory: membership.Directory
     fixed_peers: tuple[str, ...] = ()
-    jitter: random.Random = dataclasses.field(
+    rng: random.Random = dataclasses.field(
         default_factory=lambda: random.Random(0)
     )
     startup_versions: configuration.VersionState = dataclasses.field(
@@ -353,7 +353,7 @@
 def describe_alarms(state: ReplicaState) -> tuple[str, ...]:
     """Describes problems of the platform that operators have to fix."""
     return tuple(
-        f"the platform publishes {kind.value} revision {revision}, lower than "
+        f"the platform shows {kind.value} revision {revision}, lower than "
         "the one in use: it is ignored until it is higher"
         for kind, revision in state.lagging_revisions.items()
     )
--- a/sycamorefall/sidecar/claiming.py
+++ b/sycamorefall/sidecar/claiming.py
@@ -35,8 +35,8 @@
     """Claims requests while the concurrency limit allows it and work waits.
 
     Args:
-        state: The sidecar; changed.
-        now: This process's time.
+        state: The sidecar's state; changed.
+        now: This process's time, in seconds.
 
     Returns:
         Claims to send.
@@ -57,7 +57,7 @@
 
 
 def _is_worth_claiming(state: state_module.SidecarState, now: float) -> bool:
-    """Tells whether a claim is likely to get a request that is served soon.
+    """Returns whether a claim is likely to get a request that is served soon.
 
     Without a free slot, a claim is made ahead and only for a backlog. If fewer
     requests wait than there are sidecars, most of the sidecars' claims would
@@ -79,7 +79,7 @@
 
 
 def may_claim(state: state_module.SidecarState) -> bool:
-    """Tells whether this sidecar may accept new work.
+    """Returns whether this sidecar may accept new work.
 
     It may not while it is stopping, not listed as live, or without a
     configuration that has its service.
@@ -125,7 +125,7 @@
     """Releases a claim for which a router has no request.
 
     Args:
-        state: The sidecar; changed.
+        state: The sidecar's state; changed.
         router: VM name of the router.
         message: The router's response to the claim.
     """
@@ -142,8 +142,8 @@
     """Releases the claims whose leases have expired.
 
     Args:
-        state: The sidecar; changed.
-        now: This process's time.
+        state: The sidecar's state; changed.
+        now: This process's time, in seconds.
     """
     for claim in dispatch.expire_claims(state.claims, now):
         claim_backoff.record_expired_claim(state, now, claim)
--- a/sycamorefall/sidecar/hinting.py
+++ b/sycamorefall/sidecar/hinting.py
@@ -49,7 +49,7 @@
 
 
 def _is_leaving(state: state_module.SidecarState) -> bool:
-    """Tells whether operators marked this VM as leaving.
+    """Returns whether operators marked this VM as leaving.
 
     Heartbeats carry the mark to routers whose VM list is still outdated.
     """
@@ -99,7 +99,7 @@
 
 
 def _should_hint(state: state_module.SidecarState) -> bool:
-    """Tells whether free slots are new, or twice as many as hinted last."""
+    """Returns whether free slots are new, or twice as many as hinted last."""
     return claiming.count_free_slots(state) >= max(1, 2 * state.hinted_slots)
 
 
@@ -126,8 +126,8 @@
     hints keep to a byte budget.
 
     Args:
-        state: The sidecar; changed.
-        now: This process's time.
+        state: The sidecar's state; changed.
+        now: This process's time, in seconds.
 
     Returns:
         Heartbeats to send.
@@ -173,6 +173,6 @@
     next_send_time = sharing.compute_next_send_time(state.hint_budget)
     if _should_hint(state):
         return next_send_time
-    if not state.links.unlinked:
+    if not state.links.unlinked_routers:
         return float("inf")
     return max(next_send_time, state.next_search_at)
--- a/sycamorefall/sidecar/running.py
+++ b/sycamorefall/sidecar/running.py
@@ -48,8 +48,8 @@
     """Decides whether an attempt may start, directly before it would.
 
     Args:
-        state: The sidecar; changed.
-        now: This process's time.
+        state: The sidecar's state; changed.
+        now: This process's time, in seconds.
         order: Order of the attempt.
 
     Returns:
@@ -90,7 +90,7 @@
 def _is_addressed_to_this_process(
     state: state_module.SidecarState, order: messages.AttemptOrder
 ) -> bool:
-    """Tells whether an order is addressed to this very process.
+    """Returns whether an order is addressed to this very process.
 
     Claim numbers begin anew in each process. An order to an earlier process, or
     to the VM that had this address before, could match a claim of this process
@@ -104,7 +104,7 @@
 def _is_outdated(
     state: state_module.SidecarState, order: messages.AttemptOrder
 ) -> bool:
-    """Tells whether an order comes from a router that has restarted since.
+    """Returns whether an order comes from a router that has restarted since.
 
     Such an order was in transit when its router died. Nobody waits for the
     response, the caller may have sent the same request again, and the claim
@@ -131,7 +131,7 @@
     reserved ones.
 
     Args:
-        state: The sidecar; changed.
+        state: The sidecar's state; changed.
         attempt_id: The attempt in progress.
         units: Cost units since the last charge.
     """
@@ -163,12 +163,12 @@
     """Ends a run and updates the team's cost estimate.
 
     Args:
-        state: The sidecar; changed.
-        now: This process's time.
+        state: The sidecar's state; changed.
+        now: This process's time, in seconds.
         attempt_id: The attempt that has ended, for whatever reason.
         ran: Whether the upstream may have received the request. If no byte
             reached the upstream, the attempt is recorded as refused, so that a
-            router that did not hear of the end can still report "not run".
+            router that did not learn of the end can still report "not run".
     """
     run = state.runs.pop(attempt_id, None)
     if run is None:
@@ -189,9 +189,9 @@
     """Builds a report of an attempt's state for a router.
 
     Args:
-        state: The sidecar. An attempt that was never seen is refused from now
-            on.
-        now: This process's time.
+        state: The sidecar's state. An attempt that was never seen is refused
+            from now on.
+        now: This process's time, in seconds.
         attempt_id: The attempt.
 
     Returns:
@@ -213,8 +213,8 @@
     aborting it could leave its work half done, such as an order booked in part.
 
     Args:
-        state: The sidecar.
-        now: This process's time.
+        state: The sidecar's state.
+        now: This process's time, in seconds.
 
     Returns:
         Runs to be cancelled.
@@ -235,7 +235,7 @@
 
 
 def serves_engine(state: state_module.SidecarState) -> bool:
-    """Tells whether the upstream is a model engine."""
+    """Returns whether the upstream is a model engine."""
     service = state.versions.configuration.services.get(state.service)
     engine = configuration.ServiceKind.ENGINE
     return service is not None and service.kind is engine
@@ -251,7 +251,7 @@
     They attribute these calls to the attempt.
 
     Args:
-        state: The sidecar.
+        state: The sidecar's state.
         order: Order of the attempt that is sent to the upstream.
         held_for: Seconds for which this process held the attempt.
 
