--- a/sycamorefall/direct/relay.py
+++ b/sycamorefall/direct/relay.py
@@ -310,7 +310,7 @@
     )
     streams.prepare_resume(proxied.splitter)
     proxied.head, proxied.buffered = None, []
-    last_event_id = proxied.splitter.last_id if call.begun else ""
+    last_event_id = proxied.splitter.last_id if call.response_started else ""
     request = transport.OutgoingRequest(
         send.address,
         call.method,
@@ -332,8 +332,8 @@
             on_failure=lambda stage: _handle_failure(
                 proxy, proxied, number, stage
             ),
-            is_ours=lambda headers: proxy.dialect.is_matching_response(
-                call, headers
+            is_matching_response=lambda headers: (
+                proxy.dialect.is_matching_response(call, headers)
             ),
             on_sent=lambda: outcomes.record_sent(
                 proxy.state, transport.read_clock(), number
@@ -414,7 +414,7 @@
     proxy: Proxy, proxied: _ProxiedRequest, data: bytes
 ) -> None:
     call = proxied.call
-    if not call.begun:
+    if not call.response_started:
         call.begin(proxied.first_head.status, proxied.first_head.headers)
         call.on_drained = lambda: _resume_reading(proxy, proxied)
     call.write(data)
--- a/sycamorefall/direct/tests/test_relay.py
+++ b/sycamorefall/direct/tests/test_relay.py
@@ -47,7 +47,11 @@
 
     def handle_call(self):
         call = types.SimpleNamespace(
-            method="GET", target="/look/x", headers={}, body=b"", begun=False
+            method="GET",
+            target="/look/x",
+            headers={},
+            body=b"",
+            response_started=False,
         )
         relay.handle_call(self.proxy, call)
 
--- a/sycamorefall/direct/tests/test_stopping.py
+++ b/sycamorefall/direct/tests/test_stopping.py
@@ -64,7 +64,7 @@
 
     def __init__(self):
         self.site = test_server.Site()
-        self.site.turn_until(lambda: self.site.server.port)
+        self.site.run_until(lambda: self.site.server.port)
         self.state = fakes.create_state(grace=8.0)
         self.daemon = types.SimpleNamespace(
             state=self.state,
@@ -94,7 +94,7 @@
         site = router.site
         caller = site.connect()
         if not connect_late:
-            site.turn_until(lambda s=site: s.server._connections)
+            site.run_until(lambda s=site: s.server._connections)
         router.stop()
         caller.sendall(test_server.GET % b"now")
         router.check_stop(2.8)
@@ -116,7 +116,7 @@
     site = router.site
     caller = site.connect()
     caller.sendall(test_server.GET % b"long")
-    call = site.turn_until(lambda: site.calls)[0]
+    call = site.run_until(lambda: site.calls)[0]
     call.begin(200)
     router.stop()
     router.check_stop(3.0)
--- a/sycamorefall/router/relay.py
+++ b/sycamorefall/router/relay.py
@@ -144,7 +144,7 @@
     if call is None:
         return
     _end_track(proxy, effect.request, effect.kind.value, ran=effect.ran.value)
-    if not call.begun:
+    if not call.response_started:
         call.fail(effect.kind, ran=effect.ran, retry_after=effect.retry_after)
         return
     # The caller already has part of a streamed answer. It gets a final error
@@ -323,6 +323,10 @@
     observation.count_event(proxy.recorder, "attempt", end.value)
     now = transport.read_clock()
     outcome = attempt_lifecycle.end_attempt(
-        proxy.state, now, delivery.attempt_id, end, answer_begun=call.begun
+        proxy.state,
+        now,
+        delivery.attempt_id,
+        end,
+        answer_begun=call.response_started,
     )
     node_module.perform_effects(node, outcome)
--- a/sycamorefall/sidecar/daemon.py
+++ b/sycamorefall/sidecar/daemon.py
@@ -375,7 +375,7 @@
     complete one.
     """
     outcome = messages.AttemptOutcome.FAILED
-    if relay.call.begun:
+    if relay.call.response_started:
         relay.call.abort()
     else:
         not_run = stage is transport.SendStage.NOT_SENT
--- a/sycamorefall/transport/client.py
+++ b/sycamorefall/transport/client.py
@@ -128,17 +128,18 @@
         on_failure: Called instead of `on_end` if the connection failed.
         on_sent: Called when a request that had to wait for its connection
             starts being sent.
-        is_ours: Returns from a response's headers whether it belongs to this
-            request. One that doesn't is skipped, and the next response on the
-            connection is read: an upstream may send a second response to an
-            earlier request late, before the response to this one.
+        is_matching_response: Returns whether a response belongs to this
+            request, given the response's headers. One that doesn't is skipped,
+            and the next response on the connection is read: an upstream may
+            send a second response to an earlier request late, before the
+            response to this one.
     """
 
     on_head: Callable[[int, list[tuple[str, str]]], None]
     on_data: Callable[[bytes], None]
     on_end: Callable[[], None]
     on_failure: Callable[[SendStage], None]
-    is_ours: Callable[[dict[str, str]], bool] | None = None
+    is_matching_response: Callable[[dict[str, str]], bool] | None = None
     on_sent: Callable[[], None] | None = None
 
 
@@ -149,7 +150,7 @@
         address: Address of the server.
         connected: Whether the connection is established.
         idle_since: Time at which the last response was complete.
-        keep_for: Seconds that the connection may be idle.
+        max_idle_time: Seconds that the connection may be idle.
         listener: Callbacks of the request in progress; None without one.
         connect_started_at: Time at which the attempt to connect started.
         paused: Whether reading the response is paused.
@@ -165,7 +166,7 @@
         "address",
         "connected",
         "idle_since",
-        "keep_for",
+        "max_idle_time",
         "listener",
         "connect_started_at",
         "paused",
@@ -182,7 +183,7 @@
         self.listener: Listener | None = listener
         self.connected = False
         self.idle_since = 0.0
-        self.keep_for = MAX_IDLE_TIME
+        self.max_idle_time = MAX_IDLE_TIME
         self.connect_started_at = 0.0
         self.reader = response_reader.ResponseReader()
         self.request: OutgoingRequest | None = None
@@ -270,7 +271,7 @@
         now = self._read_clock()
         while kept := self._idle.get(address):
             exchange = kept.pop()
-            if now - exchange.idle_since < exchange.keep_for:
+            if now - exchange.idle_since < exchange.max_idle_time:
                 try:
                     exchange.socket.recv(1, socket.MSG_PEEK)
                 except BlockingIOError:
@@ -402,7 +403,9 @@
         on them.
         """
         kept = itertools.chain.from_iterable(self._idle.values())
-        unused = [one for one in kept if now - one.idle_since >= one.keep_for]
+        unused = [
+            one for one in kept if now - one.idle_since >= one.max_idle_time
+        ]
         for exchange in unused:
             self._discard(exchange)
 
@@ -502,9 +505,11 @@
         if listener is None:
             return
         if isinstance(event, response_reader.ResponseHead):
-            exchange.keep_for = _parse_max_idle_time(event.headers)
-            is_ours = listener.is_ours
-            if is_ours is None or is_ours(dict(event.headers)):
+            exchange.max_idle_time = _parse_max_idle_time(event.headers)
+            is_matching_response = listener.is_matching_response
+            if is_matching_response is None or is_matching_response(
+                dict(event.headers)
+            ):
                 listener.on_head(event.status, event.headers)
             else:
                 exchange.skipping = True
@@ -523,7 +528,7 @@
             # Guards against an upstream that sends more than it announced: the
             # rest would be taken for the response to the next request on this
             # connection, and another caller would receive it.
-            and exchange.reader.is_between
+            and exchange.reader.is_at_boundary
         )
         kept = self._idle.setdefault(exchange.address, [])
         limit = exchange.request.max_idle_connections
--- a/sycamorefall/transport/incoming_call.py
+++ b/sycamorefall/transport/incoming_call.py
@@ -68,7 +68,7 @@
         remote: IP address of the caller.
         sock: Socket of the caller's connection.
         status: Status of the response; 0 before the response begins.
-        begun: Whether the head of the response was written.
+        response_started: Whether the head of the response was written.
         ended: Whether the response is complete or was aborted, or the caller
             closed the connection.
         on_hangup: Called if the caller closes the connection before the
@@ -80,7 +80,7 @@
         "_head_only",
         "_response",
         "_server",
-        "begun",
+        "response_started",
         "body",
         "ended",
         "headers",
@@ -116,7 +116,7 @@
         )
         self._response.close = not request.keep_alive
         self.status = 0
-        self.begun = False
+        self.response_started = False
         self.ended = False
         self.on_hangup: Callable[[], None] | None = None
         self.on_drained: Callable[[], None] | None = None
@@ -128,11 +128,11 @@
         headers: tuple[tuple[str, str], ...] = (),
     ) -> None:
         """Sends a complete response, unless a response has begun."""
-        if self.begun or self.ended:
+        if self.response_started or self.ended:
             return
         self._response.body = body
         head = self._format_head(status, headers)
-        self.begun = True
+        self.response_started = True
         self.ended = True
         self._server.push(self.sock, head if self._head_only else head + body)
         self._server.finish_call(self)
@@ -155,13 +155,13 @@
         self, status: int, headers: tuple[tuple[str, str], ...] = ()
     ) -> None:
         """Sends the head of a response whose body follows piece by piece."""
-        if self.begun or self.ended:
+        if self.response_started or self.ended:
             return
         # circuits.web treats a falsy body that isn't a list as one of unknown
         # length.
         self._response.body = ()
         self._response.stream = True
-        self.begun = True
+        self.response_started = True
         self._server.push(self.sock, self._format_head(status, headers))
 
     def write(self, data: bytes) -> None:
@@ -188,7 +188,7 @@
 
     def close_after_response(self) -> None:
         """Closes the connection after the response, if it has not begun yet."""
-        if not self.begun:
+        if not self.response_started:
             self._response.close = True
 
     @property
--- a/sycamorefall/transport/response_reader.py
+++ b/sycamorefall/transport/response_reader.py
@@ -50,7 +50,7 @@
     Attributes:
         keep_alive: Whether the connection may carry another request after the
             last response.
-        is_between: Whether the bytes received so far end with a complete
+        is_at_boundary: Whether the bytes received so far end with a complete
             response, or no bytes were received.
         is_broken: Whether bytes were received that can't be parsed.
     """
@@ -63,7 +63,7 @@
         "_is_in_head",
         "_parser",
         "_until_close",
-        "is_between",
+        "is_at_boundary",
         "is_broken",
         "keep_alive",
     )
@@ -83,7 +83,7 @@
         self._is_in_head = False
         self._until_close = False
         self.keep_alive = False
-        self.is_between = True
+        self.is_at_boundary = True
         self.is_broken = False
 
     def feed(self, data: bytes) -> list[ResponseEvent]:
@@ -97,7 +97,7 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.is_broken, self.is_between = True, False
+            self.is_broken, self.is_at_boundary = True, False
         if self._is_in_head:
             # Guards against a head that never ends: the parser buffers all of
             # it.
@@ -117,7 +117,7 @@
         self._headers = []
         self._head_size = 0
         self._is_in_head = True
-        self.is_between = False
+        self.is_at_boundary = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Called by the parser with each header."""
@@ -146,7 +146,7 @@
 
     def on_message_complete(self) -> None:
         """Called by the parser at the end of a response."""
-        self.is_between = True
+        self.is_at_boundary = True
         self._until_close = False
         if self._parser.get_status_code() < _FIRST_FINAL_STATUS:
             return
--- a/sycamorefall/transport/server.py
+++ b/sycamorefall/transport/server.py
@@ -49,25 +49,25 @@
         call: The request in progress, if there is one.
         refused: Whether no further request is accepted, as after a refusal;
             bytes that are read are discarded.
-        drained: Number of bytes discarded since.
-        written: Whether the sending side is shut down when all bytes
-            were sent.
+        drained_bytes: Number of bytes discarded since then.
+        shutdown_after_send: Whether the sending side is shut down when all
+            bytes were sent.
     """
 
     __slots__ = (
         "call",
-        "drained",
+        "drained_bytes",
         "reader",
         "refused",
-        "written",
+        "shutdown_after_send",
     )
 
     def __init__(self, limits: settings.LimitSettings):
         self.reader = request_reader.RequestReader(limits)
         self.call: incoming_call_module.IncomingCall | None = None
         self.refused = False
-        self.drained = 0
-        self.written = False
+        self.drained_bytes = 0
+        self.shutdown_after_send = False
 
 
 class HttpServer(circuits.BaseComponent):
@@ -411,8 +411,8 @@
     def _handle_bytes(self, sock: socket.socket, data: bytes) -> None:
         connection = self._connections[sock]
         if connection.refused:
-            connection.drained += len(data)
-            if connection.drained > MAX_DRAINED_BYTES:
+            connection.drained_bytes += len(data)
+            if connection.drained_bytes > MAX_DRAINED_BYTES:
                 self._close(sock)
             return
         is_new = (
@@ -559,7 +559,7 @@
         self._closing_timeouts.start(sock, self._read_clock())
         self._connections[sock].refused = True
         self.push(sock, response_output.frame_refusal(kind, retry_after))
-        self._connections[sock].written = True
+        self._connections[sock].shutdown_after_send = True
         self._on_written(sock)
 
     @circuits.handler("disconnect")
@@ -589,7 +589,7 @@
         connection = self._connections.get(sock)
         if connection is None or self.count_unsent(sock):
             return
-        if connection.written:
+        if connection.shutdown_after_send:
             # The caller sees the end of the response, and may still be sending.
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_WR)
--- a/sycamorefall/transport/tests/test_client.py
+++ b/sycamorefall/transport/tests/test_client.py
@@ -66,7 +66,7 @@
         self.loop._executing_thread = threading.current_thread()
         self.loop.fire(events.started(self.loop))
 
-    def turn_until(self, check):
+    def run_until(self, check):
         for _ in range(TURNS):
             self.loop.tick(0.001)
             self.upstream.run()
@@ -80,7 +80,7 @@
     def send_and_wait(self, requires_new_connection, max_idle_connections=None):
         before = self.response_count
         self.send(requires_new_connection, max_idle_connections)
-        self.turn_until(lambda: self.response_count > before)
+        self.run_until(lambda: self.response_count > before)
 
     def send(self, requires_new_connection, max_idle_connections=None):
         request = transport.OutgoingRequest(
@@ -114,7 +114,7 @@
     # and the outcome of the bookings on them was unknown.
     for _ in range(20):
         site.send_and_wait(requires_new_connection=True)
-    site.turn_until(lambda: len(site.upstream.connections) <= 1)
+    site.run_until(lambda: len(site.upstream.connections) <= 1)
     site.send_and_wait(requires_new_connection=False)
     assert len(site.upstream.connections) == 1, "the kept connection is reused"
 
@@ -127,7 +127,7 @@
     site.send_and_wait(requires_new_connection=False)
     site.now = client_module.MAX_IDLE_TIME
     site.client.expire(site.now)
-    site.turn_until(lambda: not site.upstream.connections)
+    site.run_until(lambda: not site.upstream.connections)
 
 
 def test_client_respects_its_idle_connection_limit(site):
@@ -137,13 +137,13 @@
     # unknown.
     for _ in range(6):
         site.send(requires_new_connection=False, max_idle_connections=2)
-    site.turn_until(lambda: site.response_count == 6)
-    site.turn_until(lambda: len(site.upstream.connections) == 2)
+    site.run_until(lambda: site.response_count == 6)
+    site.run_until(lambda: len(site.upstream.connections) == 2)
     for _ in range(3):
         site.send_and_wait(requires_new_connection=True, max_idle_connections=2)
-    site.turn_until(lambda: len(site.upstream.connections) == 2)
+    site.run_until(lambda: len(site.upstream.connections) == 2)
     site.send_and_wait(requires_new_connection=False, max_idle_connections=0)
-    site.turn_until(lambda: len(site.upstream.connections) == 1)
+    site.run_until(lambda: len(site.upstream.connections) == 1)
 
 
 def check_reachable(site, address=None):
@@ -157,12 +157,12 @@
     # Guards against missing a crash, and against reporting one for a live
     # process.
     found = check_reachable(site)
-    site.turn_until(lambda: found)
+    site.run_until(lambda: found)
     assert found == [transport.Reachability.ACCEPTED]
     with socket.create_server(("127.0.0.1", 0)) as gone:
         address = settings.Address(*gone.getsockname())
     found = check_reachable(site, address)
-    site.turn_until(lambda: found)
+    site.run_until(lambda: found)
     assert found == [transport.Reachability.REFUSED]
     assert site.client.find_next_due() == float("inf")
 
@@ -183,5 +183,5 @@
     unreachable = errno.ENETUNREACH
     monkeypatch.setattr(socket.socket, "connect_ex", lambda *_: unreachable)
     found = check_reachable(site)
-    site.turn_until(lambda: found)
+    site.run_until(lambda: found)
     assert found == [transport.Reachability.UNKNOWN]
--- a/sycamorefall/transport/tests/test_closing.py
+++ b/sycamorefall/transport/tests/test_closing.py
@@ -18,7 +18,7 @@
 
 def open_site():
     site = test_server.Site()
-    site.turn_until(lambda: site.server.port)
+    site.run_until(lambda: site.server.port)
     return site
 
 
@@ -37,7 +37,7 @@
     caller = site.connect()
     caller.sendall(test_server.GET % b"now")
     site.read(caller, b"now")
-    site.turn_until(lambda: site.server.find_next_due() != float("inf"))
+    site.run_until(lambda: site.server.find_next_due() != float("inf"))
     return caller
 
 
@@ -104,7 +104,7 @@
     site = test_server.Site(header_timeout=20.0)
     caller = site.connect()
     caller.sendall(b"GET /now HTTP/1.1\r\n")
-    site.turn_until(lambda: site.server.find_next_due() == 20.0)
+    site.run_until(lambda: site.server.find_next_due() == 20.0)
     caller.sendall(b"Host: a\r\n\r\n")
     site.advance(20.0)
     assert gets_response(site, caller)
@@ -133,7 +133,7 @@
     site = open_site()
     caller = site.connect()
     caller.sendall(test_server.GET % b"long")
-    call = site.turn_until(lambda: site.calls)[0]
+    call = site.run_until(lambda: site.calls)[0]
     call.begin(200)
     site.server.begin_stop()
     call.write(b"whole")
@@ -152,7 +152,7 @@
     site = open_site()
     caller = site.connect()
     caller.sendall(test_server.GET % b"big")
-    call = site.turn_until(lambda: site.calls)[0]
+    call = site.run_until(lambda: site.calls)[0]
     call.respond(200, b"x" * (1 << 24) + b"end")
     turn_loop(site, MAX_TURNS)
     assert call.unsent_bytes
@@ -211,7 +211,7 @@
     takes, stays = site.connect(), site.connect()
     for caller in (takes, stays):
         caller.sendall(test_server.GET % b"big")
-    for call in site.turn_until(lambda: site.calls[1:] and site.calls):
+    for call in site.run_until(lambda: site.calls[1:] and site.calls):
         call.respond(200, b"x" * (1 << 24) + b"end")
     turn_loop(site, MAX_TURNS)
     for caller in (takes, stays):
@@ -233,12 +233,12 @@
     site = open_site()
     caller = site.connect()
     caller.sendall(test_server.GET % b"long")
-    call = site.turn_until(lambda: site.calls)[0]
+    call = site.run_until(lambda: site.calls)[0]
     call.begin(200)
     call.write(b"x" * (1 << 24))
     turn_loop(site, MAX_TURNS)
     caller.shutdown(socket.SHUT_WR)
-    site.turn_until(lambda: site.hung_up)
+    site.run_until(lambda: site.hung_up)
     caller.close()
 
 
@@ -253,7 +253,7 @@
     caller.connect(site.address.pair)
     caller.setblocking(False)
     caller.sendall(test_server.GET % b"last")
-    call = site.turn_until(lambda: site.calls)[0]
+    call = site.run_until(lambda: site.calls)[0]
     call.close_after_response()
     caller.sendall(test_server.GET % b"now")
     call.respond(200, b"x" * 100_000 + b"end")
@@ -271,7 +271,7 @@
     site = test_server.Site(max_connections=2)
     caller = site.connect()
     caller.sendall(test_server.GET % b"big")
-    call = site.turn_until(lambda: site.calls)[0]
+    call = site.run_until(lambda: site.calls)[0]
     call.respond(200, b"x" * (1 << 24) + b"end")
     turn_loop(site, MAX_TURNS)
     idle = make_idle(site)
--- a/sycamorefall/transport/tests/test_loop.py
+++ b/sycamorefall/transport/tests/test_loop.py
@@ -62,7 +62,7 @@
         for _ in range(passes):
             self.loop.tick(0)
 
-    def turn_until(self, check):
+    def run_until(self, check):
         for _ in range(3000):
             self.loop.tick(0.001)
             if check():
@@ -98,7 +98,7 @@
             received.append(upstream.recv(4096))
         return received
 
-    process.turn_until(is_sent)
+    process.run_until(is_sent)
     return exchange, upstream
 
 
@@ -114,7 +114,7 @@
     upstream.sendall(RESPONSE)
     assert select.select([exchange.socket], [], [], 5)[0]
     process.now += FREEZE
-    process.turn_until(lambda: "limit" in process.events)
+    process.run_until(lambda: "limit" in process.events)
     assert process.events == [200, b"ok", "end", "limit"]
 
 
@@ -128,7 +128,7 @@
     upstream.sendall(RESPONSE)
     assert select.select([exchange.socket], [], [], 5)[0]
     process.now += FREEZE
-    process.turn_until(lambda: "limit" in process.events)
+    process.run_until(lambda: "limit" in process.events)
     assert process.events == [200, b"ok", "end", "limit"]
 
 
@@ -142,7 +142,7 @@
     assert select.select([], [exchange.socket], [], 5)[1]
     process.now += FREEZE
     upstream, _ = listener.accept()
-    process.turn_until(lambda: select.select([upstream], [], [], 0)[0])
+    process.run_until(lambda: select.select([upstream], [], [], 0)[0])
     assert process.events == []
 
 
--- a/sycamorefall/transport/tests/test_response_output.py
+++ b/sycamorefall/transport/tests/test_response_output.py
@@ -29,12 +29,12 @@
     caller = socket.create_connection((server.host, server.port))
     caller.sendall(b"GET /x HTTP/1.1\r\nHost: here\r\n\r\n")
     taken = len(calls)
-    turn_until(loop, lambda: len(calls) > taken)
+    run_until(loop, lambda: len(calls) > taken)
     caller.setblocking(False)
     return caller, calls[-1]
 
 
-def turn_until(loop, check):
+def run_until(loop, check):
     """Runs passes of the loop until a check holds."""
     loop._running = True
     for _ in range(100_000):
@@ -68,7 +68,7 @@
             return True
         return False
 
-    turn_until(loop, read)
+    run_until(loop, read)
     return b"".join(body), ends[0]
 
 
@@ -107,7 +107,7 @@
             caller.recv(1 << 16)
         return bool(drained)
 
-    turn_until(loop, read)
+    run_until(loop, read)
     assert drained[0] == 0
 
 
@@ -120,7 +120,7 @@
     read_response(loop, caller)
     caller.setblocking(True)
     caller.sendall(b"GET /y HTTP/1.1\r\nHost: here\r\n\r\n")
-    turn_until(loop, lambda: len(calls) == 2)
+    run_until(loop, lambda: len(calls) == 2)
     assert calls[1].path == "/y"
     calls[1].begin(201)
     calls[1].end()
--- a/sycamorefall/transport/tests/test_response_reader.py
+++ b/sycamorefall/transport/tests/test_response_reader.py
@@ -47,7 +47,7 @@
     reader, events = read(*parts)
     assert join_bodies(events) == [b"abcdefgh"]
     assert is_complete(events)
-    assert reader.keep_alive and reader.is_between
+    assert reader.keep_alive and reader.is_at_boundary
 
 
 def test_extra_bytes_prevent_connection_reuse():
@@ -57,7 +57,7 @@
     reader, events = read(OK + b"Content-Length: 3\r\n\r\nabcXY")
     assert join_bodies(events) == [b"abc"]
     assert is_complete(events), "the response itself is complete"
-    assert not reader.is_between
+    assert not reader.is_at_boundary
 
 
 def test_second_response_is_parsed_separately():
@@ -72,7 +72,7 @@
     ]
     assert [dict(head.headers)["id"] for head in heads] == ["a", "b"]
     assert join_bodies(events) == [b"1", b"2"]
-    assert reader.is_between
+    assert reader.is_at_boundary
 
 
 def test_response_without_length_ends_with_its_connection():
--- a/sycamorefall/transport/tests/test_server.py
+++ b/sycamorefall/transport/tests/test_server.py
@@ -57,7 +57,7 @@
         if call.path == "/fault":
             raise RuntimeError("a test exception")
 
-    def turn_until(self, check):
+    def run_until(self, check):
         for _ in range(TURNS):
             self.loop.tick(0.001)
             if found := check():
@@ -83,7 +83,7 @@
                 return not data or b"".join(parts).count(until) >= times
             return False
 
-        self.turn_until(check)
+        self.run_until(check)
         return b"".join(parts)
 
     def advance(self, seconds):
@@ -105,7 +105,7 @@
     site = Site(header_timeout=20.0)
     caller = site.connect()
     caller.send(b"GET /now HTTP/1.1\r\n")
-    site.turn_until(lambda: site.server.find_next_due() == 20.0)
+    site.run_until(lambda: site.server.find_next_due() == 20.0)
     site.advance(19.0)
     caller.send(b"Host: a\r\n")
     site.advance(1.0)
@@ -119,7 +119,7 @@
 def test_idle_connection_is_closed_and_makes_room():
     site = Site(max_connections=2, idle_timeout=60.0)
     first, second = site.connect(), site.connect()
-    site.turn_until(lambda: len(site.server._connections) == 2)
+    site.run_until(lambda: len(site.server._connections) == 2)
     third = site.connect()
     assert site.read(first, b"nothing") == b""
     site.advance(60.0)
@@ -136,15 +136,15 @@
     site = Site(header_timeout=20.0)
     caller = site.connect()
     caller.send(GET % b"big")
-    call = site.turn_until(lambda: site.calls)[0]
+    call = site.run_until(lambda: site.calls)[0]
     call.begin(200)
     for _ in range(400):
         call.write(b"x" * 65536)
-    site.turn_until(lambda: call.unsent_bytes)
+    site.run_until(lambda: call.unsent_bytes)
     call.abort()
-    site.turn_until(lambda: site.server.find_next_due() == 20.0)
+    site.run_until(lambda: site.server.find_next_due() == 20.0)
     site.advance(20.0)
-    site.turn_until(lambda: not site.server._connections)
+    site.run_until(lambda: not site.server._connections)
 
 
 def test_pipelined_requests_are_answered_in_turn():
@@ -156,7 +156,7 @@
     site = Site()
     caller = site.connect()
     caller.send(GET % b"later" + GET % b"now")
-    call = site.turn_until(lambda: site.calls)[0]
+    call = site.run_until(lambda: site.calls)[0]
     caller.send(GET % b"now")
     assert [call.path for call in site.calls] == ["/later"]
     call.respond(200, b"first")
@@ -170,11 +170,11 @@
     site = Site()
     caller = site.connect()
     caller.send(GET % b"later")
-    site.turn_until(lambda: site.calls)
+    site.run_until(lambda: site.calls)
     caller.close()
-    site.turn_until(lambda: site.hung_up)
+    site.run_until(lambda: site.hung_up)
     site.calls[0].respond(200, b"late")
-    site.turn_until(lambda: not site.server._connections)
+    site.run_until(lambda: not site.server._connections)
     assert site.hung_up == ["/later"]
 
 
@@ -199,7 +199,7 @@
     assert (
         json.loads(response.split(b"\r\n\r\n")[1])["error"]["ran"] == "unknown"
     )
-    assert "a test exception" in site.turn_until(lambda: site.faults)[0]
+    assert "a test exception" in site.run_until(lambda: site.faults)[0]
 
 
 requests = st.lists(
@@ -240,7 +240,7 @@
         assert status in (100, 200) or any(
             kind.encode() in head for kind in KINDS
         )
-    shared.turn_until(lambda: not shared.server._connections)
+    shared.run_until(lambda: not shared.server._connections)
     assert shared.faults == []
 
 
@@ -250,7 +250,7 @@
     # others waited in the kernel until their deadlines although their requests
     # had arrived.
     site = Site()
-    site.turn_until(lambda: site.server.port)
+    site.run_until(lambda: site.server.port)
     callers = [site.connect() for _ in range(40)]
     for caller in callers:
         caller.sendall(GET % b"now")
@@ -265,7 +265,7 @@
     # Guards against resetting connections that the kernel has made when a
     # process ends listening.
     site = Site()
-    site.turn_until(lambda: site.server.port)
+    site.run_until(lambda: site.server.port)
     callers = [site.connect() for _ in range(5)]
     for caller in callers:
         caller.sendall(GET % b"now")
@@ -280,12 +280,12 @@
     # callers close their connections. On resuming, it reads their requests
     # first and the end of input after, and an engine would run the requests.
     site = Site()
-    site.turn_until(lambda: site.server.port)
+    site.run_until(lambda: site.server.port)
     gone, waits = site.connect(), site.connect()
     for caller, path in ((gone, b"gone"), (waits, b"waits")):
         caller.sendall(GET % path)
     gone.close()
-    site.turn_until(lambda: site.calls)
+    site.run_until(lambda: site.calls)
     for _ in range(10):
         site.loop.tick(0.001)
     assert [call.path for call in site.calls] == ["/waits"]
@@ -298,9 +298,9 @@
     # all were too late. Requests that would wait for more than a tenth of a
     # second must be refused at once with the advice to retry.
     site = Site(shedding=transport.Shedding(0.1, retry_after=0.2))
-    site.turn_until(lambda: site.server.port)
+    site.run_until(lambda: site.server.port)
     callers = [site.connect() for _ in range(20)]
-    site.turn_until(lambda: len(site.server._connections) == 20)
+    site.run_until(lambda: len(site.server._connections) == 20)
     for caller in callers:
         caller.sendall(GET % b"slow")
     responses = [site.read(caller, b"\r\n\r\n") for caller in callers]
@@ -322,7 +322,7 @@
     # that still waited; those had given up too by then, and so on for as long
     # as the overload lasted.
     site = Site()
-    site.turn_until(lambda: site.server.port)
+    site.run_until(lambda: site.server.port)
     for _ in range(30):
         gone = site.connect()
         gone.sendall(GET % b"gone")
@@ -341,7 +341,7 @@
         "only the first request of a caller that left is parsed"
     )
     waits.close()
-    site.turn_until(lambda: not site.server._connections)
+    site.run_until(lambda: not site.server._connections)
 
 
 def test_requests_that_arrived_during_a_freeze_are_served():
@@ -349,9 +349,9 @@
     # of its loop. The elapsed time was taken for overload, and all later
     # requests of the turn were refused although the VM had nothing else to do.
     site = Site(shedding=transport.Shedding(0.1, retry_after=0.2))
-    site.turn_until(lambda: site.server.port)
+    site.run_until(lambda: site.server.port)
     callers = [site.connect() for _ in range(5)]
-    site.turn_until(lambda: len(site.server._connections) == 5)
+    site.run_until(lambda: len(site.server._connections) == 5)
     callers[0].sendall(GET % b"frozen")
     for caller in callers[1:]:
         caller.sendall(GET % b"now")
