--- a/sycamorefall/platform/documents.py
+++ b/sycamorefall/platform/documents.py
@@ -258,9 +258,7 @@
     # The name is sent as a header value in each request to the upstream, so a
     # line break in it would inject another header.
     if not name.isascii() or not name.isprintable() or not name.strip():
-        raise errors.ConfigurationRefused(
-            0, f"{record.key!r}: invalid upstream name"
-        )
+        raise errors.ConfigurationRefused(0, f"{record.key!r}: no name")
     return upstreams.UpstreamEntry(
         name,
         entry.service,
--- a/sycamorefall/platform/store.py
+++ b/sycamorefall/platform/store.py
@@ -115,7 +115,7 @@
         pending_read.size += len(data)
         if pending_read.size > MAX_RESPONSE_BYTES:
             self._daemon.client.abort(pending_read.exchange)
-            self._report_failure("response exceeds the maximum size")
+            self._report_failure("answer too large")
 
     def _handle_end(self, pending_read: _PendingRead) -> None:
         if pending_read.status != _OK:
