--- a/sycamorefall/command.py
+++ b/sycamorefall/command.py
@@ -136,10 +136,10 @@
     )
     commands = parser.add_subparsers(required=True, metavar="COMMAND")
     router = _add_command(commands, "router", "run a router", _ROUTER_HELP)
-    router.add_argument("settings", help="INI file with its settings")
+    router.add_argument("settings", help="settings file of the router")
     router.set_defaults(run=_run_router)
     sidecar = _add_command(commands, "sidecar", "run a sidecar", _SIDECAR_HELP)
-    sidecar.add_argument("settings", help="INI file with its settings")
+    sidecar.add_argument("settings", help="settings file of the sidecar")
     sidecar.set_defaults(run=_run_sidecar)
     check = _add_command(
         commands,
@@ -232,7 +232,7 @@
     command.add_argument(
         "request",
         metavar="REQUEST-ID",
-        help="ID of the request, or its fingerprint",
+        help="id of the request, or its fingerprint",
     )
     command.add_argument(
         "logs", metavar="LOG", nargs="+", help="log file of a process"
--- a/sycamorefall/direct/daemon.py
+++ b/sycamorefall/direct/daemon.py
@@ -220,7 +220,7 @@
             lambda call: relay.handle_call(proxy, call),
             on_dropped=lambda call: relay.record_dropped_call(proxy, call),
             shedding=transport.Shedding(
-                overload_module.MAX_TURN_TIME, core.OTHER_ROUTER_RETRY_AFTER
+                overload_module.MAX_PASS_TIME, core.OTHER_ROUTER_RETRY_AFTER
             ),
         ).register(loop)
     ]
--- a/sycamorefall/direct/overload.py
+++ b/sycamorefall/direct/overload.py
@@ -7,7 +7,7 @@
 """
 
 __all__ = [
-    "MAX_TURN_TIME",
+    "MAX_PASS_TIME",
     "Overload",
     "is_overloaded",
     "record_lateness",
@@ -20,8 +20,8 @@
 than the time between two events of a stream, and more than a garbage collection
 takes."""
 
-MAX_TURN_TIME = 0.1
-"""Seconds of a turn of the event loop after which the turn's remaining new
+MAX_PASS_TIME = 0.1
+"""Seconds of a pass of the event loop after which the pass's remaining new
 requests are refused unread: half of the shortest target latency seen, 0.2 s, so
 that the requests that are served can be on time."""
 
--- a/sycamorefall/errors.py
+++ b/sycamorefall/errors.py
@@ -73,7 +73,7 @@
 
 
 class ErrorKind(enum.Enum):
-    """Reasons for which a caller gets an error instead of a response."""
+    """Reasons for which a caller gets an error response from this process."""
 
     MALFORMED_REQUEST = "malformed_request"
     UNKNOWN_TEAM = "unknown_team"
--- a/sycamorefall/observation/log.py
+++ b/sycamorefall/observation/log.py
@@ -1,6 +1,6 @@
 """Structured logging: eliot records as JSON lines, written without blocking.
 
-Records about a request contain the ID of its attempt and the caller's
+Records about a request contain the id of its attempt and the caller's
 `X-Request-Id`, which both router and sidecar know. Bearer keys and request
 bodies are never passed to the functions of this module.
 """
--- a/sycamorefall/observation/recorder.py
+++ b/sycamorefall/observation/recorder.py
@@ -58,7 +58,7 @@
         team: The team whose request it is.
         arrived_at: Time at which the request arrived.
         action: Log action of the request; None if the log level excludes it.
-        attempt_id: ID of the last attempt.
+        attempt_id: Id of the last attempt.
         sent_at: Time at which the last attempt was sent.
         first_piece_at: Time at which the first piece of the streamed response
             was received.
@@ -129,7 +129,7 @@
         recorder: Counters and histograms of the process; modified.
         trace: Trace of the request; modified.
         now: Current time of this process's clock.
-        attempt_id: ID of the attempt.
+        attempt_id: Id of the attempt.
         sidecar: Receiver of the attempt: VM name of a sidecar, or name of an
             upstream.
         fields: Additional fields for the log record: the data that the
--- a/sycamorefall/observation/request_explanation.py
+++ b/sycamorefall/observation/request_explanation.py
@@ -74,11 +74,11 @@
     """What the logs contain about a request.
 
     Attributes:
-        request_id: ID or fingerprint that was searched for.
+        request_id: Id or fingerprint that was searched for.
         records: Records of the request and, from the same time, process-wide
             records of the processes that handled it.
         causes: How the request ended and why; one sentence for each task with
-            the ID or fingerprint.
+            the id or fingerprint.
         missing: Records that the logs lack.
     """
 
@@ -92,7 +92,7 @@
     """Collects and orders the log records about a request.
 
     Args:
-        request_id: Request ID that the caller sent or received; or fingerprint
+        request_id: Request id that the caller sent or received; or fingerprint
             of requests that lost their upstream connection or are quarantined.
         paths: Paths of the logs of one or more processes.
 
--- a/sycamorefall/observation/tests/test_request_explanation.py
+++ b/sycamorefall/observation/tests/test_request_explanation.py
@@ -51,9 +51,12 @@
 
 def test_records_of_several_logs_are_ordered_by_time(tmp_path):
     # A request was refused by one router and served by another.
-    away = {"message_type": "platform.lost", "task_uuid": "x"}
+    platform_lost = {"message_type": "platform.lost", "task_uuid": "x"}
     first = write_log(
-        tmp_path / "a.log", away, START, end(result="not_ready", ran="no")
+        tmp_path / "a.log",
+        platform_lost,
+        START,
+        end(result="not_ready", ran="no"),
     )
     late = end(result="answered", status=200, first_seconds=0.9)
     second = write_log(
@@ -86,7 +89,7 @@
 
 
 def test_unknown_request_is_refused(tmp_path):
-    # A mistyped ID must not result in an empty explanation.
+    # A mistyped id must not result in an empty explanation.
     log = write_log(tmp_path / "a.log", START)
     with pytest.raises(errors.SettingsRefused):
         request_explanation.explain_request("r2", [log])
--- a/sycamorefall/observation/tests/test_snapshots.py
+++ b/sycamorefall/observation/tests/test_snapshots.py
@@ -27,7 +27,7 @@
 }
 
 
-def make_sidecar(at, teams, times=()):
+def create_sidecar_status(at, teams, times=()):
     shown = tuple(
         status.TeamStatus("a", team, waiting, None, weight, 0.0, served)
         for team, (waiting, weight, served) in teams.items()
@@ -47,11 +47,15 @@
 def test_gap_covers_only_times_when_both_teams_wait():
     """Service that a team receives while the other is idle is no gap."""
     series = [
-        make_sidecar(0.0, {"x": (1, 1.0, 0.0), "y": (0, 2.0, 0.0)}),
-        make_sidecar(1.0, {"x": (1, 1.0, 900.0), "y": (1, 2.0, 0.0)}),
-        make_sidecar(2.0, {"x": (1, 1.0, 950.0), "y": (1, 2.0, 60.0)}),
-        make_sidecar(3.0, {"x": (1, 1.0, 950.0), "y": (1, 2.0, 200.0)}),
-        make_sidecar(4.0, {"x": (0, 1.0, 950.0), "y": (1, 2.0, 900.0)}),
+        create_sidecar_status(0.0, {"x": (1, 1.0, 0.0), "y": (0, 2.0, 0.0)}),
+        create_sidecar_status(1.0, {"x": (1, 1.0, 900.0), "y": (1, 2.0, 0.0)}),
+        create_sidecar_status(2.0, {"x": (1, 1.0, 950.0), "y": (1, 2.0, 60.0)}),
+        create_sidecar_status(
+            3.0, {"x": (1, 1.0, 950.0), "y": (1, 2.0, 200.0)}
+        ),
+        create_sidecar_status(
+            4.0, {"x": (0, 1.0, 950.0), "y": (1, 2.0, 900.0)}
+        ),
     ]
     (points,) = snapshots.compute_gaps(series).values()
     assert [point.gap for point in points] == [0.0, 0.0, 20.0, 70.0, 0.0]
@@ -64,7 +68,7 @@
             recorder.histograms, "a", "x", histograms.TimeKind.TOTAL, seconds
         )
     times = status.summarize_times(recorder.histograms, full_histograms=True)
-    one = make_sidecar(1.0, {}, times)
+    one = create_sidecar_status(1.0, {}, times)
     other = msgspec.structs.replace(one, vm="engine-2", taken_at=0.5)
     again = msgspec.structs.replace(one, taken_at=2.0)
     path = tmp_path / "saved"
--- a/sycamorefall/pages.py
+++ b/sycamorefall/pages.py
@@ -67,7 +67,7 @@
 def handle_page_call(
     pages: Pages, call: transport.IncomingCall, for_operators: bool
 ) -> bool:
-    """Answers an HTTP call if it requests one of the pages.
+    """Responds to an HTTP call if it requests one of the pages.
 
     `/live` and `/ready` are for the balancer and served at all HTTP addresses.
     `/status` and `/metrics` contain names of teams and VMs, so callers must not
@@ -80,7 +80,7 @@
         for_operators: Whether the call was received at the operators' address.
 
     Returns:
-        Whether the call was answered.
+        Whether the call requested one of the pages.
     """
     if call.path == LIVE_PATH:
         call.respond(200, b"{}", _JSON)
--- a/sycamorefall/platform/__main__.py
+++ b/sycamorefall/platform/__main__.py
@@ -17,7 +17,7 @@
 
 
 def main() -> int:
-    """Runs the router until it is told to stop; returns the exit status."""
+    """Runs the router until it is stopped; returns the exit status."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     try:
         config = settings.read_settings(path, settings.DirectSettings)
@@ -27,8 +27,8 @@
             lambda running: store.StoreReader(config.platform.address, running),
             lambda: _check_settings(path),
         )
-    except errors.SycamorefallError as fault:
-        print(f"sycamorefall: {fault}", file=sys.stderr)
+    except errors.SycamorefallError as error:
+        print(f"sycamorefall: {error}", file=sys.stderr)
         return EXIT_REFUSED
     return 0
 
@@ -36,15 +36,15 @@
 def _check_settings(path: str) -> None:
     """Reads the settings file on SIGHUP and logs whether it is valid.
 
-    Changed settings take effect only at the next start, because they hold the
-    addresses that the running process listens on. The check reports an invalid
-    file before that.
+    Changed settings take effect only at the next start, because they include
+    the addresses that the running process listens on. The check reports an
+    invalid file before the restart.
     """
     try:
         settings.read_settings(path, settings.DirectSettings)
-    except errors.SettingsRefused as fault:
+    except errors.SettingsRefused as error:
         observation.write_record(
-            observation.Level.WARNING, "settings.refused", reason=str(fault)
+            observation.Level.WARNING, "settings.refused", reason=str(error)
         )
     else:
         observation.write_record(observation.Level.INFO, "settings.checked")
--- a/sycamorefall/platform/documents.py
+++ b/sycamorefall/platform/documents.py
@@ -153,9 +153,9 @@
 def _decode(record: messages.Record, struct_type: type) -> object:
     try:
         return msgspec.json.decode(record.value, type=struct_type)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-        reason = f"{record.key}: {fault}"
-        raise errors.ConfigurationRefused(0, reason) from fault
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        reason = f"{record.key}: {error}"
+        raise errors.ConfigurationRefused(0, reason) from error
 
 
 def decode_catalog(record: messages.Record) -> catalog.Catalog:
@@ -245,8 +245,8 @@
     for record in records:
         try:
             listing[record.key] = _translate_upstream(record, prefix)
-        except (errors.ConfigurationRefused, ValueError) as fault:
-            refused[record.key] = str(fault)
+        except (errors.ConfigurationRefused, ValueError) as error:
+            refused[record.key] = str(error)
     return listing, refused
 
 
--- a/sycamorefall/platform/headers.py
+++ b/sycamorefall/platform/headers.py
@@ -79,7 +79,7 @@
         read_request=_read_request,
         read_request_id=lambda call: call.headers.get(_ATTEMPT_ID_HEADER, ""),
         write_headers=_write_headers,
-        is_matching_response=_matches_call,
+        is_matching_response=_is_matching_response,
         read_response_head=_read_response_head,
     )
 
@@ -104,8 +104,8 @@
                 body=call.body,
             )
         )
-    except ValueError as fault:
-        return result.Failure(f"header: {fault}")
+    except ValueError as error:
+        return result.Failure(f"header: {error}")
 
 
 def _read_prompt(headers: transport.RequestHeaders) -> prompts.Prompt | None:
@@ -159,17 +159,17 @@
     return frozenset(name.strip().lower() for name in options)
 
 
-def _matches_call(
+def _is_matching_response(
     call: transport.IncomingCall, headers: dict[str, str]
 ) -> bool:
-    """Tells whether a response belongs to this call, by its attempt id.
+    """Returns whether a response belongs to a call, by its attempt id.
 
     An upstream may send a second response to an earlier request on the same
-    connection. A response without an id is accepted, because some failures are
-    answered before the upstream has read the id.
+    connection. A response without an id is accepted, because an upstream may
+    respond with an error before it has read the id.
     """
-    answered_id = headers.get(_ATTEMPT_ID_HEADER.lower())
-    return answered_id is None or answered_id == call.headers.get(
+    attempt_id = headers.get(_ATTEMPT_ID_HEADER.lower())
+    return attempt_id is None or attempt_id == call.headers.get(
         _ATTEMPT_ID_HEADER
     )
 
--- a/sycamorefall/platform/store.py
+++ b/sycamorefall/platform/store.py
@@ -124,8 +124,8 @@
         data = b"".join(pending_read.chunks)
         try:
             page = msgspec.json.decode(data, type=documents.ItemPage)
-        except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-            self._report_failure(str(fault))
+        except (msgspec.DecodeError, UnicodeDecodeError) as error:
+            self._report_failure(str(error))
             return
         self._handle_page(pending_read, page)
 
@@ -183,8 +183,8 @@
     def _apply_configuration(self, record: messages.Record) -> None:
         try:
             new = documents.decode_catalog(record)
-        except errors.ConfigurationRefused as fault:
-            _log_refused(str(fault))
+        except errors.ConfigurationRefused as error:
+            _log_refused(str(error))
         else:
             self._daemon.handle_catalog(new)
 
--- a/sycamorefall/platform/tests/router_client.py
+++ b/sycamorefall/platform/tests/router_client.py
@@ -37,11 +37,11 @@
     headers = {"Attempt-Id": request, "Request-Deadline-Ms": str(time_left_ms)}
     headers |= {"Credential": key} if key else {}
     headers |= (PROMPT if prompt else {}) | extra_headers
-    status, response_headers, answer = site_module.call(
+    status, response_headers, response_body = site_module.call(
         router, path, headers, body
     )
-    return request, status, response_headers, answer
+    return request, status, response_headers, response_body
 
 
-def parse_event_data(answer):
-    return re.findall(rb"data: (\S+)", answer)
+def parse_event_data(response_body):
+    return re.findall(rb"data: (\S+)", response_body)
--- a/sycamorefall/platform/tests/test_crashing.py
+++ b/sycamorefall/platform/tests/test_crashing.py
@@ -43,13 +43,13 @@
     # the caller repeats it at other routers or because a router retries it.
     for number in range(9):
         router = fleet[number % len(fleet)]
-        _, status, found, _ = send_request(
+        _, status, response_headers, _ = send_request(
             router, path, prompt=True, body=CRASHING_BODY
         )
         assert status in (502, 503)
         time.sleep(0.2)
     assert count_crashed_upstreams(site) == 3
-    assert (status, found.get("retry-after")) == (503, None)
+    assert (status, response_headers.get("retry-after")) == (503, None)
     for router in fleet:
         assert send_request(router, path, prompt=True, body=b"sound")[1] == 200
 
--- a/sycamorefall/platform/tests/test_explaining.py
+++ b/sycamorefall/platform/tests/test_explaining.py
@@ -22,7 +22,7 @@
 
 
 def has_final_record(logs, request):
-    """Tells whether a log has the request and a final record with a result."""
+    """Returns whether a log has the request and a record with a result."""
     texts = [path.read_text() for path in logs]
     return any(request in text and '"result"' in text for text in texts)
 
--- a/sycamorefall/platform/tests/test_freezing.py
+++ b/sycamorefall/platform/tests/test_freezing.py
@@ -46,7 +46,7 @@
             await caller.send_request("/look/x", self.last_number)
         caller.close()
 
-    async def wait_for_answers(self):
+    async def wait_for_responses(self):
         target_count = len(self.outcomes) + REQUESTS_BETWEEN_FREEZES
         await callers.wait_for(lambda: len(self.outcomes) >= target_count)
 
@@ -56,11 +56,11 @@
             for _ in range(CALLER_COUNT)
         ]
         for _ in range(FREEZE_COUNT):
-            await self.wait_for_answers()
+            await self.wait_for_responses()
             self.router.process.send_signal(signal.SIGSTOP)
             await asyncio.sleep(FREEZE_SECONDS)
             self.router.process.send_signal(signal.SIGCONT)
-        await self.wait_for_answers()
+        await self.wait_for_responses()
         self.done = True
         await asyncio.gather(*tasks)
 
@@ -97,21 +97,21 @@
 
     def __init__(self, router):
         self.router = router
-        self.answers = []
+        self.responses = []
         self.done = False
 
     def read_streams_continuously(self, path):
         usage = {"Token-Usage": f"1100,{EVENTS_PER_STREAM}"}
         while not self.done:
-            request, status, _, answer = router_client.send_request(
+            request, status, _, response_body = router_client.send_request(
                 self.router, path, prompt=True, **usage
             )
-            events = len(router_client.parse_event_data(answer))
-            self.answers.append((request, status, events))
+            events = len(router_client.parse_event_data(response_body))
+            self.responses.append((request, status, events))
 
-    def wait_for_answers(self):
-        target_count = len(self.answers) + STREAMS_BETWEEN_FREEZES
-        site_module.wait_until(lambda: len(self.answers) >= target_count)
+    def wait_for_responses(self):
+        target_count = len(self.responses) + STREAMS_BETWEEN_FREEZES
+        site_module.wait_until(lambda: len(self.responses) >= target_count)
 
     def run_scenario(self):
         paths = ["/answer/x", "/draft/x"] * (STREAM_CALLER_COUNT // 2)
@@ -122,11 +122,11 @@
             ]
             try:
                 for _ in range(STREAM_FREEZE_COUNT):
-                    self.wait_for_answers()
+                    self.wait_for_responses()
                     self.router.process.send_signal(signal.SIGSTOP)
                     time.sleep(STREAM_FREEZE_SECONDS)
                     self.router.process.send_signal(signal.SIGCONT)
-                self.wait_for_answers()
+                self.wait_for_responses()
             finally:
                 self.done = True
             for reader in reading:
@@ -144,6 +144,6 @@
     readers = StreamReaders(router)
     readers.run_scenario()
     incorrect = [
-        one for one in readers.answers if one[1:] != (200, EVENTS_PER_STREAM)
+        one for one in readers.responses if one[1:] != (200, EVENTS_PER_STREAM)
     ]
     assert incorrect == []
--- a/sycamorefall/platform/tests/test_leaving.py
+++ b/sycamorefall/platform/tests/test_leaving.py
@@ -29,13 +29,13 @@
 def test_upstream_gets_no_requests_during_its_retry_delay(site):
     # Guards against requests sent to an upstream before its Retry-After delay
     # has elapsed, and against callers that wait for it until their deadline.
-    resting = site.add_upstream("e1", "engine")
-    resting.refuse, resting.retry_after = True, "3"
+    refusing = site.add_upstream("e1", "engine")
+    refusing.refuse, refusing.retry_after = True, "3"
     router = site.add_router()
     assert send_request(router, "/draft/x", prompt=True)[1] == 503
     refused_at = time.monotonic()
     time.sleep(0.5)
-    before = len(resting.refused)
+    before = len(refusing.refused)
     for _ in range(10):
         started = time.monotonic()
         _, status, headers, _ = send_request(router, "/draft/x", prompt=True)
@@ -43,7 +43,7 @@
         assert status == 503
         assert remaining - 0.5 < float(headers["retry-after"]) < remaining + 1.0
         assert time.monotonic() - started < 0.2
-    assert len(resting.refused) - before <= 2
-    resting.refuse = False
+    assert len(refusing.refused) - before <= 2
+    refusing.refuse = False
     time.sleep(max(0.0, refused_at + 3.1 - time.monotonic()))
     assert send_request(router, "/draft/x", prompt=True)[1] == 200
--- a/sycamorefall/platform/tests/test_stopping.py
+++ b/sycamorefall/platform/tests/test_stopping.py
@@ -142,7 +142,7 @@
 
 
 def is_lost(outcome, executed):
-    """Tells whether a request was lost.
+    """Returns whether a request was lost.
 
     A request is lost if its response is invalid, if the router refused it or
     closed its connection although it ran, or if the connection was closed too
@@ -179,11 +179,11 @@
 
 def check_streams(streams):
     for stream in streams:
-        request, status, _, answer = stream.result()
+        request, status, _, response_body = stream.result()
         expected = [
             f"{request}/{n}".encode() for n in range(1, STREAM_EVENTS + 1)
         ]
-        assert (status, router_client.parse_event_data(answer)) == (
+        assert (status, router_client.parse_event_data(response_body)) == (
             200,
             expected,
         )
--- a/sycamorefall/platform/tests/test_translation.py
+++ b/sycamorefall/platform/tests/test_translation.py
@@ -238,8 +238,8 @@
     value = {"Version": 1, "Routes": [], "Services": []} | change
     try:
         documents.decode_catalog(create_record(value))
-    except errors.ConfigurationRefused as fault:
-        assert "op/config" in str(fault)
+    except errors.ConfigurationRefused as error:
+        assert "op/config" in str(error)
 
 
 @pytest.mark.parametrize(
--- a/sycamorefall/platform/tests/test_whole_path.py
+++ b/sycamorefall/platform/tests/test_whole_path.py
@@ -30,27 +30,34 @@
     def call_once(number):
         if number % 2:
             path = ("/draft/x?y=1", "/answer/x")[number % 4 // 2]
-            request, status, found, answer = send_request(
+            request, status, response_headers, response_body = send_request(
                 router, path, prompt=True
             )
             events = [f"{request}/{n}".encode() for n in range(1, 6)]
             return (
                 status,
-                "server-stamp" in found,
-                parse_event_data(answer),
+                "server-stamp" in response_headers,
+                parse_event_data(response_body),
                 events,
             )
         path = ("/look/a%2Fb?c=d", "/book/z")[number % 4 // 2]
         body = b"x" * number if "book" in path else b""
-        request, status, found, answer = send_request(
+        request, status, response_headers, response_body = send_request(
             router, path, "", body=body
         )
         expected = f"{path} {request} {len(body)}".encode()
-        return status, "server-stamp" in found, answer, expected
+        return (
+            status,
+            "server-stamp" in response_headers,
+            response_body,
+            expected,
+        )
 
     with concurrent.futures.ThreadPoolExecutor(16) as pool:
-        for status, signed, answer, expected in pool.map(call_once, range(50)):
-            assert (status, signed, answer) == (200, True, expected)
+        for status, signed, response_body, expected in pool.map(
+            call_once, range(50)
+        ):
+            assert (status, signed, response_body) == (200, True, expected)
 
 
 def test_reserved_headers_of_callers_are_not_forwarded(site):
@@ -115,7 +122,7 @@
     extra = site_module.build_route("nowhere", "streaming", "engine")
     routes = [*site_module.STANDARD_ROUTES, extra]
     store_configuration(site, 9, {"trader": ["k-trader"]}, routes)
-    asked = time.monotonic()
+    changed_at = time.monotonic()
     site_module.wait_until(
         lambda: send_request(router, "/draft/x", prompt=True)[1] == 401, 2.0
     )
@@ -123,7 +130,7 @@
         send_request(router, "/nowhere/x", key="k-trader", prompt=True)[1]
         == 200
     )
-    assert time.monotonic() - asked < 2.0
+    assert time.monotonic() - changed_at < 2.0
 
 
 def test_change_is_seen_without_watch_events_or_history(site):
@@ -188,10 +195,10 @@
     counts = set()
     for router in routers:
         url = f"http://127.0.0.1:{router.operators}/metrics"
-        with urllib.request.urlopen(url, timeout=2) as answer:
-            text = answer.read().decode()
-        found = re.search(r"^sycamorefall_routers (\S+)$", text, re.M)
-        counts.add(int(float(found[1])))
+        with urllib.request.urlopen(url, timeout=2) as response:
+            text = response.read().decode()
+        match = re.search(r"^sycamorefall_routers (\S+)$", text, re.M)
+        counts.add(int(float(match[1])))
     return counts
 
 
@@ -239,13 +246,13 @@
     other = site.add_upstream("l2", "ledger")
     refusing.refuse = True
     router = site.add_router()
-    answers = [
+    responses = [
         send_request(router, "/book/x", "", body=b"b") for _ in range(12)
     ]
-    assert {status for _, status, _, _ in answers} == {200}
+    assert {status for _, status, _, _ in responses} == {200}
     assert not refusing.runs
     assert sorted(ran for ran, _ in other.runs) == sorted(
-        request for request, _, _, _ in answers
+        request for request, _, _, _ in responses
     )
 
 
@@ -257,8 +264,10 @@
     other = site.add_upstream("l2", "ledger")
     router = site.add_router()
     old.name = "l1-restarted"
-    answers = [send_request(router, "/book/x", "", body=b"b") for _ in range(8)]
-    assert {status for _, status, _, _ in answers} == {200}
+    responses = [
+        send_request(router, "/book/x", "", body=b"b") for _ in range(8)
+    ]
+    assert {status for _, status, _, _ in responses} == {200}
     assert not old.runs
     assert len(other.runs) == 8
 
@@ -274,10 +283,12 @@
     assert used[1] == 200
     (crashing,) = [engine for engine in engines if engine.runs]
     crashing.truncate_after = 2
-    request, status, _, answer = send_request(router, "/answer/x", prompt=True)
+    request, status, _, response_body = send_request(
+        router, "/answer/x", prompt=True
+    )
     assert status == 200
     expected = [f"{request}/{n}".encode() for n in range(1, 6)]
-    assert parse_event_data(answer) == expected
+    assert parse_event_data(response_body) == expected
     for engine in engines:
         engine.truncate_after = 2
     with pytest.raises(http.client.IncompleteRead) as broken:
@@ -292,8 +303,8 @@
     ledger.extra = True
     router = site.add_router()
     for _ in range(20):
-        request, status, _, answer = send_request(router, "/look/x", "")
-        assert (status, answer) == (200, f"/look/x {request} 0".encode())
+        request, status, _, response_body = send_request(router, "/look/x", "")
+        assert (status, response_body) == (200, f"/look/x {request} 0".encode())
 
 
 def test_late_duplicate_response_is_skipped(site):
@@ -303,8 +314,8 @@
     ledger.repeat_previous = True
     router = site.add_router()
     for _ in range(5):
-        request, status, _, answer = send_request(router, "/look/x", "")
-        assert (status, answer) == (200, f"/look/x {request} 0".encode())
+        request, status, _, response_body = send_request(router, "/look/x", "")
+        assert (status, response_body) == (200, f"/look/x {request} 0".encode())
     assert ledger.repeat_count
 
 
@@ -337,10 +348,10 @@
     )
     store_configuration(site, 9, routes=[slow])
     router = site.add_router()
-    asked = time.monotonic()
+    sent_at = time.monotonic()
     _, status, _, _ = send_request(router, "/book/x", "", body=b"b")
     assert status == 504
-    assert 0.5 < time.monotonic() - asked < 1.1
+    assert 0.5 < time.monotonic() - sent_at < 1.1
     assert sum(len(ledger.runs) for ledger in ledgers) == 1
 
 
@@ -358,8 +369,8 @@
         site_module.wait_until(lambda: not site_module.is_ready(router), 1.0)
         engine.event_interval = 0.0
         assert send_request(router, "/draft/x", prompt=True)[1] == 200
-        request, status, _, answer = running.result()
-    assert (status, len(parse_event_data(answer))) == (200, 5)
+        request, status, _, response_body = running.result()
+    assert (status, len(parse_event_data(response_body))) == (200, 5)
     assert router.process.wait(8) == 0
 
 
@@ -373,19 +384,21 @@
         site.add_upstream(name, service)
     router = site.add_router(extra_settings="[bounds]\ngrace = 6\n")
     router.process.send_signal(signal.SIGTERM)
-    began, answers = time.monotonic(), []
+    began, responses = time.monotonic(), []
     with contextlib.suppress(ConnectionError):
         while True:
             long = send_request(router, "/draft/x", prompt=True)
             short = send_request(
                 router, "/book/x", "", time_left_ms=500, body=b"b"
             )
-            answers.append((time.monotonic() - began, long, short))
-    assert answers[-1][0] > 3.8
-    refused = [long for _, long, _ in answers if long[1] != 200]
+            responses.append((time.monotonic() - began, long, short))
+    assert responses[-1][0] > 3.8
+    refused = [long for _, long, _ in responses if long[1] != 200]
     assert {status for _, status, _, _ in refused} == {503}
-    assert {found["retry-after"] for _, _, found, _ in refused} == {"0.1"}
-    assert {short[1] for _, _, short in answers} == {200}
+    assert {
+        response_headers["retry-after"] for _, _, response_headers, _ in refused
+    } == {"0.1"}
+    assert {short[1] for _, _, short in responses} == {200}
     assert router.process.wait(8) == 0
 
 
@@ -426,8 +439,8 @@
     send_request(router, "/draft/x", prompt=True)
     send_request(router, "/draft/x", key="unknown", prompt=True)
     url = f"http://127.0.0.1:{router.operators}/metrics"
-    with urllib.request.urlopen(url, timeout=2) as answer:
-        text = answer.read().decode()
+    with urllib.request.urlopen(url, timeout=2) as response:
+        text = response.read().decode()
     assert re.search(
         r'requests_total\{result="answered",service="engine"\} 1', text
     ) or re.search(
--- a/sycamorefall/settings.py
+++ b/sycamorefall/settings.py
@@ -61,7 +61,7 @@
 
     @property
     def pair(self) -> tuple[str, int]:
-        """Tuple of host and port, as socket functions take it."""
+        """Tuple of host and port, as socket functions expect it."""
         return self.host, self.port
 
 
@@ -335,16 +335,16 @@
 ) -> None:
     """Raises `SettingsRefused` if two of the addresses are equal."""
     listen = checked.listen
-    named = {
+    addresses_by_key = {
         "[listen] data": listen.data,
         "[listen] control": listen.control,
         "[listen] operators": listen.operators,
         "[platform] address": checked.platform.address,
     }
     if isinstance(checked, SidecarSettings):
-        named["[upstream] address"] = checked.upstream.address
+        addresses_by_key["[upstream] address"] = checked.upstream.address
     seen: dict[Address, str] = {}
-    for name, address in named.items():
+    for name, address in addresses_by_key.items():
         if address is None:
             continue
         if address in seen:
--- a/sycamorefall/tests/test_messages_fuzz.py
+++ b/sycamorefall/tests/test_messages_fuzz.py
@@ -46,7 +46,7 @@
     return bytes(changed[: draw(st.integers(0, len(changed)))])
 
 
-def make_order():
+def create_order():
     return messages.AttemptOrder(
         *("a/1/1/1", 1, "router-0", 1, "ledger", "mill", "POST", "/"),
         headers=(("A", "b"),),
@@ -82,7 +82,7 @@
     waiting = messages.Waiting("ledger", 1, (team,), True)
     sent = messages.encode_envelope(messages.Envelope("r", 1, 1, waiting))
     decode(messages.decode_envelope, data.draw(corrupt_data(sent)))
-    order = messages.encode_order(make_order()).encode()
+    order = messages.encode_order(create_order()).encode()
     text = data.draw(corrupt_data(order)).decode("latin-1")
     decode(messages.decode_order, text)
 
--- a/sycamorefall/tests/test_pages.py
+++ b/sycamorefall/tests/test_pages.py
@@ -26,7 +26,7 @@
         self.status = errors.ANSWERS[kind].status
 
 
-def ask(path, remote, operators=None, for_operators=False, unready=()):
+def request_page(path, remote, operators=None, for_operators=False, unready=()):
     shown = pages.Pages(
         listen=settings.ListenSettings(DATA, CONTROL, operators),
         list_unready_reasons=lambda: unready,
@@ -41,13 +41,13 @@
 @pytest.mark.parametrize("path", ["/status", "/metrics"])
 def test_operators_pages_are_not_served_to_callers(path):
     """Callers must not get the names of teams and VMs."""
-    assert ask(path, REMOTE) == 404
-    assert ask(path, LOCAL) == 200
-    assert ask(path, LOCAL, OPERATORS) == 404
-    assert ask(path, REMOTE, OPERATORS, for_operators=True) == 200
+    assert request_page(path, REMOTE) == 404
+    assert request_page(path, LOCAL) == 200
+    assert request_page(path, LOCAL, OPERATORS) == 404
+    assert request_page(path, REMOTE, OPERATORS, for_operators=True) == 200
 
 
 def test_balancer_pages_are_served_at_all_addresses():
-    assert ask("/live", REMOTE) == 200
-    assert ask("/ready", REMOTE, OPERATORS) == 200
-    assert ask("/ready", REMOTE, unready=("stopping",)) == 503
+    assert request_page("/live", REMOTE) == 200
+    assert request_page("/ready", REMOTE, OPERATORS) == 200
+    assert request_page("/ready", REMOTE, unready=("stopping",)) == 503
--- a/sycamorefall/transport/client.py
+++ b/sycamorefall/transport/client.py
@@ -255,8 +255,8 @@
             request.headers,
             request.body,
         )
-        # A kept connection usually takes a request at once. Bytes that it does
-        # not take, and its failure, are handled when it becomes writable.
+        # A kept connection usually accepts a request at once. Bytes that it
+        # doesn't accept, and its failure, are handled when it becomes writable.
         if not exchange.connected or not _push_unsent(exchange):
             self._poller.addWriter(self, exchange.socket)
         return exchange
@@ -398,7 +398,7 @@
         """Closes connections that have been idle for their maximum idle time.
 
         Guards against idle connections that count towards a server's connection
-        limit: the server bears a limited number of connections from all
+        limit: the server accepts a limited number of connections from all
         processes together, and resets new ones beyond that, with the requests
         on them.
         """
@@ -454,8 +454,8 @@
             data = sock.recv(READ_SIZE)
         except BlockingIOError:
             return
-        except OSError as fault:
-            if fault.errno != errno.EINTR:
+        except OSError as error:
+            if error.errno != errno.EINTR:
                 self._fail(exchange)
             return
         if exchange.listener is None:
@@ -576,7 +576,7 @@
 
 
 def _push_unsent(exchange: Exchange) -> bool | None:
-    """Sends as many unsent bytes as the socket takes.
+    """Sends as many unsent bytes as the socket accepts.
 
     Returns:
         Whether all bytes were sent, or None if the connection failed.
@@ -599,7 +599,7 @@
 
 
 def _parse_max_idle_time(headers: list[tuple[str, str]]) -> float:
-    """Computes how long a connection may be idle, in seconds."""
+    """Returns the maximum idle time of a connection by a response's headers."""
     values = [value for name, value in headers if name == "keep-alive"]
     parts = itertools.chain.from_iterable(value.split(",") for value in values)
     times = [
--- a/sycamorefall/transport/control.py
+++ b/sycamorefall/transport/control.py
@@ -113,8 +113,8 @@
         self._inbox = pynng.Pull0(recv_buffer_size=RECEIVE_BUFFER)
         try:
             self._inbox.listen(f"tcp://{listen}")
-        except pynng.NNGException as fault:
-            raise errors.AddressInUse(f"control {listen}: {fault}") from fault
+        except pynng.NNGException as error:
+            raise errors.AddressInUse(f"control {listen}: {error}") from error
 
     def attach(self, poller: pollers.BasePoller) -> None:
         """Registers the receiving socket with the loop's poller."""
@@ -208,12 +208,12 @@
         self.bytes_received += len(data)
         try:
             envelope = self._authenticator.verify_message(data)
-        except errors.MessageRefused as fault:
+        except errors.MessageRefused as error:
             self.refused += 1
             observation.write_rate_limited(
                 observation.Level.WARNING,
                 "control.refused",
-                reason=str(fault),
+                reason=str(error),
                 refused=self.refused,
             )
             return
@@ -237,7 +237,7 @@
         that may have been lost.
         """
         if unknown and self._last_sent is not None:
-            question = msgspec.structs.replace(
+            request = msgspec.structs.replace(
                 self._last_sent, message=messages.UnknownNames(unknown)
             )
-            self.send(sender, question)
+            self.send(sender, request)
--- a/sycamorefall/transport/incoming_call.py
+++ b/sycamorefall/transport/incoming_call.py
@@ -67,7 +67,7 @@
         body: The complete body.
         remote: IP address of the caller.
         sock: Socket of the caller's connection.
-        status: Status of the response; 0 before the response begins.
+        status: Status of the response; 0 before the response starts.
         response_started: Whether the head of the response was written.
         ended: Whether the response is complete or was aborted, or the caller
             closed the connection.
@@ -127,7 +127,7 @@
         body: bytes,
         headers: tuple[tuple[str, str], ...] = (),
     ) -> None:
-        """Sends a complete response, unless a response has begun."""
+        """Sends a complete response, unless the response has started."""
         if self.response_started or self.ended:
             return
         self._response.body = body
@@ -173,7 +173,7 @@
             )
 
     def end(self) -> None:
-        """Completes a response that was begun with `begin`."""
+        """Completes a response that was started with `begin`."""
         if not self.ended:
             self.ended = True
             if self._response.chunked:
@@ -187,7 +187,7 @@
             self._server.abort_response(self)
 
     def close_after_response(self) -> None:
-        """Closes the connection after the response, if it has not begun yet."""
+        """Closes the connection after a response that has not started yet."""
         if not self.response_started:
             self._response.close = True
 
--- a/sycamorefall/transport/loop.py
+++ b/sycamorefall/transport/loop.py
@@ -162,22 +162,22 @@
         self._report = report
 
     @circuits.handler("exception", channel="*", priority=100)
-    def _on_exception(self, kind, fault, trace, **_) -> None:
-        lines = traceback.format_exception(kind, fault, None)
+    def _on_exception(self, kind, error, trace, **_) -> None:
+        lines = traceback.format_exception(kind, error, None)
         parts = trace if isinstance(trace, list) else []
         self._report("".join([*parts, *lines]))
 
 
 def create_loop(
     on_signal: Callable[[], None],
-    on_fault: Callable[[str], None] = print_traceback,
+    on_exception: Callable[[str], None] = print_traceback,
     read_clock: Callable[[], float] = read_clock,
 ) -> Loop:
     """Creates a process's event loop.
 
     Args:
         on_signal: Called on SIGTERM and on SIGINT.
-        on_fault: Called with the traceback of each uncaught exception.
+        on_exception: Called with the traceback of each uncaught exception.
         read_clock: Clock by which the loop records up to when it read input.
 
     Returns:
@@ -186,5 +186,5 @@
     loop = circuits.BaseComponent()
     _Poller(read_clock).register(loop)
     _SignalHandler(on_signal).register(loop)
-    _ExceptionReporter(on_fault).register(loop)
+    _ExceptionReporter(on_exception).register(loop)
     return loop
--- a/sycamorefall/transport/request_reader.py
+++ b/sycamorefall/transport/request_reader.py
@@ -139,8 +139,8 @@
         """
         try:
             return self._read_events()
-        except h11.RemoteProtocolError as fault:
-            if fault.error_status_hint == 431:
+        except h11.RemoteProtocolError as error:
+            if error.error_status_hint == 431:
                 return errors.ErrorKind.HEADERS_TOO_LARGE
             return errors.ErrorKind.MALFORMED_REQUEST
 
--- a/sycamorefall/transport/response_output.py
+++ b/sycamorefall/transport/response_output.py
@@ -3,7 +3,7 @@
 circuits handles a piece of a streamed response with six events (`stream`, two
 that report on it, `write`, `_write`, and the poller's), which take most of the
 processor time of a token. This module sends a piece directly on its socket.
-Bytes that the socket does not take go to the send buffer of circuits, from
+Bytes that the socket does not accept go to the send buffer of circuits, from
 which the loop's poller sends them.
 """
 
--- a/sycamorefall/transport/response_reader.py
+++ b/sycamorefall/transport/response_reader.py
@@ -130,11 +130,13 @@
         status = self._parser.get_status_code()
         if status < _FIRST_FINAL_STATUS:
             return
-        named = dict(self._headers)
-        coding = named.get("transfer-encoding")
+        headers_by_name = dict(self._headers)
+        coding = headers_by_name.get("transfer-encoding")
         if coding is not None and coding.lower() != "chunked":
             raise ValueError(f"unsupported transfer encoding: {coding}")
-        self._until_close = coding is None and "content-length" not in named
+        self._until_close = (
+            coding is None and "content-length" not in headers_by_name
+        )
         self._events.append(ResponseHead(status, self._headers))
         if self._is_bodiless:
             self._events.append(END)
--- a/sycamorefall/transport/server.py
+++ b/sycamorefall/transport/server.py
@@ -127,7 +127,7 @@
         self._read_clock = read_clock
         self._on_dropped = on_dropped
         self._shedding = shedding
-        self._turn = shedding_module.Turn()
+        self._loop_pass = shedding_module.LoopPass()
         self.shed = 0
         self._connections: dict[socket.socket, _Connection] = {}
         self.stopping = False
@@ -138,8 +138,8 @@
         self._closing_timeouts = deadlines.Deadlines(limits.header_timeout)
         try:
             self.server = poller.create_server(listen, channel)
-        except OSError as fault:
-            raise errors.AddressInUse(f"{listen}: {fault}") from fault
+        except OSError as error:
+            raise errors.AddressInUse(f"{listen}: {error}") from error
         self.server.register(self)
 
     @property
@@ -258,7 +258,7 @@
     @circuits.handler("_read", priority=2)
     def _on_readable(self, event, sock) -> None:
         event.stop()
-        shedding_module.record_time(self._turn, self._read_clock())
+        shedding_module.record_time(self._loop_pass, self._read_clock())
         if sock is self.server._sock:
             self._accept_pending()
         elif sock in self._connections:
@@ -419,7 +419,9 @@
             connection.call is None
             and not self._request_timeouts.is_running(sock)
         )
-        if is_new and shedding_module.should_shed(self._shedding, self._turn):
+        if is_new and shedding_module.should_shed(
+            self._shedding, self._loop_pass
+        ):
             self._shed_request(sock)
             return
         if is_new and self._drop_if_hung_up(sock):
@@ -432,14 +434,14 @@
             self._close(sock)
 
     @circuits.handler("generate_events", channel="*", priority=2)
-    def _on_turn(self, event) -> None:
-        if self._turn.hung_up_count > 1:
+    def _on_generate_events(self, event) -> None:
+        if self._loop_pass.hung_up_count > 1:
             observation.write_record(
                 observation.Level.WARNING,
                 "connections.left",
-                left=self._turn.hung_up_count,
+                left=self._loop_pass.hung_up_count,
             )
-        self._turn = shedding_module.Turn()
+        self._loop_pass = shedding_module.LoopPass()
 
     def _drop_if_hung_up(self, sock: socket.socket) -> bool:
         """Closes a connection without parsing if its caller has left.
@@ -447,15 +449,15 @@
         Guards against a queue of requests whose callers have left: a VM that
         fell behind parsed each of them before it detected that its caller had
         left, and was then late for the next ones too. The first such request of
-        a turn is parsed, so that its id is logged.
+        a pass is parsed, so that its id is logged.
 
         Returns:
             Whether the connection was closed.
         """
         if not socket_peek.has_hung_up(sock):
             return False
-        self._turn.hung_up_count += 1
-        if self._turn.hung_up_count == 1:
+        self._loop_pass.hung_up_count += 1
+        if self._loop_pass.hung_up_count == 1:
             return False
         self._close(sock)
         return True
--- a/sycamorefall/transport/shedding.py
+++ b/sycamorefall/transport/shedding.py
@@ -1,11 +1,11 @@
 """Load shedding: refuses requests of an overloaded process unread; no I/O."""
 
-__all__ = ["Shedding", "Turn", "record_time", "should_shed"]
+__all__ = ["LoopPass", "Shedding", "record_time", "should_shed"]
 
 import dataclasses
 
 MAX_STEP_TIME = 0.05
-"""Maximum seconds that one step of a turn counts: more than a garbage
+"""Maximum seconds that one step of a pass counts: more than a garbage
 collection takes, or any one request."""
 
 
@@ -20,26 +20,26 @@
     remaining ones are served soon.
 
     Attributes:
-        max_turn_time: Seconds that a turn of the loop may take; new requests
-            that are read later in the turn are refused.
+        max_turn_time: Seconds that a pass of the loop may take; new requests
+            that are read later in the pass are refused.
         retry_after: Seconds after which callers of refused requests should
             retry.
     """
 
-    max_turn_time: float
+    max_pass_time: float
     retry_after: float
 
 
 @dataclasses.dataclass(slots=True)
-class Turn:
-    """The current turn (pass) of the event loop.
+class LoopPass:
+    """The current pass of the event loop.
 
     Attributes:
-        last_input_at: Time at which input of the turn was last handled; None
+        last_input_at: Time at which input of the pass was last handled; None
             before.
-        elapsed: Seconds that the turn took until then, of each step at most
+        elapsed: Seconds that the pass took until then, of each step at most
             `MAX_STEP_TIME`.
-        hung_up_count: Number of new requests in the turn whose callers had
+        hung_up_count: Number of new requests in the pass whose callers had
             left.
     """
 
@@ -48,19 +48,19 @@
     hung_up_count: int = 0
 
 
-def record_time(turn: Turn, now: float) -> None:
+def record_time(loop_pass: LoopPass, now: float) -> None:
     """Records that input is handled now.
 
     A very long step means that the VM was frozen, which is no overload: the
     requests that arrived meanwhile are served as soon as possible.
     """
-    if turn.last_input_at is not None:
-        turn.elapsed += min(now - turn.last_input_at, MAX_STEP_TIME)
-    turn.last_input_at = now
+    if loop_pass.last_input_at is not None:
+        loop_pass.elapsed += min(now - loop_pass.last_input_at, MAX_STEP_TIME)
+    loop_pass.last_input_at = now
 
 
-def should_shed(shedding: Shedding | None, turn: Turn) -> bool:
-    """Returns whether a turn has taken too long to serve new requests.
+def should_shed(shedding: Shedding | None, loop_pass: LoopPass) -> bool:
+    """Returns whether a pass has taken too long to serve new requests.
 
     Example:
         >>> shedding = Shedding(max_turn_time=0.1, retry_after=0.2)
@@ -73,4 +73,4 @@
         >>> should_shed(shedding, turn)
         True
     """
-    return shedding is not None and turn.elapsed > shedding.max_turn_time
+    return shedding is not None and loop_pass.elapsed > shedding.max_pass_time
--- a/sycamorefall/transport/tests/test_client.py
+++ b/sycamorefall/transport/tests/test_client.py
@@ -11,7 +11,7 @@
 from sycamorefall import settings, transport
 from sycamorefall.transport import client as client_module
 
-TURNS = 3000
+MAX_PASSES = 3000
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
@@ -67,7 +67,7 @@
         self.loop.fire(events.started(self.loop))
 
     def run_until(self, check):
-        for _ in range(TURNS):
+        for _ in range(MAX_PASSES):
             self.loop.tick(0.001)
             self.upstream.run()
             if check():
--- a/sycamorefall/transport/tests/test_closing.py
+++ b/sycamorefall/transport/tests/test_closing.py
@@ -12,7 +12,7 @@
 from sycamorefall import observation, transport
 from sycamorefall.transport.tests import test_server
 
-MAX_TURNS = 6
+MAX_PASSES = 6
 """Passes of the loop within which it has handled all input that arrived."""
 
 
@@ -22,8 +22,8 @@
     return site
 
 
-def turn_loop(site, turns):
-    for _ in range(turns):
+def run_passes(site, passes):
+    for _ in range(passes):
         site.loop.tick(0.001)
 
 
@@ -32,7 +32,7 @@
     return site.read(caller, end).endswith(end)
 
 
-def make_idle(site):
+def open_idle_connection(site):
     """Connects a caller and waits for the response to its first request."""
     caller = site.connect()
     caller.sendall(test_server.GET % b"now")
@@ -46,14 +46,14 @@
     # of a second late when listening ends, so requests on kept connections are
     # unread in the kernel, or read but not handled. Their connections counted
     # as idle and were closed, and callers got neither a response nor a refusal.
-    for turns in range(MAX_TURNS):
+    for passes in range(MAX_PASSES):
         site = test_server.Site()
-        caller = make_idle(site)
+        caller = open_idle_connection(site)
         caller.sendall(test_server.GET % b"now")
-        turn_loop(site, turns)
+        run_passes(site, passes)
         site.server.begin_stop()
         site.server.end_listening()
-        assert gets_response(site, caller), turns
+        assert gets_response(site, caller), passes
 
 
 def test_first_request_on_a_late_accepted_connection_is_answered():
@@ -61,26 +61,26 @@
     # listening ends. The stopping process checks its connections repeatedly;
     # the next check came before the request was handled, and closed the
     # connection.
-    for turns in range(MAX_TURNS):
+    for passes in range(MAX_PASSES):
         site = open_site()
         caller = site.connect()
         site.server.begin_stop()
         site.server.end_listening()
         caller.sendall(test_server.GET % b"now")
-        turn_loop(site, turns)
+        run_passes(site, passes)
         site.server.begin_stop()
-        assert gets_response(site, caller), turns
+        assert gets_response(site, caller), passes
 
 
 def test_server_with_an_unread_request_is_not_drained():
     # Guards against a stopping process that exits with an unhandled request:
     # the request's connection would be closed.
-    for turns in range(MAX_TURNS):
+    for passes in range(MAX_PASSES):
         site = test_server.Site()
-        caller = make_idle(site)
+        caller = open_idle_connection(site)
         caller.sendall(test_server.GET % b"long")
-        turn_loop(site, turns)
-        assert not site.server.is_drained(), turns
+        run_passes(site, passes)
+        assert not site.server.is_drained(), passes
         caller.close()
 
 
@@ -90,7 +90,7 @@
     # request on a kept connection before the timeout. On resuming, the server
     # closed the connection before it read the request.
     site = test_server.Site(idle_timeout=60.0)
-    caller = make_idle(site)
+    caller = open_idle_connection(site)
     caller.sendall(test_server.GET % b"now")
     site.advance(60.0)
     assert gets_response(site, caller)
@@ -115,13 +115,13 @@
     # connection limit. The longest idle connection was closed for a new one
     # although a request had arrived on it; the next connection had none.
     site = test_server.Site(max_connections=2)
-    asking, idle = make_idle(site), make_idle(site)
-    asking.sendall(test_server.GET % b"now")
+    active, idle = open_idle_connection(site), open_idle_connection(site)
+    active.sendall(test_server.GET % b"now")
     third = site.connect()
     site.server._accept_pending()
-    assert gets_response(site, asking)
+    assert gets_response(site, active)
     assert site.read(idle, b"nothing") == b""
-    for caller in (asking, third):
+    for caller in (active, third):
         caller.close()
 
 
@@ -154,7 +154,7 @@
     caller.sendall(test_server.GET % b"big")
     call = site.run_until(lambda: site.calls)[0]
     call.respond(200, b"x" * (1 << 24) + b"end")
-    turn_loop(site, MAX_TURNS)
+    run_passes(site, MAX_PASSES)
     assert call.unsent_bytes
     site.server.begin_stop()
     site.server.end_listening()
@@ -166,15 +166,15 @@
     # Guards against a log record that counts every closed connection as one
     # with an unread request, so that it couldn't show how requests were lost.
     site = open_site()
-    asking, *idle = [make_idle(site) for _ in range(3)]
-    asking.sendall(test_server.GET % b"long")
+    active, *idle = [open_idle_connection(site) for _ in range(3)]
+    active.sendall(test_server.GET % b"long")
     found = {}
     monkeypatch.setattr(
         observation, "write_record", lambda _, kind, **more: found.update(more)
     )
     site.server.begin_stop()
     assert found == {"closed": 2, "unread": 1, "open": 1}
-    for caller in (asking, *idle):
+    for caller in (active, *idle):
         caller.close()
 
 
@@ -182,15 +182,15 @@
     # Guards against refusing a new connection at the limit although another one
     # is found to be reset by its caller, which frees its place.
     site = test_server.Site(max_connections=1)
-    gone = make_idle(site)
+    gone = open_idle_connection(site)
     at_once = struct.pack("ii", 1, 0)
     gone.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, at_once)
     gone.close()
-    asking = site.connect()
-    asking.sendall(test_server.GET % b"now")
+    active = site.connect()
+    active.sendall(test_server.GET % b"now")
     site.server._accept_pending()
-    assert gets_response(site, asking)
-    asking.close()
+    assert gets_response(site, active)
+    active.close()
 
 
 def test_caller_that_closed_its_side_gets_the_rest_within_a_time_limit(
@@ -208,21 +208,21 @@
         lambda self, sock: reads.append(sock) or read_once(self, sock),
     )
     site = test_server.Site(header_timeout=20.0)
-    takes, stays = site.connect(), site.connect()
-    for caller in (takes, stays):
+    reading, stalled = site.connect(), site.connect()
+    for caller in (reading, stalled):
         caller.sendall(test_server.GET % b"big")
     for call in site.run_until(lambda: site.calls[1:] and site.calls):
         call.respond(200, b"x" * (1 << 24) + b"end")
-    turn_loop(site, MAX_TURNS)
-    for caller in (takes, stays):
+    run_passes(site, MAX_PASSES)
+    for caller in (reading, stalled):
         caller.shutdown(socket.SHUT_WR)
     reads.clear()
-    turn_loop(site, 20)
+    run_passes(site, 20)
     assert len(reads) <= 4
-    assert site.read(takes, b"end").endswith(b"xend")
+    assert site.read(reading, b"end").endswith(b"xend")
     site.advance(20.0)
     assert not site.server._connections
-    for caller in (takes, stays):
+    for caller in (reading, stalled):
         caller.close()
 
 
@@ -236,7 +236,7 @@
     call = site.run_until(lambda: site.calls)[0]
     call.begin(200)
     call.write(b"x" * (1 << 24))
-    turn_loop(site, MAX_TURNS)
+    run_passes(site, MAX_PASSES)
     caller.shutdown(socket.SHUT_WR)
     site.run_until(lambda: site.hung_up)
     caller.close()
@@ -273,8 +273,8 @@
     caller.sendall(test_server.GET % b"big")
     call = site.run_until(lambda: site.calls)[0]
     call.respond(200, b"x" * (1 << 24) + b"end")
-    turn_loop(site, MAX_TURNS)
-    idle = make_idle(site)
+    run_passes(site, MAX_PASSES)
+    idle = open_idle_connection(site)
     new = site.connect()
     site.server._accept_pending()
     assert site.read(idle, b"nothing") == b""
--- a/sycamorefall/transport/tests/test_loop.py
+++ b/sycamorefall/transport/tests/test_loop.py
@@ -43,7 +43,7 @@
         self.loop._running = True
         self.loop._executing_thread = threading.current_thread()
         self.loop.fire(events.started(self.loop))
-        self.turn(4)
+        self.run_passes(4)
 
     def read(self):
         return self.now
@@ -58,7 +58,7 @@
             self.due = float("inf")
             self.events.append("limit")
 
-    def turn(self, passes=1):
+    def run_passes(self, passes=1):
         for _ in range(passes):
             self.loop.tick(0)
 
@@ -110,7 +110,7 @@
     process = Process()
     exchange, upstream = send_request(process)
     process.due = process.now + LIMIT
-    process.turn()
+    process.run_passes()
     upstream.sendall(RESPONSE)
     assert select.select([exchange.socket], [], [], 5)[0]
     process.now += FREEZE
@@ -119,7 +119,7 @@
 
 
 def test_response_during_a_long_pass_is_read_before_its_time_limit():
-    # Guards against the same fault if a timer is due in the pass that was
+    # Guards against the same failure if a timer is due in the pass that was
     # frozen: the poller read input after the due time, but long before the
     # timers run.
     process = Process()
@@ -134,8 +134,8 @@
 
 def test_connection_established_during_a_freeze_is_not_given_up():
     # Guards against giving up a connection established during a freeze. The
-    # client gave the connection up on resuming, and the upstream was barred as
-    # unreachable.
+    # client gave the connection up on resuming, and the upstream was suspended
+    # as unreachable.
     process = Process()
     listener, address = listen()
     exchange = process.send(address)
@@ -157,9 +157,9 @@
         other.setblocking(False)
         other.connect_ex(address.pair)
     process.send(address)
-    process.turn(4)
+    process.run_passes(4)
     process.now += LIMIT
-    process.turn(1 + MAX_DEFERRED_PASSES)
+    process.run_passes(1 + MAX_DEFERRED_PASSES)
     assert process.events == [transport.SendStage.NOT_SENT]
 
 
@@ -174,7 +174,7 @@
         process.due = process.now
         for _ in range(1 + MAX_DEFERRED_PASSES):
             process.now += FREEZE
-            process.turn()
+            process.run_passes()
         assert process.due == float("inf")
 
 
@@ -184,13 +184,13 @@
     # time.
     process = Process()
     process.due = process.now + LIMIT
-    process.turn(2)
+    process.run_passes(2)
     process.now += FREEZE
-    process.turn(1 + MAX_DEFERRED_PASSES)
+    process.run_passes(1 + MAX_DEFERRED_PASSES)
     ((_, late),) = process.ran
     assert late == FREEZE - LIMIT
     process.due = process.now + LIMIT
-    process.turn(2)
+    process.run_passes(2)
     process.now += LIMIT
-    process.turn(1 + MAX_DEFERRED_PASSES)
+    process.run_passes(1 + MAX_DEFERRED_PASSES)
     assert process.ran[-1][1] == 0.0
--- a/sycamorefall/transport/tests/test_poller.py
+++ b/sycamorefall/transport/tests/test_poller.py
@@ -110,9 +110,9 @@
 def test_descriptor_of_a_closed_socket_can_be_reused(watched):
     """Guards against mixing up two sockets with the same file descriptor.
 
-    A connection is closed before the poller is told, and the next connection
-    gets its descriptor. Discarding the closed socket afterwards must not end
-    the polling of the new one.
+    A connection is closed before the poller is informed, and the next
+    connection gets its descriptor. Discarding the closed socket afterwards must
+    not end the polling of the new one.
     """
     recorder, (first, *_), stack = watched
     recorder.addReader(recorder, first)
@@ -177,11 +177,11 @@
             loop.tick(0.001)
             if len(server._clients):
                 break
-        (taken,) = server._clients
-        server.write(taken, b"never taken")
-        server.close(taken)
-        assert list(server._closeq) == [taken]
-        server._close(taken)
+        (accepted,) = server._clients
+        server.write(accepted, b"never taken")
+        server.close(accepted)
+        assert list(server._closeq) == [accepted]
+        server._close(accepted)
     assert not len(server._closeq)
     assert not len(server._clients)
     server._close(server._sock)
--- a/sycamorefall/transport/tests/test_response_output.py
+++ b/sycamorefall/transport/tests/test_response_output.py
@@ -28,8 +28,8 @@
     """Sends a request; returns its caller's socket and the call."""
     caller = socket.create_connection((server.host, server.port))
     caller.sendall(b"GET /x HTTP/1.1\r\nHost: here\r\n\r\n")
-    taken = len(calls)
-    run_until(loop, lambda: len(calls) > taken)
+    call_count = len(calls)
+    run_until(loop, lambda: len(calls) > call_count)
     caller.setblocking(False)
     return caller, calls[-1]
 
--- a/sycamorefall/transport/tests/test_response_reader.py
+++ b/sycamorefall/transport/tests/test_response_reader.py
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize(
-    "cut",
+    "truncated",
     [
         OK + b"Content-Length: 5\r\n\r\nabc",
         OK + b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
@@ -93,10 +93,10 @@
         b"",
     ],
 )
-def test_truncated_response_is_not_complete(cut):
+def test_truncated_response_is_not_complete(truncated):
     # Guards against treating the response of an upstream that crashed as
     # complete: the caller would act on half of it.
-    reader, events = read(cut)
+    reader, events = read(truncated)
     assert not is_complete(events)
     assert not reader.completes_at_close()
 
--- a/sycamorefall/transport/tests/test_server.py
+++ b/sycamorefall/transport/tests/test_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server with callers that are slow, hasty, malformed or gone."""
+"""The HTTP server with slow, pipelined, malformed and abandoned requests."""
 
 import contextlib
 import json
@@ -16,7 +16,7 @@
 
 KINDS = {kind.value for kind in errors.ErrorKind}
 GET = b"GET /%s HTTP/1.1\r\nHost: a\r\n\r\n"
-TURNS = 3000
+MAX_PASSES = 3000
 
 
 class Site:
@@ -28,12 +28,12 @@
         self.now = 0.0
         self.calls = []
         self.hung_up = []
-        self.faults = []
-        self.loop = transport.create_loop(lambda: None, self.faults.append)
+        self.exceptions = []
+        self.loop = transport.create_loop(lambda: None, self.exceptions.append)
         self.server = transport.HttpServer(
             self.address,
             settings.LimitSettings(**limits),
-            self.take,
+            self.handle_call,
             read_clock=lambda: self.now,
             shedding=shedding,
         ).register(self.loop)
@@ -43,7 +43,7 @@
         self.loop._executing_thread = threading.current_thread()
         self.loop.fire(events.started(self.loop))
 
-    def take(self, call):
+    def handle_call(self, call):
         self.calls.append(call)
         call.on_hangup = lambda: self.hung_up.append(call.path)
         if call.path == "/now":
@@ -58,7 +58,7 @@
             raise RuntimeError("a test exception")
 
     def run_until(self, check):
-        for _ in range(TURNS):
+        for _ in range(MAX_PASSES):
             self.loop.tick(0.001)
             if found := check():
                 return found
@@ -147,7 +147,7 @@
     site.run_until(lambda: not site.server._connections)
 
 
-def test_pipelined_requests_are_answered_in_turn():
+def test_pipelined_requests_are_answered_in_order():
     """Guards against responses in the wrong order for pipelined requests.
 
     Both requests arrive in one packet. If they were answered as their responses
@@ -199,7 +199,7 @@
     assert (
         json.loads(response.split(b"\r\n\r\n")[1])["error"]["ran"] == "unknown"
     )
-    assert "a test exception" in site.run_until(lambda: site.faults)[0]
+    assert "a test exception" in site.run_until(lambda: site.exceptions)[0]
 
 
 requests = st.lists(
@@ -241,10 +241,10 @@
             kind.encode() in head for kind in KINDS
         )
     shared.run_until(lambda: not shared.server._connections)
-    assert shared.faults == []
+    assert shared.exceptions == []
 
 
-def test_many_new_connections_are_accepted_in_one_turn():
+def test_many_new_connections_are_accepted_in_one_pass():
     # Guards against accepting too slowly. Many callers connect to a small VM.
     # Each pass of its loop takes time and accepted one connection, so the
     # others waited in the kernel until their deadlines although their requests
@@ -345,9 +345,9 @@
 
 
 def test_requests_that_arrived_during_a_freeze_are_served():
-    # Guards against treating a freeze as overload. A VM is frozen during a turn
+    # Guards against treating a freeze as overload. A VM is frozen during a pass
     # of its loop. The elapsed time was taken for overload, and all later
-    # requests of the turn were refused although the VM had nothing else to do.
+    # requests of the pass were refused although the VM had nothing else to do.
     site = Site(shedding=transport.Shedding(0.1, retry_after=0.2))
     site.run_until(lambda: site.server.port)
     callers = [site.connect() for _ in range(5)]
