--- a/sycamorefall/transport/shedding.py
+++ b/sycamorefall/transport/shedding.py
@@ -20,7 +20,7 @@
     remaining ones are served soon.
 
     Attributes:
-        max_turn_time: Seconds that a pass of the loop may take; new requests
+        max_pass_time: Seconds that a pass of the loop may take; new requests
             that are read later in the pass are refused.
         retry_after: Seconds after which callers of refused requests should
             retry.
@@ -63,14 +63,14 @@
     """Returns whether a pass has taken too long to serve new requests.
 
     Example:
-        >>> shedding = Shedding(max_turn_time=0.1, retry_after=0.2)
-        >>> turn = Turn()
+        >>> shedding = Shedding(max_pass_time=0.1, retry_after=0.2)
+        >>> loop_pass = LoopPass()
         >>> for hundredth in (0, 3, 6, 9):
-        ...     record_time(turn, hundredth / 100)
-        >>> should_shed(shedding, turn)
+        ...     record_time(loop_pass, hundredth / 100)
+        >>> should_shed(shedding, loop_pass)
         False
-        >>> record_time(turn, 0.12)
-        >>> should_shed(shedding, turn)
+        >>> record_time(loop_pass, 0.12)
+        >>> should_shed(shedding, loop_pass)
         True
     """
     return shedding is not None and loop_pass.elapsed > shedding.max_pass_time
