--- a/sycamorefall/platform/store.py
+++ b/sycamorefall/platform/store.py
@@ -115,7 +115,7 @@
         pending_read.size += len(data)
         if pending_read.size > MAX_RESPONSE_BYTES:
             self._daemon.client.abort(pending_read.exchange)
-            self._report_failure("response exceeds the maximum size")
+            self._report_failure("answer too large")
 
     def _handle_end(self, pending_read: _PendingRead) -> None:
         if pending_read.status != _OK:
@@ -124,8 +124,8 @@
         data = b"".join(pending_read.chunks)
         try:
             page = msgspec.json.decode(data, type=documents.ItemPage)
-        except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-            self._report_failure(str(fault))
+        except (msgspec.DecodeError, UnicodeDecodeError) as error:
+            self._report_failure(str(error))
             return
         self._handle_page(pending_read, page)
 
@@ -183,8 +183,8 @@
     def _apply_configuration(self, record: messages.Record) -> None:
         try:
             new = documents.decode_catalog(record)
-        except errors.ConfigurationRefused as fault:
-            _log_refused(str(fault))
+        except errors.ConfigurationRefused as error:
+            _log_refused(str(error))
         else:
             self._daemon.handle_catalog(new)
 
