--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,4 @@
-"""Small stand-ins for the systems around the fleet, for tests and the demo."""
+"""Fakes of the platform, the upstreams and the network around a fleet.
+
+The tests on real processes and the demo run against them.
+"""
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,9 +1,10 @@
-"""The demo: a whole fleet under load of several teams, on loopback.
+"""Demo: a complete fleet on loopback under the load of several teams.
 
-Starts platform, routers, engines, ledgers and sidecars as processes, sends
-requests of a flooding team, of a large team that is bound to one router and
-of small teams, stops everything gracefully, and prints what callers and
-stand-ins saw. The last line is one JSON object.
+Starts fakes of platform, engines and ledgers, and real routers and sidecars,
+as processes. Sends requests of a team that floods the services, of a large
+team that uses one router only, and of two small teams. Stops all processes
+gracefully, and prints the results that callers and fakes recorded. The last
+line is a JSON object.
 """
 
 import asyncio
@@ -40,56 +41,57 @@
 """
 
 ENGINE_RATES = {"flood": 90.0, "large": 40.0, "mill-a": 8.0, "mill-b": 8.0}
-"""Requests per second for the assistant, by team."""
+"""Requests per second to the assistant, by team."""
 
 LEDGER_RATES = {"flood": 30.0, "large": 10.0, "mill-a": 5.0, "mill-b": 5.0}
-"""Requests per second for the ledger, by team."""
+"""Requests per second to the ledger, by team."""
 
 
 def plan_load(routers: list[int], seed: int) -> list[load.PlannedRequest]:
-    """Plans the demo's requests.
+    """Plans the demo's requests, with exponential times between arrivals.
 
     Args:
-        routers: Data ports of the routers; the large team uses the first.
-        seed: Seed of all choices.
+        routers: Data ports of the routers; the large team uses only the
+            first.
+        seed: Seed of the random numbers.
 
     Returns:
         The requests, in the order in which they are sent.
     """
-    chance = random.Random(seed)
+    generator = random.Random(seed)
     plans: list[load.PlannedRequest] = []
-    rates = [("assistant", ENGINE_RATES), ("ledger", LEDGER_RATES)]
-    for service, by_team in rates:
-        for team, rate in by_team.items():
-            at = chance.expovariate(rate)
-            while at < LOAD_SECONDS:
-                plan = _plan_one(chance, service, team, at, routers)
-                plan.request = f"{service}-{team}-{len(plans)}"
+    service_rates = [("assistant", ENGINE_RATES), ("ledger", LEDGER_RATES)]
+    for service, team_rates in service_rates:
+        for team, rate in team_rates.items():
+            send_at = generator.expovariate(rate)
+            while send_at < LOAD_SECONDS:
+                plan = _plan_request(generator, service, team, send_at, routers)
+                plan.request_id = f"{service}-{team}-{len(plans)}"
                 plans.append(plan)
-                at += chance.expovariate(rate)
-    return sorted(plans, key=lambda plan: plan.at)
+                send_at += generator.expovariate(rate)
+    return sorted(plans, key=lambda plan: plan.send_at)
 
 
-def _plan_one(
-    chance: random.Random,
+def _plan_request(
+    generator: random.Random,
     service: str,
     team: str,
-    at: float,
+    send_at: float,
     routers: list[int],
 ) -> load.PlannedRequest:
-    router = routers[0] if team == "large" else chance.choice(routers)
-    plan = load.PlannedRequest("", team, service, router, at, timeout=8.0)
+    router = routers[0] if team == "large" else generator.choice(routers)
+    plan = load.PlannedRequest("", team, service, router, send_at, timeout=8.0)
     if service == "assistant":
-        plan.tokens = min(80, 5 + int(chance.expovariate(1 / 25)))
-        plan.streamed = chance.random() < 0.5
+        plan.tokens = min(80, 5 + int(generator.expovariate(1 / 25)))
+        plan.streamed = generator.random() < 0.5
     else:
-        plan.work_ms = chance.uniform(5, 80)
-        plan.idempotent = chance.random() < 0.3
+        plan.work_ms = generator.uniform(5, 80)
+        plan.idempotent = generator.random() < 0.3
     return plan
 
 
 def run_demo(folder: pathlib.Path) -> report.Report:
-    """Runs the fleet and the load; returns what was measured."""
+    """Runs the fleet under the load and returns the records of it."""
     fleet = fleet_module.start_fleet(
         folder,
         fleet_module.write_text(TEAMS, SERVICES),
@@ -112,13 +114,15 @@
             node.data for node in fleet.nodes.values() if node.role == "router"
         ]
         plans = plan_load(routers, SEED)
-        began = runs_module.read_clock()
-        answers = asyncio.run(load.send_all(plans, _make_progress(plans)))
-        seconds = runs_module.read_clock() - began
+        started = runs_module.read_clock()
+        results = asyncio.run(load.send_all(plans, _create_progress(plans)))
+        seconds = runs_module.read_clock() - started
         print(file=sys.stderr)
-        measured = report.collect_report(fleet, answers, seconds, TEAMS, SLOTS)
-        measured.exit_statuses = fleet_module.stop_fleet(fleet)
-        return measured
+        demo_report = report.collect_report(
+            fleet, results, seconds, TEAMS, SLOTS
+        )
+        demo_report.exit_statuses = fleet_module.stop_fleet(fleet)
+        return demo_report
     finally:
         fleet_module.kill_fleet(fleet)
 
@@ -129,30 +133,35 @@
 }
 
 
-def _make_progress(plans: list[load.PlannedRequest]):
-    """Makes a function that shows how many answers have come."""
+def _create_progress(plans: list[load.PlannedRequest]):
+    """Creates a callback that shows the number of results so far."""
     counts: collections.Counter[str] = collections.Counter()
 
-    def show(answer: load.RequestResult) -> None:
-        counts["answered" if answer.right else answer.kind] += 1
+    def show_progress(result: load.RequestResult) -> None:
+        counts["answered" if result.correct else result.kind] += 1
         done = counts.total()
         if done % 100 == 0 or done == len(plans):
             text = ", ".join(f"{k} {n}" for k, n in counts.items())
             print(f"\r{done}/{len(plans)}: {text}", end="", file=sys.stderr)
 
-    return show
+    return show_progress
 
 
 def main() -> int:
-    """Runs the demo; returns the exit status."""
+    """Runs the demo and prints its results.
+
+    Returns:
+        The exit status: 1 if a result was wrong, lost or doubled, or if a
+        process did not stop with status 0.
+    """
     with tempfile.TemporaryDirectory(prefix="sycamorefall-") as folder:
-        measured = run_demo(pathlib.Path(folder))
-    print(report.format_table(measured))
-    summary = report.summarize(measured)
+        demo_report = run_demo(pathlib.Path(folder))
+    print(report.format_table(demo_report))
+    summary = report.summarize(demo_report)
     print(json.dumps(summary))
-    bad = summary["wrong"] or summary["lost"] or summary["doubled"]
-    stopped_badly = any(measured.exit_statuses.values())
-    return 1 if bad or stopped_badly else 0
+    failed = summary["wrong"] or summary["lost"] or summary["doubled"]
+    stop_failed = any(demo_report.exit_statuses.values())
+    return 1 if failed or stop_failed else 0
 
 
 if __name__ == "__main__":
--- a/standins/dependent_service.py
+++ b/standins/dependent_service.py
@@ -1,8 +1,9 @@
-"""Stand-in of a plain service that calls another service for its work.
+"""Fake of a plain service that calls another service.
 
-`POST /orders` passes the order on to the service that the body names, through
-the router whose port it names, and answers with what came back. It sends back
-the parent's token as it got it, unless the body says not to.
+`POST /orders` forwards the order to the service `service` of the JSON body,
+through the router on port `router`, and responds with the status and the body
+of that response. The call carries the parent token of the order, unless
+`with_token` in the body is false.
 """
 
 import asyncio
@@ -16,7 +17,7 @@
 
 
 class DependentService:
-    """State of the stand-in."""
+    """Slots and records of the fake."""
 
     __slots__ = ("running", "runs", "slots")
 
@@ -26,7 +27,7 @@
         self.slots = asyncio.Semaphore(slots)
 
 
-async def _pass_on(request: web.Request, order: dict) -> web.Response:
+async def _forward_order(request: web.Request, order: dict) -> web.Response:
     address = f"http://127.0.0.1:{order['router']}"
     headers = {}
     if order.get("with_token", True):
@@ -37,43 +38,47 @@
             f"/v1/services/{order['service']}/orders",
             json=order,
             headers=headers,
-        ) as answer,
+        ) as response,
     ):
-        body = await answer.json()
-        return web.json_response({"status": answer.status, "answer": body})
+        body = await response.json()
+        return web.json_response({"status": response.status, "answer": body})
 
 
-async def _book(request: web.Request, desk: DependentService) -> web.Response:
+async def _handle_order(
+    request: web.Request, service: DependentService
+) -> web.Response:
     order = await request.json()
     run = runs_module.Run(
         order["id"], order["team"], arrived=runs_module.read_clock()
     )
-    desk.runs.append(run)
-    async with desk.slots:
-        desk.running += 1
+    service.runs.append(run)
+    async with service.slots:
+        service.running += 1
         run.started = runs_module.read_clock()
         try:
-            return await _pass_on(request, order)
+            return await _forward_order(request, order)
         finally:
             run.finished = runs_module.read_clock()
-            desk.running -= 1
+            service.running -= 1
 
 
-def create_application(desk: DependentService) -> web.Application:
-    """Creates the desk's application."""
+def create_application(service: DependentService) -> web.Application:
+    """Creates the HTTP application of the service."""
     application = web.Application()
     application.add_routes(
         [
-            web.post("/orders", lambda request: _book(request, desk)),
+            web.post(
+                "/orders", lambda request: _handle_order(request, service)
+            ),
         ]
     )
-    runs_module.add_plain_routes(application, desk)
+    runs_module.add_plain_service_routes(application, service)
     return application
 
 
 def main() -> None:
-    """Runs the stand-in."""
-    runs_module.run_plain(
+    """Runs the fake service."""
+    runs_module.run_plain_service(
         __doc__, lambda slots: create_application(DependentService(slots))
     )
 
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,11 +1,12 @@
-"""Stand-in of a model engine with an OpenAI-style interface.
-
-It batches continuously: up to `--slots` requests each get a token every
-`--token-ms`, the others wait in its inner queue in order of arrival. A
-request's last message holds a JSON object: `id` and `team` name the request,
-`tokens` is how many it will take, known to nobody else before it ends. With
-`dies_after` the engine breaks off its first run of the request after that many
-tokens, in the way of a process that dies.
+"""Fake of a model engine with an OpenAI-compatible interface.
+
+It simulates continuous batching: up to `--slots` requests each get a token
+every `--token-ms`; further requests wait in a first-in, first-out queue. The
+last message of a request is a JSON object: `id` and `team` identify the
+request, `tokens` is its number of output tokens, which no other process knows
+before the request ends. With `dies_after`, the engine closes the connection
+after that many tokens of its first run of the request, as if its process had
+crashed.
 """
 
 import argparse
@@ -17,11 +18,20 @@
 from standins import runs as runs_module
 
 OUTPUT_WEIGHT = 4.0
-"""Cost units of one output token, as the demo's configuration says."""
+"""Cost units of an output token; `output_weight` of the demo's assistant."""
 
 
 class Engine:
-    """State of the stand-in."""
+    """State of the fake.
+
+    Attributes:
+        slots: Semaphore of the slots.
+        token_seconds: Seconds per output token.
+        runs: Runs so far, also those in progress.
+        running: Number of requests that have a slot.
+        queued: Number of requests that wait for one.
+        load: Load report in force, which lags behind the counts above.
+    """
 
     __slots__ = (
         "load",
@@ -42,7 +52,7 @@
 
 
 async def _generate(engine: Engine, run: runs_module.Run, tokens: int):
-    """Yields the tokens of one request at the engine's pace."""
+    """Waits for a slot, then yields a token every `token_seconds`."""
     engine.queued += 1
     try:
         await engine.slots.acquire()
@@ -52,8 +62,8 @@
     run.started = runs_module.read_clock()
     try:
         for index in range(tokens):
-            due = run.started + (index + 1) * engine.token_seconds
-            await asyncio.sleep(max(0.0, due - runs_module.read_clock()))
+            token_at = run.started + (index + 1) * engine.token_seconds
+            await asyncio.sleep(max(0.0, token_at - runs_module.read_clock()))
             run.cost += OUTPUT_WEIGHT
             yield f"{run.request}:{index} "
         run.whole = True
@@ -69,22 +79,22 @@
     return b"data: " + json.dumps(chunk).encode() + b"\n\n"
 
 
-async def _complete(request: web.Request, engine: Engine):
+async def _handle_completion(request: web.Request, engine: Engine):
     body = await request.json()
-    asked = json.loads(body["messages"][-1]["content"])
+    parameters = json.loads(body["messages"][-1]["content"])
     run = runs_module.Run(
-        asked["id"], asked["team"], arrived=runs_module.read_clock()
+        parameters["id"], parameters["team"], arrived=runs_module.read_clock()
     )
     engine.runs.append(run)
-    tokens = int(asked["tokens"])
-    dies_after = int(asked.get("dies_after", tokens))
+    tokens = int(parameters["tokens"])
+    dies_after = int(parameters.get("dies_after", tokens))
     if sum(other.request == run.request for other in engine.runs) > 1:
         dies_after = tokens
     usage = {"prompt_tokens": 1, "completion_tokens": tokens}
     if not body.get("stream"):
         parts = [part async for part in _generate(engine, run, dies_after)]
         if dies_after < tokens:
-            return await _die(request, run)
+            return await _abort_response(request, run)
         message = {"role": "assistant", "content": "".join(parts)}
         return web.json_response(
             {
@@ -98,19 +108,22 @@
     async for part in _generate(engine, run, dies_after):
         await response.write(_format_chunk(run, part))
     if dies_after < tokens:
-        return await _die(request, run, response)
-    last = {"id": run.request, "choices": [], "usage": usage}
-    await response.write(b"data: " + json.dumps(last).encode() + b"\n\n")
+        return await _abort_response(request, run, response)
+    usage_chunk = {"id": run.request, "choices": [], "usage": usage}
+    await response.write(b"data: " + json.dumps(usage_chunk).encode() + b"\n\n")
     await response.write(b"data: [DONE]\n\n")
     return response
 
 
-async def _die(
+async def _abort_response(
     request: web.Request,
     run: runs_module.Run,
     response: web.StreamResponse | None = None,
 ) -> web.StreamResponse:
-    """Breaks a run's connection off, in the middle of its answer."""
+    """Closes the connection of a run in the middle of its response.
+
+    A response that is not streamed has announced more bytes than it sends.
+    """
     run.whole = False
     if response is None:
         response = web.StreamResponse()
@@ -132,7 +145,13 @@
 
 
 def create_application(engine: Engine, lag: float) -> web.Application:
-    """Creates the engine's application."""
+    """Creates the HTTP application of an engine.
+
+    Args:
+        engine: The engine.
+        lag: Seconds between the measurement of a load report and its
+            publication.
+    """
 
     async def get_load(_: web.Request) -> web.Response:
         return web.json_response(engine.load)
@@ -145,7 +164,9 @@
     application = web.Application()
     application.add_routes(
         [
-            web.post("/v1/chat/completions", lambda r: _complete(r, engine)),
+            web.post(
+                "/v1/chat/completions", lambda r: _handle_completion(r, engine)
+            ),
             web.get("/v1/load", get_load),
         ]
     )
@@ -155,7 +176,7 @@
 
 
 def main() -> None:
-    """Runs the stand-in."""
+    """Runs the fake engine; parses its command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("port", type=int)
     parser.add_argument("--slots", type=int, default=8)
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,7 +1,7 @@
-"""Starts a whole fleet with its surroundings as processes on loopback.
+"""Starts a fleet and the fakes around it as processes on loopback.
 
 The demo and the tests on real processes use it. Control links pass through a
-relay, which counts their bytes and can cut them.
+relay, which counts their bytes and can hold them back.
 """
 
 import contextlib
@@ -18,29 +18,29 @@
 import urllib.error
 import urllib.request
 
-_PORTS = range(10_000, 32_000)
-"""Ports that fleets listen at."""
+_PORT_RANGE = range(10_000, 32_000)
+"""Ports that the processes of fleets listen on."""
 
-_BLOCK = 200
-"""Ports that a process reserves at once."""
+_BLOCK_SIZE = 200
+"""Number of consecutive ports that a process reserves at a time."""
 
 START_TIMEOUT = 20.0
-"""Seconds that a process may take until it answers."""
+"""Seconds within which a started process has to answer."""
 
 STOP_TIMEOUT = 15.0
-"""Seconds that a process may take to stop gracefully."""
+"""Seconds within which a process has to exit after SIGTERM."""
 
 
 @dataclasses.dataclass(slots=True)
 class UpstreamGroup:
-    """Upstreams of one service that the fleet is to have.
+    """Identical upstreams of one service, to be started with a fleet.
 
     Attributes:
-        service: The service.
-        count: How many upstreams.
-        module: Stand-in module that plays them.
-        slots: Requests that one runs at a time.
-        arguments: Further arguments of the stand-in.
+        service: Name of the service.
+        count: Number of upstreams.
+        module: Module that is run as the fake upstream.
+        slots: Number of requests that an upstream runs at the same time.
+        arguments: Further command-line arguments of the fake upstream.
     """
 
     service: str
@@ -52,23 +52,24 @@
 
 @dataclasses.dataclass(slots=True)
 class Node:
-    """One VM of the fleet with its process.
+    """A VM of the fleet with its processes.
 
     Attributes:
-        name: The VM.
+        name: Name of the VM.
         role: `router` or `upstream`.
         service: The upstream's service; empty for a router.
-        data: Port of its HTTP server.
-        control: Port of its control messages.
-        relayed_control: Port at which the relay passes them on.
-        relayed_data: Port at which the relay passes on hand-outs to a
-            sidecar; 0 if they don't pass it.
+        data: Port of the process's HTTP server.
+        control: Port on which the process receives control messages.
+        relayed_control: Port of the relay that forwards to `control`.
+        relayed_data: Port of the relay that forwards attempts to a sidecar's
+            `data`; 0 if routers connect to the sidecar directly.
         upstream: Port of the upstream beside a sidecar; 0 for a router.
         process: The router or sidecar process.
         upstream_process: The upstream's process.
-        state: The operators' mark.
-        platform: Port of the platform it reads; 0 for the fleet's.
-        peers: Data addresses that its settings name.
+        state: State of the VM in the published list, set by operators.
+        platform: Port of the platform that the process reads; 0 for the
+            fleet's platform.
+        peers: Data addresses of peers in the process's settings.
     """
 
     name: str
@@ -91,15 +92,16 @@
     """A running fleet.
 
     Attributes:
-        folder: Where settings and logs lie.
-        platform: Port of the platform stand-in.
-        relay: Port of the relay's interface.
+        folder: Directory of the settings and log files.
+        platform: Port of the fake platform.
+        relay: Port of the relay's HTTP interface.
         nodes: VMs by name.
-        text: The operators' text last published.
-        revision: Its revision.
-        vms_revision: Revision of the VM list last published.
-        platform_settings: Further lines of section `[platform]`.
-        shared_processes: Processes of the stand-ins that belong to no VM.
+        text: Configuration text that was published last.
+        revision: Revision of that text.
+        vms_revision: Revision of the VM list that was published last.
+        platform_settings: Further lines of section `[platform]` in the
+            settings of all routers and sidecars.
+        shared_processes: Processes of the fakes that belong to no VM.
         extra_settings: Further INI sections for all routers and sidecars.
     """
 
@@ -117,100 +119,116 @@
     extra_settings: str = ""
 
 
-class _Ports:
-    """Ports of this process: each is given out once, and to nobody else.
+class _PortAllocator:
+    """Allocates each port once, also across processes of the same machine.
 
-    Guards against two fleets that are started at once, by test runs side by
-    side: each found the same port free before the other listened at it, and
-    a process ended with "address in use". A port that is bound for as long
-    as this process lives reserves the block that it begins.
+    Without the reservation, two test runs at the same time both found a port
+    free before either listened on it, and a process exited with "address in
+    use". The first port of a block is kept bound until this process exits,
+    and so reserves the block.
     """
 
-    __slots__ = ("_left", "_locks")
+    __slots__ = ("_free_ports", "_reserved_sockets")
 
     def __init__(self):
-        self._left: list[int] = []
-        self._locks: list[socket.socket] = []
+        self._free_ports: list[int] = []
+        self._reserved_sockets: list[socket.socket] = []
 
-    def take(self) -> int:
-        """Takes the next free port."""
+    def allocate(self) -> int:
+        """Allocates the next free port, in a new block if necessary."""
         while True:
-            if not self._left:
-                self._reserve()
-            port = self._left.pop()
+            if not self._free_ports:
+                self._reserve_block()
+            port = self._free_ports.pop()
             with socket.socket() as probe, contextlib.suppress(OSError):
                 probe.bind(("127.0.0.1", port))
                 return port
 
-    def _reserve(self) -> None:
-        blocks = _PORTS[::_BLOCK]
+    def _reserve_block(self) -> None:
+        blocks = _PORT_RANGE[::_BLOCK_SIZE]
         for first in random.SystemRandom().sample(blocks, len(blocks)):
-            lock = socket.socket()
+            reserved_socket = socket.socket()
             try:
-                lock.bind(("127.0.0.1", first))
+                reserved_socket.bind(("127.0.0.1", first))
             except OSError:
-                lock.close()
+                reserved_socket.close()
                 continue
-            self._locks.append(lock)
-            self._left = list(range(first + 1, first + _BLOCK))
+            self._reserved_sockets.append(reserved_socket)
+            self._free_ports = list(range(first + 1, first + _BLOCK_SIZE))
             return
-        raise OSError(f"no free ports in {_PORTS}")
+        raise OSError(f"no free ports in {_PORT_RANGE}")
 
 
-_ports = _Ports()
+_port_allocator = _PortAllocator()
 
 
 def reserve_ports(count: int) -> list[int]:
-    """Finds free ports on loopback.
+    """Reserves free ports on loopback.
 
-    They lie below those that the system gives to outgoing connections: such
-    a connection could take a port between its being found and its being
-    listened at, and the process would end with "address in use".
+    The ports are below the kernel's ephemeral range: an outgoing connection
+    could otherwise take a port before the process listens on it, and the
+    process would exit with "address in use".
     """
-    return [_ports.take() for _ in range(count)]
+    return [_port_allocator.allocate() for _ in range(count)]
 
 
 def call(port: int, path: str, body: object = None) -> object:
-    """Calls a stand-in or a process: GET, or PUT if there is a body."""
+    """Sends an HTTP request to a process on loopback; returns the JSON body.
+
+    The method is PUT if there is a body, else GET.
+    """
     request = urllib.request.Request(
         f"http://127.0.0.1:{port}{path}",
         data=None if body is None else json.dumps(body).encode(),
         method="GET" if body is None else "PUT",
         headers={"Content-Type": "application/json"},
     )
-    with urllib.request.urlopen(request, timeout=10) as answer:
-        return json.load(answer)
+    with urllib.request.urlopen(request, timeout=10) as response:
+        return json.load(response)
 
 
 def wait_until(check, what: str, timeout: float = START_TIMEOUT):
-    """Waits until a check gives something true, and returns that.
+    """Calls a function until it returns a true value, and returns that.
+
+    `OSError` and `ValueError` of the function count as a false value.
+
+    Args:
+        check: The function.
+        what: What is waited for, for the error message.
+        timeout: Maximum time in seconds.
 
     Raises:
-        TimeoutError: It did not in time.
+        TimeoutError: The function returned no true value in time.
     """
-    until = time.monotonic() + timeout
-    while time.monotonic() < until:
+    deadline = time.monotonic() + timeout
+    while time.monotonic() < deadline:
         with contextlib.suppress(OSError, ValueError):
-            if found := check():
-                return found
+            if value := check():
+                return value
         time.sleep(0.02)
     raise TimeoutError(f"waited {timeout} s for {what}")
 
 
 def make_key(team: str) -> str:
-    """Makes the bearer key that a team has in tests."""
+    """Returns the bearer key of a team in tests and the demo."""
     return f"key-of-{team}"
 
 
 def write_text(teams: dict[str, float], services: str, limits: str = "") -> str:
-    """Writes an operators' text with teams and their weights."""
+    """Builds an operators' configuration text.
+
+    Args:
+        teams: Weights by team.
+        services: The text's service sections.
+        limits: Lines of section `[limits]`; empty for no such section.
+    """
     sections = [
         f"[team {team}]\nweight = {weight}\nkeys_sha256 = "
         f"{hashlib.sha256(make_key(team).encode()).hexdigest()}\n"
         for team, weight in teams.items()
     ]
-    head = f"[limits]\n{limits}\n" if limits else ""
-    return head + services + "\n" + "\n".join(sections)
+    limits_section = f"[limits]\n{limits}\n" if limits else ""
+    return limits_section + services + "\n" + "\n".join(sections)
 
 
 def start_fleet(
@@ -222,17 +240,17 @@
     platform_settings: str = "",
     relays_data: bool = False,
 ) -> Fleet:
-    """Starts a fleet and waits until its routers are ready to serve.
+    """Starts a fleet and waits until its routers reach all services.
 
     Args:
-        folder: Where settings and logs are written.
-        text: The operators' text.
+        folder: Directory for the settings and log files.
+        text: The operators' configuration text.
         routers: Number of routers.
-        upstreams: Upstreams by service.
+        upstreams: Upstreams to start, a group for each service.
         extra_settings: Further INI sections for all routers and sidecars.
         platform_settings: Further lines of section `[platform]`.
-        relays_data: Whether hand-outs pass the relay, so that it can hold
-            them back.
+        relays_data: Whether routers connect to sidecars through the relay, so
+            that attempts can be held back.
 
     Returns:
         The running fleet.
@@ -241,7 +259,7 @@
     fleet.extra_settings = extra_settings
     fleet.platform_settings = platform_settings
     try:
-        _start_surroundings(fleet, upstreams)
+        _start_fakes(fleet, upstreams)
         publish_text(fleet, text)
         publish_vms(fleet)
         for node in fleet.nodes.values():
@@ -259,25 +277,25 @@
     upstreams: list[UpstreamGroup],
     relays_data: bool,
 ) -> Fleet:
-    named = [(f"router-{index}", "router", "") for index in range(routers)]
-    named += [
+    vms = [(f"router-{index}", "router", "") for index in range(routers)]
+    vms += [
         (f"{group.service}-{index}", "upstream", group.service)
         for group in upstreams
         for index in range(group.count)
     ]
-    ports = iter(reserve_ports(2 + 5 * len(named)))
+    ports = iter(reserve_ports(2 + 5 * len(vms)))
     fleet = Fleet(folder, next(ports), next(ports), {})
-    for name, role, service in named:
+    for name, role, service in vms:
         node = Node(name, role, service, next(ports), next(ports), next(ports))
-        spare, relayed_data = next(ports), next(ports)
+        upstream_port, relayed_data = next(ports), next(ports)
         if role == "upstream":
-            node.upstream = spare
+            node.upstream = upstream_port
             node.relayed_data = relayed_data if relays_data else 0
         fleet.nodes[name] = node
     return fleet
 
 
-def _start_surroundings(fleet: Fleet, upstreams: list[UpstreamGroup]) -> None:
+def _start_fakes(fleet: Fleet, upstreams: list[UpstreamGroup]) -> None:
     routes = [
         f"{node.relayed_control}:{node.control}"
         for node in fleet.nodes.values()
@@ -302,7 +320,7 @@
 
 
 def start_platform(fleet: Fleet, name: str) -> int:
-    """Starts one more platform beside the fleet's; returns its port."""
+    """Starts another fake platform and returns its port."""
     port = reserve_ports(1)[0]
     process = _spawn(fleet, name, "standins.platform", str(port))
     fleet.shared_processes.append(process)
@@ -337,16 +355,16 @@
 
 
 def start_node(fleet: Fleet, node: Node) -> None:
-    """Starts a router or sidecar process."""
+    """Writes the settings of a node and starts its router or sidecar."""
     path = fleet.folder / f"{node.name}.ini"
-    path.write_text(_write_settings(fleet, node))
+    path.write_text(_build_settings_text(fleet, node))
     program = "router" if node.role == "router" else "sidecar"
     node.process = _spawn(
         fleet, node.name, "sycamorefall.command", program, str(path)
     )
 
 
-def _write_settings(fleet: Fleet, node: Node) -> str:
+def _build_settings_text(fleet: Fleet, node: Node) -> str:
     upstream = (
         f"[upstream]\nservice = {node.service}\n"
         f"address = 127.0.0.1:{node.upstream}\n"
@@ -355,7 +373,7 @@
     )
     return (
         f"[vm]\nname = {node.name}\n"
-        f"failure_domain = {_choose_domain(node)}\n"
+        f"failure_domain = {_compute_failure_domain(node)}\n"
         f"[listen]\ndata = 127.0.0.1:{node.data}\n"
         f"control = 127.0.0.1:{node.control}\n"
         f"[platform]\naddress = 127.0.0.1:{node.platform or fleet.platform}\n"
@@ -365,13 +383,13 @@
     )
 
 
-def _choose_domain(node: Node) -> str:
+def _compute_failure_domain(node: Node) -> str:
     index = int(node.name.rpartition("-")[2])
     return f"domain-{index % 4}"
 
 
 def publish_text(fleet: Fleet, text: str) -> None:
-    """Publishes an operators' text as the next revision."""
+    """Publishes a configuration text as the next revision."""
     fleet.text = text
     fleet.revision += 1
     body = {"revision": fleet.revision, "text": text}
@@ -379,12 +397,12 @@
 
 
 def list_vms(fleet: Fleet) -> list[dict]:
-    """Lists the VMs as the platform publishes them."""
+    """Lists the entries of the VM list that the platform publishes."""
     return [
         {
             "name": node.name,
             "role": node.role,
-            "failure_domain": _choose_domain(node),
+            "failure_domain": _compute_failure_domain(node),
             "control": f"127.0.0.1:{node.relayed_control}",
             "data": f"127.0.0.1:{node.relayed_data or node.data}",
             "service": node.service,
@@ -395,14 +413,14 @@
 
 
 def publish_vms(fleet: Fleet) -> None:
-    """Publishes the list of VMs as the next revision."""
+    """Publishes the current VM list as the next revision."""
     fleet.vms_revision += 1
     body = {"revision": fleet.vms_revision, "vms": list_vms(fleet)}
     call(fleet.platform, "/test/vms", body)
 
 
 def wait_until_ready(fleet: Fleet) -> None:
-    """Waits until every router reaches an upstream of every service."""
+    """Waits until each process answers and each router reaches all services."""
     services = {node.service for node in fleet.nodes.values()} - {""}
     for node in fleet.nodes.values():
         path = "/ready" if node.role == "router" else "/status"
@@ -417,7 +435,7 @@
 
 
 def stop_process(process: subprocess.Popen | None) -> int | None:
-    """Stops a process gracefully; returns its exit status."""
+    """Stops a process with SIGTERM; returns its exit status."""
     if process is None:
         return None
     process.send_signal(signal.SIGTERM)
@@ -425,7 +443,11 @@
 
 
 def stop_fleet(fleet: Fleet) -> dict[str, int | None]:
-    """Stops all gracefully; returns the exit status of each node."""
+    """Stops all nodes with SIGTERM, routers first, and kills the fakes.
+
+    Returns:
+        Exit status of each node's process, by node name.
+    """
     running = [node for node in fleet.nodes.values() if node.process]
     routers_first = sorted(running, key=lambda node: node.role)
     statuses = {node.name: stop_process(node.process) for node in routers_first}
@@ -436,13 +458,20 @@
 def set_gates(
     fleet: Fleet, port: int, forward: bool = True, backward: bool = True
 ) -> None:
-    """Holds back or lets pass the bytes of a relayed port, by direction."""
+    """Sets which directions of a relayed port forward bytes.
+
+    Args:
+        fleet: The fleet.
+        port: Port that the relay listens on.
+        forward: Whether bytes towards the target are forwarded.
+        backward: Whether bytes from the target are forwarded.
+    """
     body = {"port": port, "forward": forward, "backward": backward}
     call(fleet.relay, "/test/gate", body)
 
 
 def kill_fleet(fleet: Fleet) -> None:
-    """Ends whatever still runs."""
+    """Kills all processes of the fleet that still run."""
     processes = list(fleet.shared_processes)
     for node in fleet.nodes.values():
         processes += [node.process, node.upstream_process]
--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -1,8 +1,9 @@
-"""Stand-in of a plain ledger service that books orders.
+"""Fake of a plain service that books orders in a ledger.
 
-`POST /orders` books the order in the body, `GET /orders/ID` looks one up. A
-body is a JSON object: `id` and `team` name the request, `work_ms` is how long
-it takes. Booking the same order twice is counted, never hidden.
+`POST /orders` books the order in the body, `GET /orders/ID` returns how often
+an order was booked. A body is a JSON object: `id` and `team` identify the
+request, `work_ms` is the duration of the booking. The ledger doesn't
+deduplicate orders, so that tests can detect double bookings.
 """
 
 import asyncio
@@ -13,7 +14,7 @@
 
 
 class Ledger:
-    """State of the stand-in."""
+    """Slots and records of the fake."""
 
     __slots__ = ("running", "runs", "slots")
 
@@ -23,7 +24,9 @@
         self.slots = asyncio.Semaphore(slots)
 
 
-async def _work(ledger: Ledger, run: runs_module.Run, seconds: float) -> None:
+async def _run_order(
+    ledger: Ledger, run: runs_module.Run, seconds: float
+) -> None:
     async with ledger.slots:
         ledger.running += 1
         run.started = runs_module.read_clock()
@@ -42,19 +45,21 @@
         order["id"], order["team"], arrived=runs_module.read_clock()
     )
     ledger.runs.append(run)
-    # Booking goes on when the caller hangs up, as it would in a real ledger.
-    await asyncio.shield(_work(ledger, run, order.get("work_ms", 0) / 1000))
+    # As in a real ledger, the booking continues if the caller disconnects.
+    await asyncio.shield(
+        _run_order(ledger, run, order.get("work_ms", 0) / 1000)
+    )
     return web.json_response({"id": order["id"], "state": "confirmed"})
 
 
 async def _look_up(request: web.Request, ledger: Ledger) -> web.Response:
-    wanted = request.match_info["id"]
-    booked = sum(run.request == wanted for run in ledger.runs)
-    return web.json_response({"id": wanted, "booked": booked})
+    order_id = request.match_info["id"]
+    booked = sum(run.request == order_id for run in ledger.runs)
+    return web.json_response({"id": order_id, "booked": booked})
 
 
 def create_application(ledger: Ledger) -> web.Application:
-    """Creates the ledger's application."""
+    """Creates the HTTP application of a ledger."""
     application = web.Application()
     application.add_routes(
         [
@@ -62,13 +67,13 @@
             web.get("/orders/{id}", lambda r: _look_up(r, ledger)),
         ]
     )
-    runs_module.add_plain_routes(application, ledger)
+    runs_module.add_plain_service_routes(application, ledger)
     return application
 
 
 def main() -> None:
-    """Runs the stand-in."""
-    runs_module.run_plain(
+    """Runs the fake ledger."""
+    runs_module.run_plain_service(
         __doc__, lambda slots: create_application(Ledger(slots))
     )
 
--- a/standins/load.py
+++ b/standins/load.py
@@ -1,4 +1,4 @@
-"""Load tool: sends requests as callers do and checks every answer."""
+"""Load generator: sends requests as callers do and checks the responses."""
 
 import asyncio
 import dataclasses
@@ -12,28 +12,29 @@
 
 @dataclasses.dataclass(slots=True)
 class PlannedRequest:
-    """A request to be sent.
+    """A request that is sent at a planned time.
 
     Attributes:
-        request: Identity of the request.
-        team: Whose it is.
-        service: The service.
-        router: Data port of the router.
-        at: Seconds after the start at which it is sent.
-        tokens: Output tokens it will take, for engines.
-        work_ms: Milliseconds it will take, for plain services.
-        streamed: Whether the answer is streamed.
-        idempotent: Whether it may be run again.
+        request_id: Identifier that the fake upstreams record for the request.
+        team: Team that sends the request.
+        service: Service that the request is for.
+        router_port: Data port of the router that it is sent to.
+        send_at: Seconds from the start of the load until it is sent.
+        tokens: Number of output tokens that an engine generates for it; 0
+            for plain services.
+        work_ms: Milliseconds that a plain service works on it.
+        streamed: Whether it asks for a streamed response.
+        idempotent: Whether routers may run it more than once.
         timeout: Seconds until its deadline.
-        dies_after: Tokens after which an engine breaks off the first run; 0
-            if it doesn't.
+        dies_after: Number of tokens after which the fake engine closes the
+            connection in its first run of the request; 0 for never.
     """
 
-    request: str
+    request_id: str
     team: str
     service: str
-    router: int
-    at: float
+    router_port: int
+    send_at: float
     tokens: int = 0
     work_ms: float = 0.0
     streamed: bool = False
@@ -44,37 +45,41 @@
 
 @dataclasses.dataclass(slots=True)
 class RequestResult:
-    """What became of a request, as its caller saw it.
+    """Outcome of a request as its caller observes it.
+
+    Times are in seconds of the monotonic clock.
 
     Attributes:
         plan: The request.
-        sent: When it was sent.
-        first: When the first part of the answer came; 0 if none did.
-        ended: When the answer was complete or given up.
-        status: HTTP status; 0 if there was no answer.
-        kind: Error kind, empty for a right answer.
-        ran: What the error said about running.
-        retry_after: Seconds the error advised, 0 if none.
-        right: Whether the whole and only this request's answer came.
+        sent_at: When the request was sent.
+        first_byte_at: When the first part of the response body arrived; 0 if
+            none did.
+        ended_at: When the response was complete or had failed.
+        status: HTTP status; 0 if no response arrived.
+        kind: Error kind of the response, or `broken: ` and the exception's
+            name if the connection failed; empty if there was no error.
+        ran: Field `ran` of the error: whether an upstream ran the request.
+        retry_after: Retry-After header in seconds; 0 if there was none.
+        correct: Whether the response is complete and belongs to this request.
     """
 
     plan: PlannedRequest
-    sent: float
-    first: float = 0.0
-    ended: float = 0.0
+    sent_at: float
+    first_byte_at: float = 0.0
+    ended_at: float = 0.0
     status: int = 0
     kind: str = ""
     ran: str = ""
     retry_after: float = 0.0
-    right: bool = False
+    correct: bool = False
 
 
 def build_expected_text(plan: PlannedRequest) -> str:
-    """Gives the text that an engine answers to a request."""
-    return "".join(f"{plan.request}:{i} " for i in range(plan.tokens))
+    """Builds the text that the fake engine generates for a request."""
+    return "".join(f"{plan.request_id}:{i} " for i in range(plan.tokens))
 
 
-def _make_headers(plan: PlannedRequest) -> dict[str, str]:
+def _build_headers(plan: PlannedRequest) -> dict[str, str]:
     return {
         "Authorization": f"Bearer {fleet_module.make_key(plan.team)}",
         "Content-Type": "application/json",
@@ -83,10 +88,10 @@
     }
 
 
-def _make_request(plan: PlannedRequest) -> tuple[str, dict]:
+def _build_request(plan: PlannedRequest) -> tuple[str, dict]:
     if plan.tokens:
         content = {
-            "id": plan.request,
+            "id": plan.request_id,
             "team": plan.team,
             "tokens": plan.tokens,
         }
@@ -99,7 +104,7 @@
         }
         return "/v1/chat/completions", body
     order = {
-        "id": plan.request,
+        "id": plan.request_id,
         "team": plan.team,
         "work_ms": plan.work_ms,
     }
@@ -109,55 +114,60 @@
 async def send_request(
     session: aiohttp.ClientSession, plan: PlannedRequest
 ) -> RequestResult:
-    """Sends one request and checks its answer."""
-    path, body = _make_request(plan)
-    answer = RequestResult(plan, sent=runs_module.read_clock())
+    """Sends a request, reads the response and checks its content."""
+    path, body = _build_request(plan)
+    result = RequestResult(plan, sent_at=runs_module.read_clock())
     try:
         async with session.post(
-            f"http://127.0.0.1:{plan.router}{path}",
+            f"http://127.0.0.1:{plan.router_port}{path}",
             json=body,
-            headers=_make_headers(plan),
+            headers=_build_headers(plan),
         ) as response:
-            answer.status = response.status
-            answer.retry_after = float(response.headers.get("Retry-After", 0))
-            await _read_answer(response, plan, answer)
-    except (aiohttp.ClientError, OSError, ValueError, TimeoutError) as fault:
-        answer.kind = answer.kind or f"broken: {type(fault).__name__}"
-    answer.ended = runs_module.read_clock()
-    return answer
+            result.status = response.status
+            result.retry_after = float(response.headers.get("Retry-After", 0))
+            await _read_response(response, plan, result)
+    except (aiohttp.ClientError, OSError, ValueError, TimeoutError) as error:
+        result.kind = result.kind or f"broken: {type(error).__name__}"
+    result.ended_at = runs_module.read_clock()
+    return result
 
 
-async def _read_answer(
+async def _read_response(
     response: aiohttp.ClientResponse,
     plan: PlannedRequest,
-    answer: RequestResult,
+    result: RequestResult,
 ) -> None:
     if response.status != 200:
         error = json.loads(await response.read())["error"]
-        answer.kind, answer.ran = error["kind"], error["ran"]
+        result.kind, result.ran = error["kind"], error["ran"]
         return
     if plan.streamed:
-        text = await _read_stream(response, answer)
-        answer.right = text == build_expected_text(plan)
+        text = await _read_stream(response, result)
+        result.correct = text == build_expected_text(plan)
         return
     body = json.loads(await response.read())
-    answer.first = runs_module.read_clock()
+    result.first_byte_at = runs_module.read_clock()
     if plan.tokens:
         text = body["choices"][0]["message"]["content"]
-        answer.right = text == build_expected_text(plan)
+        result.correct = text == build_expected_text(plan)
     else:
-        answer.right = body == {"id": plan.request, "state": "confirmed"}
+        result.correct = body == {"id": plan.request_id, "state": "confirmed"}
 
 
 async def _read_stream(
-    response: aiohttp.ClientResponse, answer: RequestResult
+    response: aiohttp.ClientResponse, result: RequestResult
 ) -> str | None:
-    """Reads a streamed answer; None unless it came whole."""
+    """Reads a stream of server-sent events.
+
+    Returns:
+        The generated text; None if the stream ends without `[DONE]` or with
+        an error event, whose kind is stored in `result`.
+    """
     parts: list[str] = []
     is_error = False
     async for raw in response.content:
         line = raw.decode().strip()
-        answer.first = answer.first or runs_module.read_clock()
+        result.first_byte_at = result.first_byte_at or runs_module.read_clock()
         if line == "event: error":
             is_error = True
         elif line == "data: [DONE]":
@@ -166,7 +176,7 @@
             chunk = json.loads(line.removeprefix("data: "))
             if is_error:
                 error = chunk["error"]
-                answer.kind, answer.ran = error["kind"], error["ran"]
+                result.kind, result.ran = error["kind"], error["ran"]
                 return None
             for choice in chunk["choices"]:
                 parts.append(choice["delta"]["content"])
@@ -174,16 +184,16 @@
 
 
 async def send_all(
-    plans: list[PlannedRequest], on_answer=None
+    plans: list[PlannedRequest], on_result=None
 ) -> list[RequestResult]:
-    """Sends all requests, each at its time, whatever the others do.
+    """Sends each request at its planned time, without waiting for others.
 
     Args:
         plans: The requests.
-        on_answer: Called with each answer as it is complete.
+        on_result: Called with the result of each request when it ends.
 
     Returns:
-        All answers, in the order of the plans.
+        The results, in the order of `plans`.
     """
     start = runs_module.read_clock()
     connector = aiohttp.TCPConnector(limit=0, force_close=False)
@@ -193,12 +203,12 @@
         connector=connector, timeout=timeout
     ) as session:
 
-        async def send_at(plan: PlannedRequest) -> RequestResult:
-            delay = start + plan.at - runs_module.read_clock()
+        async def send_on_time(plan: PlannedRequest) -> RequestResult:
+            delay = start + plan.send_at - runs_module.read_clock()
             await asyncio.sleep(max(0.0, delay))
-            answer = await send_request(session, plan)
-            if on_answer is not None:
-                on_answer(answer)
-            return answer
+            result = await send_request(session, plan)
+            if on_result is not None:
+                on_result(result)
+            return result
 
-        return await asyncio.gather(*map(send_at, plans))
+        return await asyncio.gather(*map(send_on_time, plans))
--- a/standins/measures.py
+++ b/standins/measures.py
@@ -1,7 +1,7 @@
-"""Measures of a fleet, from what callers and upstreams saw.
+"""Fairness gap and lost capacity, from the records of callers and upstreams.
 
-The fairness gap, lost capacity, and the counts of wrong, lost and doubled
-answers are computed here for demo, benchmarks and tests alike.
+The demo, the benchmarks and the tests use these functions. The counts of
+wrong, lost and doubled answers are computed in `standins.report`.
 """
 
 import bisect
@@ -12,13 +12,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ServiceInterval:
-    """Service that a team received, in time.
+    """Service that a team received by one run at an upstream.
 
     Attributes:
         team: The team.
-        started: When an upstream began.
-        finished: When it ended.
-        cost: Cost units, taken as given evenly over that time.
+        started: Time at which the run started, in seconds.
+        finished: Time at which the run ended, in seconds.
+        cost: Cost units, assumed to be spread evenly over that interval.
     """
 
     team: str
@@ -29,42 +29,42 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class WaitInterval:
-    """A request's time from being sent to being started or given up."""
+    """Interval from the sending of a request to its start or its failure."""
 
     team: str
     began: float
     ended: float
 
 
-class _Curve:
-    """A team's cumulative service, piecewise linear in time."""
+class _CumulativeService:
+    """Cumulative service of a team, a piecewise linear function of time."""
 
     __slots__ = ("rates", "times", "totals")
 
     def __init__(self, services: Iterable[ServiceInterval]):
         steps: dict[float, float] = {}
         for service in services:
-            length = max(service.finished - service.started, 1e-9)
-            rate = service.cost / length
-            begin, end = service.started, service.started + length
+            duration = max(service.finished - service.started, 1e-9)
+            rate = service.cost / duration
+            begin, end = service.started, service.started + duration
             steps[begin] = steps.get(begin, 0.0) + rate
             steps[end] = steps.get(end, 0.0) - rate
         self.times = sorted(steps)
         self.rates = list(itertools.accumulate(steps[t] for t in self.times))
-        spans = (b - a for a, b in itertools.pairwise(self.times))
-        gains = (r * s for r, s in zip(self.rates, spans, strict=False))
+        durations = (b - a for a, b in itertools.pairwise(self.times))
+        gains = (r * s for r, s in zip(self.rates, durations, strict=False))
         self.totals = list(itertools.accumulate(gains, initial=0.0))
 
-    def read(self, time: float) -> float:
-        """Reads the service received until a time."""
+    def compute_total(self, time: float) -> float:
+        """Computes the cost units received until a time."""
         index = bisect.bisect_right(self.times, time) - 1
         if index < 0:
             return 0.0
-        since = time - self.times[index]
-        return self.totals[index] + self.rates[index] * since
+        elapsed = time - self.times[index]
+        return self.totals[index] + self.rates[index] * elapsed
 
-    def list_times(self, begin: float, end: float) -> list[float]:
-        """Lists the bends of the curve between two times."""
+    def list_breakpoints(self, begin: float, end: float) -> list[float]:
+        """Lists the times between two times at which the slope changes."""
         left = bisect.bisect_left(self.times, begin)
         right = bisect.bisect_right(self.times, end)
         return self.times[left:right]
@@ -73,7 +73,7 @@
 def merge_intervals(
     intervals: Iterable[tuple[float, float]],
 ) -> list[tuple[float, float]]:
-    """Merges overlapping intervals.
+    """Merges overlapping and adjacent intervals.
 
     Example:
         >>> merge_intervals([(3, 4), (0, 2), (1, 3)])
@@ -91,7 +91,10 @@
 def _intersect(
     first: list[tuple[float, float]], second: list[tuple[float, float]]
 ) -> list[tuple[float, float]]:
-    """Intersects two sorted lists of intervals that don't overlap inside."""
+    """Intersects two sets of intervals.
+
+    Each is a sorted list whose intervals are disjoint.
+    """
     common: list[tuple[float, float]] = []
     index = other = 0
     while index < len(first) and other < len(second):
@@ -111,21 +114,23 @@
     waits: list[WaitInterval],
     weights: dict[str, float],
 ) -> float:
-    """Measures the fairness gap.
+    """Computes the fairness gap of one service.
 
-    It is the largest difference in weighted service between two teams, over
-    every window in which both had work waiting throughout.
+    This is the largest difference between two teams in the service received
+    per weight, over all time windows in which both had requests waiting
+    throughout.
 
     Args:
-        services: All service given by the upstreams of one service.
-        waits: All waits for that service.
+        services: Service given by all upstreams of the service.
+        waits: Waiting times of all requests to the service.
         weights: Weights by team.
 
     Returns:
         The gap in cost units per weight.
     """
     curves = {
-        team: _Curve(s for s in services if s.team == team) for team in weights
+        team: _CumulativeService(s for s in services if s.team == team)
+        for team in weights
     }
     waiting = {
         team: merge_intervals(
@@ -136,18 +141,18 @@
     gap = 0.0
     for one, other in itertools.combinations(weights, 2):
 
-        def differ(time: float, a=one, b=other) -> float:
-            served_a = curves[a].read(time) / weights[a]
-            return served_a - curves[b].read(time) / weights[b]
+        def compute_difference(time: float, a=one, b=other) -> float:
+            service_a = curves[a].compute_total(time) / weights[a]
+            return service_a - curves[b].compute_total(time) / weights[b]
 
         for begin, end in _intersect(waiting[one], waiting[other]):
             times = [
                 begin,
                 end,
-                *curves[one].list_times(begin, end),
-                *curves[other].list_times(begin, end),
+                *curves[one].list_breakpoints(begin, end),
+                *curves[other].list_breakpoints(begin, end),
             ]
-            differences = list(map(differ, times))
+            differences = list(map(compute_difference, times))
             gap = max(gap, max(differences) - min(differences))
     return gap
 
@@ -155,15 +160,16 @@
 def compute_lost_capacity(
     services: list[ServiceInterval], waits: list[WaitInterval], slots: int
 ) -> float:
-    """Measures the share of slot time that was idle while work waited.
+    """Computes the share of slot time that was idle while requests waited.
 
     Args:
-        services: All service given by the upstreams of one service.
-        waits: All waits for that service.
-        slots: Slots of all its upstreams.
+        services: Service given by all upstreams of one service.
+        waits: Waiting times of all requests to the service.
+        slots: Total slots of its upstreams.
 
     Returns:
-        Integral of min(free slots, waiting requests) over that of slots.
+        The time integral of min(free slots, waiting requests), divided by
+        that of the slots; from 0 to 1.
     """
     steps: list[tuple[float, int, int]] = []
     for service in services:
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,10 +1,11 @@
-"""Stand-in of the platform's configuration service.
-
-Serves the operators' text at `/v1/config` and the list of VMs at `/v1/vms`,
-each with its revision; `?after=N&wait=S` waits for a later one and answers
-204 if none came. Everything below `/test/` is for tests: replacing what is
-published, also by something older, making the service fail, and counting
-reads. Two of them side by side are a platform that was split.
+"""Fake of the platform's configuration service.
+
+Serves the operators' configuration text at `/v1/config` and the VM list at
+`/v1/vms`, each with its revision. `?after=N&wait=S` waits up to S seconds for
+a revision above N, and gets status 204 if there is none. The paths below
+`/test/` are for tests: they replace a published value, also by an older
+revision, make the service fail, and count reads. Two instances simulate a
+platform with a split brain.
 """
 
 import argparse
@@ -16,19 +17,21 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Published:
-    """What the platform publishes, and how it misbehaves.
+class PublishedState:
+    """PublishedState values and injected faults of the platform.
 
     Attributes:
-        text: The operators' text.
-        text_revision: Its revision.
+        text: The operators' configuration text.
+        text_revision: Revision of the text.
         vms: Entries of the VM list.
-        vms_revision: Revision of the list.
-        down: Whether every read is refused.
-        fault: How every read fails; empty if none does.
-        reads: Reads so far, a waiting watch counted as one.
-        values: Reads that were answered with a value.
-        changed: Set and replaced at each change, to wake watches.
+        vms_revision: Revision of the VM list.
+        down: Whether every read gets status 503.
+        fault: Kind of fault of every read: `garbage`, `slow` or `overloaded`,
+            any other text for status 503; empty for none.
+        reads: Number of reads so far; a watch counts as one.
+        value_reads: Number of reads that returned a value.
+        changed: Event that wakes waiting watches; set and replaced at each
+            change.
     """
 
     text: str = ""
@@ -38,28 +41,28 @@
     down: bool = False
     fault: str = ""
     reads: int = 0
-    values: int = 0
+    value_reads: int = 0
     changed: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
 
-SLOW = 3600.0
-"""Seconds until a slow service answers: later than anyone waits."""
+SLOW_RESPONSE_SECONDS = 3600.0
+"""Response time of fault `slow` in seconds, above all read timeouts."""
 
 RETRY_AFTER = "1"
-"""Seconds that an overloaded service asks its readers to stay away."""
+"""Retry-After header of fault `overloaded`, in seconds."""
 
 
-def _note_change(published: Published) -> None:
+def _notify_watches(published: PublishedState) -> None:
     published.changed.set()
     published.changed = asyncio.Event()
 
 
-async def _fail(published: Published) -> web.Response:
+async def _respond_with_fault(published: PublishedState) -> web.Response:
     match "down" if published.down else published.fault:
         case "garbage":
             return web.Response(body=b'{"revision": "\xff', status=200)
         case "slow":
-            await asyncio.sleep(SLOW)
+            await asyncio.sleep(SLOW_RESPONSE_SECONDS)
         case "overloaded":
             return web.json_response(
                 {"error": "overloaded"},
@@ -69,27 +72,27 @@
     return web.json_response({"error": "down"}, status=503)
 
 
-async def _serve(request: web.Request, published: Published, read):
+async def _handle_read(request: web.Request, published: PublishedState, read):
     published.reads += 1
     after = int(request.query.get("after", -1))
     loop = asyncio.get_running_loop()
-    until = loop.time() + float(request.query.get("wait", 0))
+    deadline = loop.time() + float(request.query.get("wait", 0))
     while not (published.down or published.fault):
         if read()["revision"] > after:
-            published.values += 1
+            published.value_reads += 1
             return web.json_response(read())
-        if loop.time() >= until:
+        if loop.time() >= deadline:
             header = {"Revision": str(read()["revision"])}
             return web.Response(status=204, headers=header)
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(
-                published.changed.wait(), until - loop.time()
+                published.changed.wait(), deadline - loop.time()
             )
-    return await _fail(published)
+    return await _respond_with_fault(published)
 
 
-def create_application(published: Published) -> web.Application:
-    """Creates the service's application."""
+def create_application(published: PublishedState) -> web.Application:
+    """Creates the HTTP application of the platform."""
 
     def read_text() -> dict:
         return {"revision": published.text_revision, "text": published.text}
@@ -101,35 +104,37 @@
         body = await request.json()
         published.text = body["text"]
         published.text_revision = body["revision"]
-        _note_change(published)
+        _notify_watches(published)
         return web.json_response({})
 
     async def put_vms(request: web.Request) -> web.Response:
         body = await request.json()
         published.vms = body["vms"]
         published.vms_revision = body["revision"]
-        _note_change(published)
+        _notify_watches(published)
         return web.json_response({})
 
     async def put_down(request: web.Request) -> web.Response:
         published.down = (await request.json())["down"]
-        _note_change(published)
+        _notify_watches(published)
         return web.json_response({})
 
     async def put_fault(request: web.Request) -> web.Response:
         published.fault = (await request.json())["fault"]
-        _note_change(published)
+        _notify_watches(published)
         return web.json_response({})
 
     async def get_reads(_: web.Request) -> web.Response:
-        counts = {"reads": published.reads, "values": published.values}
+        counts = {"reads": published.reads, "values": published.value_reads}
         return web.json_response(counts)
 
     application = web.Application()
     application.add_routes(
         [
-            web.get("/v1/config", lambda r: _serve(r, published, read_text)),
-            web.get("/v1/vms", lambda r: _serve(r, published, read_vms)),
+            web.get(
+                "/v1/config", lambda r: _handle_read(r, published, read_text)
+            ),
+            web.get("/v1/vms", lambda r: _handle_read(r, published, read_vms)),
             web.put("/test/config", put_config),
             web.put("/test/vms", put_vms),
             web.put("/test/down", put_down),
@@ -141,13 +146,13 @@
 
 
 def main() -> None:
-    """Runs the stand-in."""
+    """Runs the fake platform."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("port", type=int)
     options = parser.parse_args()
 
     async def create() -> web.Application:
-        return create_application(Published())
+        return create_application(PublishedState())
 
     web.run_app(create(), host="127.0.0.1", port=options.port, print=None)
 
--- a/standins/publish.py
+++ b/standins/publish.py
@@ -1,7 +1,7 @@
-"""Publishes a text or a list of VMs at the platform stand-in.
+"""Publishes configuration texts and VM lists at the fake platform.
 
-In a real fleet the operators' own tools do this; the project's processes
-only read what the platform publishes.
+In a production fleet the operators' own tools do this; routers and sidecars
+only read from the platform.
 """
 
 import argparse
@@ -16,26 +16,27 @@
 
     Args:
         port: The platform's port on loopback.
-        path: An operators' text, or with the ending `.json` a list of VMs.
+        path: File with a configuration text, or a `.json` file with the
+            entries of a VM list.
 
     Returns:
-        One line that says what was published.
+        A line that tells the kind and the revision of what was published.
     """
     is_list = path.suffix == ".json"
-    known = fleet.call(port, "/v1/vms" if is_list else "/v1/config")
-    body = {"revision": known["revision"] + 1}
+    current = fleet.call(port, "/v1/vms" if is_list else "/v1/config")
+    body = {"revision": current["revision"] + 1}
     if is_list:
         fleet.call(
             port, "/test/vms", body | {"vms": json.loads(path.read_text())}
         )
     else:
         fleet.call(port, "/test/config", body | {"text": path.read_text()})
-    what = "list of VMs" if is_list else "text"
-    return f"{path}: {what} published as revision {body['revision']}"
+    kind = "list of VMs" if is_list else "text"
+    return f"{path}: {kind} published as revision {body['revision']}"
 
 
 def main() -> None:
-    """Runs the command."""
+    """Publishes the files of the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("port", type=int)
     parser.add_argument("files", type=pathlib.Path, nargs="+")
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,8 +1,9 @@
-"""Stand-in of the network between processes: a TCP relay that can be cut.
+"""TCP relay that simulates network partitions between processes.
 
-It listens on several ports, passes each on to its target, counts the bytes,
-and on demand holds back one direction or both without closing anything, as a
-partition does. Routes are given as `PORT:TARGET_PORT`.
+It listens on several ports, forwards each to a target port, and counts the
+bytes. On request it holds back the bytes of one or both directions without
+closing connections, as a partition does. Routes are given as
+`PORT:TARGET_PORT`.
 """
 
 import argparse
@@ -17,16 +18,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Route:
-    """One relayed port.
+    """A relayed port.
 
     Attributes:
-        port: Where the relay listens.
-        target: Port on the same machine that it passes on to.
-        forward: Set while bytes towards the target pass.
-        backward: Set while bytes from the target pass.
-        bytes_forward: Bytes passed towards the target.
-        bytes_backward: Bytes passed from the target.
-        held: Connections that came while bytes towards the target don't pass.
+        port: Port on which the relay listens.
+        target: Port on the same machine to which it forwards.
+        forward: Event that is set while bytes towards the target pass.
+        backward: Event that is set while bytes from the target pass.
+        bytes_forward: Number of bytes forwarded towards the target.
+        bytes_backward: Number of bytes forwarded from the target.
+        held: Number of connections that were opened while bytes towards the
+            target were held back.
     """
 
     port: int
@@ -38,7 +40,7 @@
     held: int = 0
 
 
-async def _pump(reader, writer, gate: asyncio.Event, count) -> None:
+async def _forward_bytes(reader, writer, gate: asyncio.Event, count) -> None:
     try:
         while data := await reader.read(READ_SIZE):
             await gate.wait()
@@ -53,7 +55,7 @@
             writer.close()
 
 
-async def _relay(route: Route, reader, writer) -> None:
+async def _handle_connection(route: Route, reader, writer) -> None:
     route.held += not route.forward.is_set()
     await route.forward.wait()
     try:
@@ -69,18 +71,18 @@
         route.bytes_backward += size
 
     await asyncio.gather(
-        _pump(reader, target[1], route.forward, count_forward),
-        _pump(target[0], writer, route.backward, count_backward),
+        _forward_bytes(reader, target[1], route.forward, count_forward),
+        _forward_bytes(target[0], writer, route.backward, count_backward),
     )
 
 
 async def create_application(routes: dict[int, Route]) -> web.Application:
-    """Creates the relay's control interface and starts its routes."""
+    """Creates the control interface, which runs the routes while it serves."""
 
     async def run_routes(_: web.Application):
         servers = [
             await asyncio.start_server(
-                lambda reader, writer, route=route: _relay(
+                lambda reader, writer, route=route: _handle_connection(
                     route, reader, writer
                 ),
                 "127.0.0.1",
@@ -133,7 +135,7 @@
 
 
 def main() -> None:
-    """Runs the stand-in."""
+    """Runs the relay."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("port", type=int)
     parser.add_argument("routes", nargs="*")
--- a/standins/report.py
+++ b/standins/report.py
@@ -1,4 +1,8 @@
-"""What a run of the fleet came to, judged by callers and stand-ins alone."""
+"""Results of a load on the fleet.
+
+They are computed from what callers and fake upstreams recorded; statements
+of routers and sidecars about themselves aren't used.
+"""
 
 import collections
 import dataclasses
@@ -9,29 +13,34 @@
 from sycamorefall.sharing import fairness_bound
 
 EXCHANGE_SECONDS = 0.1
-"""Time taken until an account entry is seen by all, for the stated bound."""
+"""Assumed seconds until all sidecars of a service have an account entry.
+
+The fairness bound is computed with it.
+"""
 
 CLAIMS_AHEAD = 1
-"""Claims that each sidecar makes ahead of a free slot."""
+"""Number of claims that each sidecar makes beyond its free slots."""
 
 
 @dataclasses.dataclass(slots=True)
 class Report:
-    """Measures of one run.
+    """Records of one load, from which the results are computed.
 
     Attributes:
-        answers: What callers saw.
-        runs: What upstreams ran, by service.
-        seconds: How long the load lasted.
+        results: Outcome of each request as its caller observed it.
+        runs: Runs that the upstreams recorded, by service.
+        seconds: Duration of the load.
         weights: Weights by team.
-        slots: Slots of all upstreams, by service.
+        slots: Total slots of the upstreams, by service.
         upstreams: Number of upstreams, by service.
-        control_bytes: Bytes over all control links, counted by the relay.
-        nodes: Routers and sidecars.
-        exit_statuses: Exit status by node, after the graceful stop.
+        control_bytes: Bytes sent over all control links, as counted by the
+            relay.
+        nodes: Number of routers and sidecars.
+        exit_statuses: Exit status of each node's process after the graceful
+            stop, by node name.
     """
 
-    answers: list[load.RequestResult]
+    results: list[load.RequestResult]
     runs: dict[str, list[runs_module.Run]]
     seconds: float
     weights: dict[str, float]
@@ -46,74 +55,93 @@
 
 def collect_report(
     fleet: fleet_module.Fleet,
-    answers: list[load.RequestResult],
+    results: list[load.RequestResult],
     seconds: float,
     weights: dict[str, float],
     slots: dict[str, int],
 ) -> Report:
-    """Reads the stand-ins' records at the end of a run."""
+    """Fetches the records of the fake upstreams and the relay.
+
+    Args:
+        fleet: The running fleet.
+        results: Outcome of each request as its caller observed it.
+        seconds: Duration of the load.
+        weights: Weights by team.
+        slots: Total slots of the upstreams, by service.
+
+    Returns:
+        The records; `exit_statuses` is empty.
+    """
     runs: dict[str, list[runs_module.Run]] = {}
     upstreams: collections.Counter[str] = collections.Counter()
     for node in fleet.nodes.values():
         if node.role == "upstream":
-            found = fleet_module.call(node.upstream, "/test/runs")
-            kept = runs.setdefault(node.service, [])
-            kept += [runs_module.Run(**entry) for entry in found]
+            entries = fleet_module.call(node.upstream, "/test/runs")
+            service_runs = runs.setdefault(node.service, [])
+            service_runs += [runs_module.Run(**entry) for entry in entries]
             upstreams[node.service] += 1
-    relayed = fleet_module.call(fleet.relay, "/test/bytes")
+    bytes_by_port = fleet_module.call(fleet.relay, "/test/bytes")
     return Report(
-        answers,
+        results,
         runs,
         seconds,
         weights,
         slots,
         dict(upstreams),
-        sum(relayed.values()),
+        sum(bytes_by_port.values()),
         len(fleet.nodes),
     )
 
 
-def count_runs(report: Report) -> collections.Counter[str]:
-    """Counts how often each request reached an upstream."""
+def count_runs_by_request(report: Report) -> collections.Counter[str]:
+    """Counts the runs at all upstreams, by request id."""
     return collections.Counter(
         run.request for runs in report.runs.values() for run in runs
     )
 
 
-def find_wrong(report: Report) -> list[load.RequestResult]:
-    """Finds false answers: another's, not whole, or untruly "not run"."""
-    counts = count_runs(report)
+def list_incorrect_results(report: Report) -> list[load.RequestResult]:
+    """Lists the results that misinform their callers.
+
+    Such a response has status 200 and no error event, but is incomplete or
+    another request's; or it says that the request did not run although an
+    upstream ran it.
+    """
+    counts = count_runs_by_request(report)
     return [
-        answer
-        for answer in report.answers
-        if (answer.status == 200 and not answer.right and not answer.kind)
-        or (answer.ran == "no" and counts[answer.plan.request])
+        result
+        for result in report.results
+        if (result.status == 200 and not result.correct and not result.kind)
+        or (result.ran == "no" and counts[result.plan.request_id])
     ]
 
 
-def find_lost(report: Report) -> list[load.RequestResult]:
-    """Finds requests whose callers got no final answer at all."""
+def list_unanswered(report: Report) -> list[load.RequestResult]:
+    """Lists the results of requests that got no complete response."""
     return [
-        answer
-        for answer in report.answers
-        if not answer.status or answer.kind.startswith("broken")
+        result
+        for result in report.results
+        if not result.status or result.kind.startswith("broken")
     ]
 
 
-def find_doubled(report: Report) -> list[str]:
-    """Finds requests that ran twice though they may not be repeated."""
-    counts = count_runs(report)
+def list_duplicate_runs(report: Report) -> list[str]:
+    """Lists the ids of non-idempotent requests that ran more than once."""
+    counts = count_runs_by_request(report)
     return [
-        answer.plan.request
-        for answer in report.answers
-        if not answer.plan.idempotent and counts[answer.plan.request] > 1
+        result.plan.request_id
+        for result in report.results
+        if not result.plan.idempotent and counts[result.plan.request_id] > 1
     ]
 
 
-def list_services(
+def list_service_intervals(
     report: Report, service: str, end: float
 ) -> list[measures.ServiceInterval]:
-    """Lists the service given, runs in progress counted up to `end`."""
+    """Lists a service's runs that were started, as service intervals.
+
+    Runs that are still in progress are counted up to `end`.
+    """
     return [
         measures.ServiceInterval(
             run.team, run.started, run.finished or end, run.cost
@@ -123,8 +151,14 @@
     ]
 
 
-def list_waits(report: Report, service: str) -> list[measures.WaitInterval]:
-    """Lists how long each request waited for its start or its refusal."""
+def list_wait_intervals(
+    report: Report, service: str
+) -> list[measures.WaitInterval]:
+    """Lists the waiting time of each request to a service.
+
+    It lasts from the time at which the request was sent until its run
+    started, or until its result if it never ran.
+    """
     started = {
         run.request: run.started
         for run in report.runs.get(service, ())
@@ -132,36 +166,39 @@
     }
     return [
         measures.WaitInterval(
-            answer.plan.team,
-            answer.sent,
-            max(answer.sent, started.get(answer.plan.request, answer.ended)),
+            result.plan.team,
+            result.sent_at,
+            max(
+                result.sent_at,
+                started.get(result.plan.request_id, result.ended_at),
+            ),
         )
-        for answer in report.answers
-        if answer.plan.service == service
+        for result in report.results
+        if result.plan.service == service
     ]
 
 
 def summarize(report: Report) -> dict[str, float]:
-    """Computes the figures of the demo's last line."""
-    end = max(answer.ended for answer in report.answers)
-    services = list_services(report, "assistant", end)
-    waits = list_waits(report, "assistant")
+    """Computes the figures that the demo prints as JSON in its last line."""
+    end = max(result.ended_at for result in report.results)
+    services = list_service_intervals(report, "assistant", end)
+    waits = list_wait_intervals(report, "assistant")
     lost = sum(
         measures.compute_lost_capacity(
-            list_services(report, service, end),
-            list_waits(report, service),
+            list_service_intervals(report, service, end),
+            list_wait_intervals(report, service),
             slots,
         )
         * slots
         for service, slots in report.slots.items()
     ) / sum(report.slots.values())
     return {
-        "sent": len(report.answers),
-        "answered": sum(answer.right for answer in report.answers),
-        "wrong": len(find_wrong(report)),
-        "lost": len(find_lost(report)),
-        "doubled": len(find_doubled(report)),
-        "not_run": sum(answer.ran == "no" for answer in report.answers),
+        "sent": len(report.results),
+        "answered": sum(result.correct for result in report.results),
+        "wrong": len(list_incorrect_results(report)),
+        "lost": len(list_unanswered(report)),
+        "doubled": len(list_duplicate_runs(report)),
+        "not_run": sum(result.ran == "no" for result in report.results),
         "fairness_gap": round(
             measures.compute_fairness_gap(services, waits, report.weights), 1
         ),
@@ -190,7 +227,7 @@
 
 
 def format_table(report: Report) -> str:
-    """Formats a row per team and service."""
+    """Formats a table with a row for each service and team."""
     lines = [
         f"{'service':<10} {'team':<8} {'sent':>5} {'right':>5} "
         f"{'not run':>7} {'other':>5} {'wait p50':>8} {'wait p95':>8} "
@@ -203,22 +240,22 @@
 
 
 def _format_row(report: Report, service: str, team: str) -> str:
-    answers = [
-        answer
-        for answer in report.answers
-        if (answer.plan.service, answer.plan.team) == (service, team)
+    results = [
+        result
+        for result in report.results
+        if (result.plan.service, result.plan.team) == (service, team)
     ]
-    right = sum(answer.right for answer in answers)
-    not_run = sum(answer.ran == "no" for answer in answers)
+    correct = sum(result.correct for result in results)
+    not_run = sum(result.ran == "no" for result in results)
     waits = sorted(
         wait.ended - wait.began
-        for wait in list_waits(report, service)
+        for wait in list_wait_intervals(report, service)
         if wait.team == team
     ) or [0.0]
     units = sum(run.cost for run in report.runs[service] if run.team == team)
     p50, p95 = (waits[int(len(waits) * share)] for share in (0.5, 0.95))
     return (
-        f"{service:<10} {team:<8} {len(answers):>5} {right:>5} "
-        f"{not_run:>7} {len(answers) - right - not_run:>5} "
+        f"{service:<10} {team:<8} {len(results):>5} {correct:>5} "
+        f"{not_run:>7} {len(results) - correct - not_run:>5} "
         f"{p50:>8.3f} {p95:>8.3f} {units:>8.0f}"
     )
--- a/standins/runs.py
+++ b/standins/runs.py
@@ -1,7 +1,8 @@
-"""Records that stand-in upstreams keep of what they ran; tests judge by them.
+"""Records of the requests that a fake upstream ran, and their HTTP routes.
 
-Times are the machine's monotonic clock, so that records of several stand-ins
-and of the load tool can be laid side by side.
+Tests compare them with the responses that callers got. Times are those of the
+machine's monotonic clock, so that records of several fakes and of the load
+generator are comparable.
 """
 
 import argparse
@@ -17,14 +18,16 @@
 class Run:
     """One run of a request at an upstream.
 
+    Tests receive it as a JSON object under these field names.
+
     Attributes:
-        request: Identity that the caller gave the request.
-        team: Whose request it was.
-        arrived: When it came to the upstream.
+        request: Identifier of the request, from its body.
+        team: Team that sent the request.
+        arrived: When the request arrived at the upstream.
         started: When it got a slot; 0 if it never did.
-        finished: When it ended; 0 while in progress.
+        finished: When the run ended; 0 while it is in progress.
         cost: Cost units so far.
-        whole: Whether it ran to its end.
+        whole: Whether the run was completed.
     """
 
     request: str
@@ -37,12 +40,12 @@
 
 
 def read_clock() -> float:
-    """Reads the clock that all records share."""
+    """Returns the time of the clock that all records use, in seconds."""
     return time.monotonic()
 
 
 def add_run_routes(application: web.Application, runs: list[Run]) -> None:
-    """Adds the routes by which tests read the records."""
+    """Adds the route `/test/runs`, by which tests read the records."""
 
     async def get_runs(_: web.Request) -> web.Response:
         return web.json_response([dataclasses.asdict(run) for run in runs])
@@ -51,16 +54,16 @@
 
 
 class PlainService(Protocol):
-    """State that stand-ins of plain services have in common."""
+    """State that all fakes of plain services have."""
 
     running: int
     runs: list[Run]
 
 
-def add_plain_routes(
+def add_plain_service_routes(
     application: web.Application, service: PlainService
 ) -> None:
-    """Adds the routes of all plain services: load report and records."""
+    """Adds the routes of all fake plain services: load report and records."""
 
     async def get_load(_: web.Request) -> web.Response:
         return web.json_response({"running": service.running, "queued": 0})
@@ -69,14 +72,14 @@
     add_run_routes(application, service.runs)
 
 
-def run_plain(
+def run_plain_service(
     description: str, create_application: Callable[[int], web.Application]
 ) -> None:
-    """Runs a stand-in of a plain service.
+    """Runs a fake plain service; parses its command line.
 
     Args:
-        description: What it is, for `--help`.
-        create_application: Creates it with a number of slots.
+        description: Text of `--help`.
+        create_application: Creates the application for a number of slots.
     """
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument("port", type=int)
--- a/standins/site.py
+++ b/standins/site.py
@@ -1,8 +1,9 @@
-"""A small site on loopback: a store, upstreams, and routers as processes.
+"""A site on loopback: a fake store, fake upstreams and real routers.
 
-The store and the upstreams speak the platform's wire and run on a thread of
-their own; routers are the real program. Upstreams note every request that
-they run, so a test can compare answers with requests and count runs.
+The store and the upstreams implement the platform's protocols and run on a
+thread of this process; each router is a process of the real program.
+Upstreams record every request that they run, so that a test can compare
+responses with requests and count runs.
 """
 
 import asyncio
@@ -27,7 +28,15 @@
 
 @dataclasses.dataclass
 class Router:
-    """A router process and where it listens."""
+    """A router process.
+
+    Attributes:
+        process: The process.
+        data: Port for callers.
+        operators: Port of the operators' pages.
+        control: Port for control messages.
+        settings: Its settings file.
+    """
 
     process: subprocess.Popen
     data: int
@@ -37,7 +46,17 @@
 
 
 class Site:
-    """A store, upstreams and routers; a context manager."""
+    """A store, upstreams and routers, as a context manager.
+
+    On exit the routers are killed, and the store and the upstreams stop.
+
+    Attributes:
+        folder: Directory of the settings and log files.
+        store: The fake store.
+        store_port: Port of the store.
+        upstreams: Fake upstreams by name.
+        routers: Routers that were started.
+    """
 
     def __init__(self, folder: pathlib.Path):
         self.folder = folder
@@ -53,7 +72,7 @@
 
     def __enter__(self) -> "Site":
         self._thread.start()
-        self._await(self._serve_store())
+        self._run(self._serve_store())
         return self
 
     def __exit__(self, *_) -> None:
@@ -61,23 +80,25 @@
             if router.process.poll() is None:
                 router.process.kill()
             router.process.wait()
-        self._await(self._end())
+        self._run(self._stop_serving())
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
         self._loop.close()
 
-    def _await(self, task):
-        return asyncio.run_coroutine_threadsafe(task, self._loop).result(10)
+    def _run(self, coroutine):
+        return asyncio.run_coroutine_threadsafe(coroutine, self._loop).result(
+            10
+        )
 
     async def _serve_store(self) -> None:
         application = web.Application()
-        application.router.add_get("/{path:.*}", self.store.answer)
+        application.router.add_get("/{path:.*}", self.store.handle_request)
         runner = web.AppRunner(application, shutdown_timeout=0.1)
         await runner.setup()
         await web.TCPSite(runner, "127.0.0.1", self.store_port).start()
         self._runner = runner
 
-    async def _end(self) -> None:
+    async def _stop_serving(self) -> None:
         await self._runner.cleanup()
         tasks = asyncio.all_tasks() - {asyncio.current_task()}
         for task in tasks:
@@ -87,7 +108,14 @@
     def add_upstream(
         self, name: str, service: str, slots: int = 8, port: int = 0
     ) -> wire_upstream.Upstream:
-        """Starts an upstream and lists it in the store."""
+        """Starts an upstream and writes its entry to the store.
+
+        Args:
+            name: Name of the upstream, also its incarnation.
+            service: Service that the upstream belongs to.
+            slots: Number of slots in the entry.
+            port: Port to listen on; 0 for any free port.
+        """
         upstream = wire_upstream.Upstream(name)
 
         async def listen():
@@ -96,7 +124,7 @@
             )
             return upstream.server.sockets[0].getsockname()[1]
 
-        upstream.port = self._await(listen())
+        upstream.port = self._run(listen())
         self.upstreams[name] = upstream
         self.register_upstream(name, service, slots)
         return upstream
@@ -109,7 +137,7 @@
         state: str = "ready",
         born: int = 1,
     ) -> None:
-        """Writes an upstream's entry to the store."""
+        """Writes an upstream's entry to the store, or replaces it."""
         self.store.put(
             f"servers/{name}",
             {
@@ -131,11 +159,11 @@
         wait: bool = True,
         extra_settings: str = "",
     ) -> Router:
-        """Starts a router and waits until it is ready.
+        """Writes the settings of a router and starts it.
 
         Args:
-            name: The name of its VM.
-            wait: Whether to wait.
+            name: Name of the router's VM.
+            wait: Whether to wait until the router is ready.
             extra_settings: Further sections of its settings.
         """
         data, operators, control = fleet.reserve_ports(3)
@@ -160,20 +188,24 @@
 
 
 def is_ready(router: Router) -> bool:
-    """Asks a router whether it takes connections."""
+    """Checks whether `/ready` of a router has status 200."""
     url = f"http://127.0.0.1:{router.operators}/ready"
     try:
-        with urllib.request.urlopen(url, timeout=1) as answer:
-            return answer.status == 200
+        with urllib.request.urlopen(url, timeout=1) as response:
+            return response.status == 200
     except OSError:
         return False
 
 
 def wait_until(condition, timeout: float = 5.0) -> None:
-    """Waits for a condition; raises TimeoutError if it doesn't come."""
-    end = time.monotonic() + timeout
+    """Waits until a function returns a true value.
+
+    Raises:
+        TimeoutError: It returned none within `timeout` seconds.
+    """
+    deadline = time.monotonic() + timeout
     while not condition():
-        if time.monotonic() > end:
+        if time.monotonic() > deadline:
             raise TimeoutError
         time.sleep(0.02)
 
@@ -181,24 +213,32 @@
 def call(
     router: Router, path: str, headers: dict[str, str], body: bytes = b""
 ) -> tuple[int, dict[str, str], bytes]:
-    """Sends a request; gives status, headers (lower case) and body."""
-    line = http.client.HTTPConnection("127.0.0.1", router.data, timeout=20)
-    with contextlib.closing(line):
-        line.request(
+    """Sends a request to a router, as POST if it has a body, else as GET.
+
+    Returns:
+        Status, headers with lower-case names, and body of the response.
+    """
+    connection = http.client.HTTPConnection(
+        "127.0.0.1", router.data, timeout=20
+    )
+    with contextlib.closing(connection):
+        connection.request(
             "POST" if body else "GET",
             path,
             body or None,
             {"Host": "site.example"} | headers,
         )
-        answer = line.getresponse()
-        found = {name.lower(): value for name, value in answer.getheaders()}
-        return answer.status, found, answer.read()
+        response = connection.getresponse()
+        response_headers = {
+            name.lower(): value for name, value in response.getheaders()
+        }
+        return response.status, response_headers, response.read()
 
 
 def build_route(
-    name: str, kind: str, service: str, **extra_settings: object
+    name: str, kind: str, service: str, **overrides: object
 ) -> dict:
-    """Describes a route below `/NAME/` as the store holds it."""
+    """Builds the store's value for a route with path prefix `/NAME/`."""
     return {
         "Name": name,
         "Host": "site.example",
@@ -210,13 +250,21 @@
         "Service": service,
         "MaxAttempts": 2,
         "Public": False,
-    } | extra_settings
+    } | overrides
 
 
 def build_configuration(
     version: int, routes: list[dict], keys: dict[str, list[str]]
 ) -> dict:
-    """Describes a configuration with an engine and a ledger service."""
+    """Builds the store's value for a configuration.
+
+    Its services are `engine`, of model engines, and `ledger`, a plain one.
+
+    Args:
+        version: Version of the configuration.
+        routes: Its routes, from `build_route`.
+        keys: API keys by team.
+    """
     engine = {
         "Slots": 8,
         "KvCapacityTokens": 500_000,
@@ -245,4 +293,4 @@
     build_route("look", "safe", "ledger", Public=True),
     build_route("order", "unsafe", "ledger", MaxAttempts=1),
 )
-"""One route of each kind, and one of a plain service that needs a key."""
+"""A route of each kind, and one to a plain service that requires a key."""
--- a/standins/wire_store.py
+++ b/standins/wire_store.py
@@ -1,4 +1,4 @@
-"""The platform's store, as a stand-in that speaks its wire."""
+"""Fake of the platform's key-value store, with its HTTP protocol."""
 
 __all__ = ["Store"]
 
@@ -11,16 +11,21 @@
 from aiohttp import web
 
 PAGE_SIZE = 50
-"""Items of one answer."""
+"""Maximum number of items in a response to a range read."""
 
 
 class Store:
-    """The platform's store, with switches for its troubles.
+    """A key-value store with revisions, watches and fault injection.
 
     Attributes:
-        unavailable: Answers 503 to everything.
-        suppress_events: Watches hear nothing.
-        read_counts: Reads served, by path.
+        items: By key: the encoded value, the revision of its last change, and
+            the revision at which it was created.
+        changes: Revision and key of each change.
+        revision: Revision of the last change.
+        oldest_revision: Oldest revision from which a watch can start.
+        unavailable: Whether every request gets status 503.
+        suppress_events: Whether watches report no changes.
+        read_counts: Number of requests so far, by path.
     """
 
     def __init__(self):
@@ -33,34 +38,34 @@
         self.read_counts: collections.Counter = collections.Counter()
 
     def put(self, key: str, value: object) -> None:
-        """Writes a key."""
+        """Writes the value of a key as JSON, in a new revision."""
         text = base64.b64encode(json.dumps(value).encode()).decode()
         self.revision += 1
-        made = self.items.get(key, ("", 0, self.revision))[2]
-        self.items[key] = (text, self.revision, made)
+        created = self.items.get(key, ("", 0, self.revision))[2]
+        self.items[key] = (text, self.revision, created)
         self.changes.append((self.revision, key))
 
     def delete(self, key: str) -> None:
-        """Deletes a key."""
+        """Deletes a key, in a new revision."""
         self.revision += 1
         self.items.pop(key, None)
         self.changes.append((self.revision, key))
 
     def discard_history(self) -> None:
-        """Answers 410 to watches from before now."""
+        """Discards the history, so that watches from before now get 410."""
         self.oldest_revision = self.revision
 
-    def _describe(self, key: str) -> dict:
-        value, revision, made = self.items[key]
+    def _describe_item(self, key: str) -> dict:
+        value, revision, created = self.items[key]
         return {
             "Key": key,
             "Value": value,
             "Revision": revision,
-            "CreateRev": made,
+            "CreateRev": created,
         }
 
-    async def answer(self, request: web.Request) -> web.Response:
-        """Answers a read."""
+    async def handle_request(self, request: web.Request) -> web.Response:
+        """Responds to a read of a key, a range read or a watch."""
         self.read_counts[request.path] += 1
         if self.unavailable:
             return web.Response(status=503)
@@ -69,8 +74,8 @@
             case "/kv-key":
                 if query["Key"] not in self.items:
                     return web.Response(status=404)
-                found = self._describe(query["Key"])
-                return web.json_response(found | {"CurrentRev": self.revision})
+                item = self._describe_item(query["Key"])
+                return web.json_response(item | {"CurrentRev": self.revision})
             case "/kv-range":
                 keys = sorted(
                     key
@@ -78,29 +83,29 @@
                     if key.startswith(query["Prefix"])
                     and key > query.get("After", "")
                 )
-                page = [self._describe(key) for key in keys[:PAGE_SIZE]]
+                page = [self._describe_item(key) for key in keys[:PAGE_SIZE]]
                 more = len(keys) > len(page)
-                answer = {"Items": page, "MorePages": more}
-                answer["CurrentRev"] = self.revision
-                return web.json_response(answer)
+                body = {"Items": page, "MorePages": more}
+                body["CurrentRev"] = self.revision
+                return web.json_response(body)
         return await self._watch(query)
 
     async def _watch(self, query) -> web.Response:
-        after, end = int(query["After"]), int(query["WaitMs"]) / 1000
-        end += time.monotonic()
-        while time.monotonic() < end:
+        after, deadline = int(query["After"]), int(query["WaitMs"]) / 1000
+        deadline += time.monotonic()
+        while time.monotonic() < deadline:
             if after < self.oldest_revision:
                 return web.Response(status=410)
-            news = [
-                c
-                for c in self.changes
-                if c[0] > after and not self.suppress_events
+            new_changes = [
+                change
+                for change in self.changes
+                if change[0] > after and not self.suppress_events
             ]
-            if news or self.unavailable:
+            if new_changes or self.unavailable:
                 break
             await asyncio.sleep(0.02)
         else:
-            news = []
-        events = [{"Key": key, "Revision": rev} for rev, key in news]
-        answer = {"events": events, "CurrentRev": self.revision}
-        return web.json_response(answer)
+            new_changes = []
+        events = [{"Key": key, "Revision": rev} for rev, key in new_changes]
+        body = {"events": events, "CurrentRev": self.revision}
+        return web.json_response(body)
--- a/standins/wire_upstream.py
+++ b/standins/wire_upstream.py
@@ -1,4 +1,4 @@
-"""Engines and plain services, as stand-ins that speak the platform's wire."""
+"""Fake model engines and plain services, with the platform's HTTP protocol."""
 
 __all__ = ["Upstream"]
 
@@ -9,25 +9,31 @@
 
 @dataclasses.dataclass
 class Upstream:
-    """A model engine or a plain service.
+    """A fake model engine or plain service, with fault injection.
+
+    A request with a Prompt-Prefix header gets a stream of events, any other
+    request a plain response.
 
     Attributes:
-        name: Its incarnation.
-        port: Where it listens on loopback.
-        runs: What it ran: request id and the headers that came with it.
-        refuse: Answers 503 and says that it did not run the request.
-        fail: Answers 500 after running the request.
-        truncate_after: Breaks a stream off, inside an event, after so many.
-        hang: Runs requests and never answers.
-        extra: Sends the answer to a request twice.
-        repeat_previous: Sends it again before the next answer on its
-            connection.
-        repeat_count: How often it did.
-        event_interval: Seconds between two events.
-        crash_on_body: Body of the requests that crash it.
+        name: Its incarnation; requests for another one get status 421.
+        port: Port on loopback on which it listens.
+        runs: Id and headers of each request that it ran.
+        cancelled: Ids of the requests whose connection was closed while it
+            hung.
+        refuse: Whether it sends 503 with Not-Executed to every request.
+        fail: Whether it runs plain requests and sends 500.
+        truncate_after: Number of events after which it closes the connection
+            inside the next event; None sends all events.
+        hang: Whether it runs requests and never responds.
+        extra: Whether it sends every plain response twice.
+        repeat_previous: Whether it sends the previous plain response of a
+            connection again before the next one.
+        repeat_count: Number of responses that it sent again so.
+        event_interval: Seconds between two events, and before a crash.
+        crash_on_body: Body of the requests at which it crashes.
         crashed: Whether it has crashed.
         server: The server that listens for its connections.
-        leaving: Sends Server-Leaving in its responses, except in a 421.
+        leaving: Whether its responses, other than 421, have Server-Leaving.
         retry_after: Retry-After value of its 503 responses; None omits the
             header.
         refused: Ids of the requests that it refused.
@@ -53,15 +59,15 @@
     leaving: bool = False
     retry_after: str | None = None
     refused: list[str] = dataclasses.field(default_factory=list)
-    _last: dict[asyncio.StreamWriter, bytes] = dataclasses.field(
+    _last_responses: dict[asyncio.StreamWriter, bytes] = dataclasses.field(
         default_factory=dict
     )
 
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Serves one connection."""
-        self._last[writer] = b""
+        """Reads the requests of a connection and responds to each."""
+        self._last_responses[writer] = b""
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
@@ -74,18 +80,18 @@
                 }
                 size = int(headers.get("content-length", "0"))
                 body = await reader.readexactly(size)
-                await self._answer(lines[0], headers, body, reader, writer)
+                await self._respond(lines[0], headers, body, reader, writer)
         writer.close()
 
     def crash(self) -> None:
         """Closes all sockets, as the kernel does for a crashed process."""
         self.crashed = True
         self.server.close()
-        for writer in self._last:
+        for writer in self._last_responses:
             writer.transport.abort()
 
-    async def _answer(self, line, headers, body, reader, writer) -> None:
-        request = headers.get("attempt-id", "")
+    async def _respond(self, line, headers, body, reader, writer) -> None:
+        request_id = headers.get("attempt-id", "")
         if headers.get("expect-instance") != self.name:
             writer.write(
                 b"HTTP/1.1 421 Misdirected Request\r\nInstance-Id: "
@@ -95,7 +101,7 @@
             return
         extra_headers = "Server-Leaving: 1\r\n" if self.leaving else ""
         if self.refuse:
-            self.refused.append(request)
+            self.refused.append(request_id)
             if self.retry_after is not None:
                 extra_headers += f"Retry-After: {self.retry_after}\r\n"
             writer.write(
@@ -103,36 +109,36 @@
                 "Content-Length: 0\r\n\r\n".encode()
             )
             return
-        self.runs.append((request, headers))
+        self.runs.append((request_id, headers))
         if self.crash_on_body is not None and body == self.crash_on_body:
             await asyncio.sleep(self.event_interval)
             self.crash()
             raise ConnectionResetError
         if self.hang:
             if not await reader.read(1):
-                self.cancelled.append(request)
+                self.cancelled.append(request_id)
             return
         stamp = (
-            f"Attempt-Id: {request}\r\nServer-Stamp: s.{self.name}\r\n"
+            f"Attempt-Id: {request_id}\r\nServer-Stamp: s.{self.name}\r\n"
             f"{extra_headers}"
         )
         if "prompt-prefix" in headers:
             await self._stream(stamp, headers, reader, writer)
             return
-        text = f"{line.split()[1]} {request} {len(body)}".encode()
+        data = f"{line.split()[1]} {request_id} {len(body)}".encode()
         status = "500 Failed" if self.fail else "200 OK"
-        answer = (
-            f"HTTP/1.1 {status}\r\n{stamp}Content-Length: {len(text)}\r\n\r\n"
-        ).encode() + text
-        if self.repeat_previous and self._last[writer]:
+        response = (
+            f"HTTP/1.1 {status}\r\n{stamp}Content-Length: {len(data)}\r\n\r\n"
+        ).encode() + data
+        if self.repeat_previous and self._last_responses[writer]:
             self.repeat_count += 1
-            writer.write(self._last[writer])
+            writer.write(self._last_responses[writer])
             await writer.drain()
             await asyncio.sleep(0.01)
-        self._last[writer] = answer
-        writer.write(answer)
+        self._last_responses[writer] = response
+        writer.write(response)
         if self.extra:
-            writer.write(answer)
+            writer.write(response)
 
     async def _stream(self, stamp, headers, reader, writer) -> None:
         count = int(headers["token-usage"].split(",")[1])
@@ -141,9 +147,9 @@
             f"HTTP/1.1 200 OK\r\n{stamp}Content-Type: text/event-stream\r\n"
             "Transfer-Encoding: chunked\r\n\r\n".encode()
         )
-        request = headers["attempt-id"]
+        request_id = headers["attempt-id"]
         for number in range(first, count + 1):
-            event = f"id: {number}\ndata: {request}/{number}\n\n".encode()
+            event = f"id: {number}\ndata: {request_id}/{number}\n\n".encode()
             if self.truncate_after is not None and number > self.truncate_after:
                 writer.write(b"%x\r\n%b" % (len(event), event[:7]))
                 await writer.drain()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -43,7 +43,7 @@
 
 
 @pytest.fixture
-def own_fleet(tmp_path):
+def isolated_fleet(tmp_path):
     """A fleet for a test that breaks it."""
     fleet = start_small_fleet(tmp_path)
     yield fleet
--- a/tests/test_observation.py
+++ b/tests/test_observation.py
@@ -213,20 +213,20 @@
     find_record(fleet, "ledger-0", message_type="order.unsigned")
 
 
-def test_router_answers_while_nobody_reads_its_log(own_fleet):
+def test_router_answers_while_nobody_reads_its_log(isolated_fleet):
     """The reader of a router's stderr stops; callers must not notice.
 
     A write that waits for the reader would stop the router's only loop, and
     with it every request and heartbeat.
     """
-    node = own_fleet.nodes["router-0"]
+    node = isolated_fleet.nodes["router-0"]
     fleet_module.stop_process(node.process)
     reader, writer = os.pipe()
     fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, 4096)
     node.process = subprocess.Popen(
         [
             *(sys.executable, "-m", "sycamorefall.command", "router"),
-            str(own_fleet.folder / "router-0.ini"),
+            str(isolated_fleet.folder / "router-0.ini"),
         ],
         stdin=subprocess.DEVNULL,
         stderr=writer,
@@ -245,18 +245,18 @@
     os.close(reader)
 
 
-def test_metrics_leave_the_data_address_for_the_operators(own_fleet):
+def test_metrics_leave_the_data_address_for_the_operators(isolated_fleet):
     """With an address of their own, operators' pages are not for callers."""
-    node = own_fleet.nodes["router-0"]
+    node = isolated_fleet.nodes["router-0"]
     fleet_module.stop_process(node.process)
     operators = fleet_module.reserve_ports(1)[0]
-    path = own_fleet.folder / "router-0.ini"
+    path = isolated_fleet.folder / "router-0.ini"
     text = path.read_text().replace(
         "[listen]\n", f"[listen]\noperators = 127.0.0.1:{operators}\n"
     )
     path.write_text(text)
     node.process = fleet_module._spawn(
-        own_fleet, node.name, "sycamorefall.command", "router", str(path)
+        isolated_fleet, node.name, "sycamorefall.command", "router", str(path)
     )
     status = fleet_module.wait_until(
         lambda: fleet_module.call(operators, "/status"), "the operators' page"
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""Planned stops and leaving VMs, on real processes with load running."""
+"""Graceful stops and leaving VMs, on real processes under load."""
 
 import asyncio
 import http.client
@@ -13,11 +13,14 @@
 from tests import test_whole_path as whole_path
 
 LEAVING_LIMIT = 3.0
-"""Seconds after which a leaving upstream gets nothing new."""
+"""Seconds after which a leaving upstream must get no new requests."""
 
 SLOW_START = 2.5
-"""Seconds that the first order may wait for its sidecar's first claim on a
-busy machine (2.2 were seen); the flow goes on as much longer."""
+"""Allowance in seconds for a slow start, added to the duration of the load.
+
+On a busy machine the first order waited up to 2.2 s for its sidecar's first
+claim.
+"""
 
 
 def list_runs(fleet, service=""):
@@ -30,50 +33,50 @@
 
 
 def stop_after(fleet, name, count):
-    """Makes a function that sends SIGTERM after a number of answers."""
-    seen = []
+    """Creates a callback that sends SIGTERM to a node after `count` results."""
+    results = []
 
-    def note(answer):
-        seen.append(answer)
-        if len(seen) == count:
+    def record_result(result):
+        results.append(result)
+        if len(results) == count:
             fleet.nodes[name].process.send_signal(signal.SIGTERM)
 
-    return note
+    return record_result
 
 
 def plan_burst(routers, count):
-    """Work for several seconds that all arrives at once, on both routers."""
-    plans = whole_path.plan_mixed(routers, count)
+    """Plans requests that arrive all at once and take several seconds."""
+    plans = whole_path.plan_mixed_load(routers, count)
     for plan in plans:
-        plan.at = 0.0
+        plan.send_at = 0.0
         plan.work_ms *= 5
         plan.tokens *= 4
     return plans
 
 
 @pytest.mark.parametrize("name", ["router-0", "ledger-1"])
-def test_stop_under_load_cuts_off_nothing(own_fleet, name):
-    # An operator replaces a VM at the busiest hour. Whoever has a request
-    # waiting or in progress there gets the whole answer; whoever comes later
-    # is told that the request did not run and when to come back.
-    plans = plan_burst(whole_path.list_routers(own_fleet), 120)
-    note = stop_after(own_fleet, name, 5)
-    answers = asyncio.run(load.send_all(plans, on_answer=note))
-    wrong = [answer for answer in answers if not answer.right]
-    assert {answer.kind for answer in wrong} <= {"stopping"}
+def test_stop_under_load_interrupts_no_request(isolated_fleet, name):
+    # Guards against requests that are lost when a VM is replaced under load.
+    # Requests that wait or run there get their complete responses. Later ones
+    # get "stopping", which says that they did not run, and a Retry-After.
+    plans = plan_burst(whole_path.list_router_ports(isolated_fleet), 120)
+    callback = stop_after(isolated_fleet, name, 5)
+    results = asyncio.run(load.send_all(plans, on_result=callback))
+    rejected = [result for result in results if not result.correct]
+    assert {result.kind for result in rejected} <= {"stopping"}
     assert all(
-        answer.ran == "no" and answer.retry_after >= 1 for answer in wrong
+        result.ran == "no" and result.retry_after >= 1 for result in rejected
     )
-    ran = sorted(run["request"] for run in list_runs(own_fleet))
-    assert ran == sorted(a.plan.request for a in answers if a.right)
-    process = own_fleet.nodes[name].process
+    ran = sorted(run["request"] for run in list_runs(isolated_fleet))
+    assert ran == sorted(r.plan.request_id for r in results if r.correct)
+    process = isolated_fleet.nodes[name].process
     assert process.wait(fleet_module.STOP_TIMEOUT) == 0
-    log = (own_fleet.folder / f"{name}.log").read_text()
+    log = (isolated_fleet.folder / f"{name}.log").read_text()
     assert "Traceback" not in log
 
 
-def post_order(connection, request, work_ms):
-    body = {"id": request, "team": "mill-a", "work_ms": work_ms}
+def send_order(connection, request_id, work_ms):
+    body = {"id": request_id, "team": "mill-a", "work_ms": work_ms}
     headers = {
         "Authorization": f"Bearer {fleet_module.make_key('mill-a')}",
         "Content-Type": "application/json",
@@ -82,33 +85,35 @@
     connection.request("POST", path, json.dumps(body), headers)
 
 
-def test_stopping_router_answers_old_and_new_callers(own_fleet):
-    # A router is told to stop while it serves a long request. Its idle
-    # connections are closed, a caller that comes anew hears "stopping" and
-    # when to come back, and the long request is answered.
-    router = own_fleet.nodes["router-0"]
+def test_stopping_router_responds_to_earlier_and_later_requests(isolated_fleet):
+    # A router gets SIGTERM while it serves a long request. It closes idle
+    # connections, responds to a later request with "stopping" and a
+    # Retry-After, and completes the long request.
+    router = isolated_fleet.nodes["router-0"]
     idle, busy, late = (
         http.client.HTTPConnection("127.0.0.1", router.data, timeout=10)
         for _ in range(3)
     )
     idle.request("GET", "/live")
     assert idle.getresponse().read() == b"{}"
-    post_order(busy, "long", 2000)
-    fleet_module.wait_until(lambda: list_runs(own_fleet, "ledger"), "the run")
+    send_order(busy, "long", 2000)
+    fleet_module.wait_until(
+        lambda: list_runs(isolated_fleet, "ledger"), "the run"
+    )
     router.process.send_signal(signal.SIGTERM)
     assert idle.sock.recv(1) == b""
-    post_order(late, "late", 1)
-    refused = late.getresponse()
-    assert json.load(refused)["error"]["kind"] == "stopping"
-    assert int(refused.headers["Retry-After"]) >= 1
-    assert refused.headers["Connection"].lower() == "close"
-    answer = busy.getresponse()
-    assert json.load(answer) == {"id": "long", "state": "confirmed"}
+    send_order(late, "late", 1)
+    rejected = late.getresponse()
+    assert json.load(rejected)["error"]["kind"] == "stopping"
+    assert int(rejected.headers["Retry-After"]) >= 1
+    assert rejected.headers["Connection"].lower() == "close"
+    response = busy.getresponse()
+    assert json.load(response) == {"id": "long", "state": "confirmed"}
     assert router.process.wait(fleet_module.STOP_TIMEOUT) == 0
 
 
-def cut(fleet, name, passes):
-    """Cuts or joins the control messages towards a process."""
+def set_control_link(fleet, name, passes):
+    """Sets whether the relay forwards a node's incoming control links."""
     body = {
         "port": fleet.nodes[name].relayed_control,
         "forward": passes,
@@ -118,14 +123,14 @@
 
 
 def plan_orders(routers, seconds):
-    """A steady flow of short orders."""
+    """Plans an order every 20 ms, alternately over two routers."""
     return [
         load.PlannedRequest(
             f"order-{index}",
             ["mill-a", "mill-b", "large"][index % 3],
             "ledger",
             routers[index % 2],
-            at=index * 0.02,
+            send_at=index * 0.02,
             work_ms=20.0,
             idempotent=False,
         )
@@ -133,32 +138,36 @@
     ]
 
 
-def test_leaving_upstream_gets_nothing_new_after_three_seconds(own_fleet):
-    # An operator marks an upstream as leaving and takes the VM away a few
-    # seconds later. One router is cut off: no message reaches it, and the
-    # platform hardly ever polled may show it the old list. Whatever it
-    # believes, the sidecar knows and claims nothing more.
-    cut(own_fleet, "router-0", passes=False)
-    marked = []
-
-    def mark(_):
-        upstream = own_fleet.nodes["ledger-0"].upstream
-        if not marked and fleet_module.call(upstream, "/test/runs"):
-            own_fleet.nodes["ledger-0"].state = "leaving"
-            fleet_module.publish_vms(own_fleet)
-            marked.append(runs_module.read_clock())
-
-    routers = whole_path.list_routers(own_fleet)
+def test_leaving_upstream_gets_no_new_requests_after_three_seconds(
+    isolated_fleet,
+):
+    # An operator marks an upstream as leaving and removes the VM a few seconds
+    # later. One router gets no control messages and polls the platform so
+    # rarely that it may still have the old VM list. The sidecar knows the new
+    # list and must not claim requests that such a router announces.
+    set_control_link(isolated_fleet, "router-0", passes=False)
+    marked_at = []
+
+    def mark_leaving(_):
+        upstream = isolated_fleet.nodes["ledger-0"].upstream
+        if not marked_at and fleet_module.call(upstream, "/test/runs"):
+            isolated_fleet.nodes["ledger-0"].state = "leaving"
+            fleet_module.publish_vms(isolated_fleet)
+            marked_at.append(runs_module.read_clock())
+
+    routers = whole_path.list_router_ports(isolated_fleet)
     plans = plan_orders(routers, LEAVING_LIMIT + SLOW_START + 1.5)
-    answers = asyncio.run(load.send_all(plans, on_answer=mark))
+    results = asyncio.run(load.send_all(plans, on_result=mark_leaving))
     leaving, other = (
-        fleet_module.call(own_fleet.nodes[name].upstream, "/test/runs")
+        fleet_module.call(isolated_fleet.nodes[name].upstream, "/test/runs")
         for name in ("ledger-0", "ledger-1")
     )
-    until = marked[0] + LEAVING_LIMIT
-    assert max(run["arrived"] for run in leaving) < until
-    assert max(run["arrived"] for run in other) > until
-    served = [answer for answer in answers if answer.plan.router != routers[0]]
-    wrong = [answer for answer in served if not answer.right]
-    assert [(a.plan.request, a.kind, a.ran) for a in wrong] == []
-    assert not [answer for answer in answers if answer.ran == "unknown"]
+    limit = marked_at[0] + LEAVING_LIMIT
+    assert max(run["arrived"] for run in leaving) < limit
+    assert max(run["arrived"] for run in other) > limit
+    connected = [
+        result for result in results if result.plan.router_port != routers[0]
+    ]
+    failed = [result for result in connected if not result.correct]
+    assert [(r.plan.request_id, r.kind, r.ran) for r in failed] == []
+    assert not [result for result in results if result.ran == "unknown"]
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path on real processes: every caller gets its own answer."""
+"""Requests through real routers, sidecars and fake upstreams."""
 
 import asyncio
 import json
@@ -11,12 +11,12 @@
 from standins import load
 
 
-def list_routers(fleet):
+def list_router_ports(fleet):
     return [n.data for n in fleet.nodes.values() if n.role == "router"]
 
 
-def plan_mixed(routers, count):
-    """Streamed and plain requests of all teams, over both routers."""
+def plan_mixed_load(routers, count):
+    """Plans a mixed load: both services, all teams, over all routers."""
     teams = ["mill-a", "mill-b", "flood", "large"]
     plans = []
     for index in range(count):
@@ -37,17 +37,17 @@
     return plans
 
 
-def test_every_caller_gets_its_own_answer(shared_fleet):
-    plans = plan_mixed(list_routers(shared_fleet), 120)
-    answers = asyncio.run(load.send_all(plans))
-    assert [a.plan.request for a in answers if not a.right] == []
+def test_every_caller_gets_its_own_response(shared_fleet):
+    plans = plan_mixed_load(list_router_ports(shared_fleet), 120)
+    results = asyncio.run(load.send_all(plans))
+    assert [r.plan.request_id for r in results if not r.correct] == []
     runs = [
         run["request"]
         for node in shared_fleet.nodes.values()
         if node.role == "upstream"
         for run in fleet_module.call(node.upstream, "/test/runs")
     ]
-    assert sorted(runs) == sorted(plan.request for plan in plans)
+    assert sorted(runs) == sorted(plan.request_id for plan in plans)
 
 
 def post(port, path, body, headers):
@@ -57,10 +57,10 @@
         headers={"Content-Type": "application/json"} | headers,
     )
     try:
-        with urllib.request.urlopen(request, timeout=10) as answer:
-            return answer.status, json.load(answer)
-    except urllib.error.HTTPError as fault:
-        return fault.code, json.load(fault)
+        with urllib.request.urlopen(request, timeout=10) as response:
+            return response.status, json.load(response)
+    except urllib.error.HTTPError as http_error:
+        return http_error.code, json.load(http_error)
 
 
 COMPLETIONS = "/v1/chat/completions"
@@ -100,21 +100,23 @@
         ),
     ],
 )
-def test_bad_requests_are_refused_before_anything_is_queued(
+def test_invalid_requests_are_rejected_before_they_are_queued(
     shared_fleet, path, body, headers, status, kind
 ):
-    router = list_routers(shared_fleet)[0]
-    code, answer = post(router, path, body, headers)
+    router = list_router_ports(shared_fleet)[0]
+    code, response = post(router, path, body, headers)
     assert code == status
-    assert answer["error"]["kind"] == kind
-    assert answer["error"]["ran"] == "no"
+    assert response["error"]["kind"] == kind
+    assert response["error"]["ran"] == "no"
 
 
-def test_planned_stop_ends_with_status_zero_and_clean_logs(own_fleet):
-    plans = plan_mixed(list_routers(own_fleet), 20)
-    answers = asyncio.run(load.send_all(plans))
-    assert [answer for answer in answers if not answer.right] == []
-    statuses = fleet_module.stop_fleet(own_fleet)
+def test_graceful_stop_exits_with_status_zero_and_without_logged_errors(
+    isolated_fleet,
+):
+    plans = plan_mixed_load(list_router_ports(isolated_fleet), 20)
+    results = asyncio.run(load.send_all(plans))
+    assert [result for result in results if not result.correct] == []
+    statuses = fleet_module.stop_fleet(isolated_fleet)
     assert set(statuses.values()) == {0}
-    logs = [path.read_text() for path in own_fleet.folder.glob("*.log")]
+    logs = [path.read_text() for path in isolated_fleet.folder.glob("*.log")]
     assert not any("Traceback" in log or "Error" in log for log in logs)
