--- a/conftest.py
+++ b/conftest.py
@@ -1,8 +1,8 @@
-"""Settings of all tests: fixed seeds, and the tests known to fail.
+"""pytest settings of all tests: fixed seeds, and tests that are known to fail.
 
-`KNOWN-RED.txt` lists at most three tests that fail for a real fault, a line
-each: test, cause, issue, separated by ` | `. They run, are passed over if
-they fail, and are printed at the end of each run.
+`KNOWN-RED.txt` lists at most three tests that fail because of a known fault,
+one per line: test, cause and issue, separated by ` | `. These tests run, their
+failures are expected (xfail), and they are printed at the end of each run.
 """
 
 import pathlib
@@ -11,7 +11,7 @@
 import pytest
 
 KNOWN_RED = pathlib.Path(__file__).parent / "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3
+MAX_KNOWN_RED = 3
 
 hypothesis.settings.register_profile(
     "fixed", derandomize=True, deadline=None, database=None
@@ -20,16 +20,20 @@
 
 
 def read_known_red() -> dict[str, str]:
-    """Reads the tests known to fail, with their causes.
+    """Reads `KNOWN-RED.txt`.
+
+    Returns:
+        Cause and issue by test id.
 
     Raises:
-        pytest.UsageError: There are too many, or a line is not of the form.
+        pytest.UsageError: The file lists too many tests, or a line doesn't
+            have three parts.
     """
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line]
     parts = [[part.strip() for part in line.split(" | ")] for line in lines]
-    if len(parts) > MOST_KNOWN_RED or any(len(part) != 3 for part in parts):
+    if len(parts) > MAX_KNOWN_RED or any(len(part) != 3 for part in parts):
         raise pytest.UsageError(
             "KNOWN-RED.txt: at most three lines `test | cause | issue`"
         )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -19,7 +19,7 @@
 
 
 def start_small_fleet(folder, platform_settings="") -> fleet_module.Fleet:
-    """Starts two routers, two engines and two ledgers."""
+    """Starts a fleet of two routers, two engines and two ledgers."""
     return fleet_module.start_fleet(
         folder,
         fleet_module.write_text(TEAMS, SERVICES),
@@ -36,7 +36,7 @@
 
 @pytest.fixture(scope="module")
 def shared_fleet(tmp_path_factory):
-    """A fleet for tests that leave it as they found it."""
+    """A fleet shared by the tests of a module, which must not change it."""
     fleet = start_small_fleet(tmp_path_factory.mktemp("fleet"))
     yield fleet
     fleet_module.kill_fleet(fleet)
@@ -44,7 +44,7 @@
 
 @pytest.fixture
 def isolated_fleet(tmp_path):
-    """A fleet for a test that breaks it."""
+    """A fleet for one test, which may stop or change its processes."""
     fleet = start_small_fleet(tmp_path)
     yield fleet
     fleet_module.kill_fleet(fleet)
--- a/tests/reference.py
+++ b/tests/reference.py
@@ -1,7 +1,7 @@
-"""Tables of docs/reference/ that follow from the code.
+"""Generates the tables of docs/reference/ from the code.
 
-`make reference` writes them into the pages, between markers; a test fails if
-a page differs from the code.
+`make reference` writes them into the pages, between markers. A test fails if
+a page doesn't match the code.
 """
 
 import argparse
@@ -48,32 +48,35 @@
 
 
 def build_tables() -> dict[str, dict[str, str]]:
-    """Builds all tables, by page and name."""
+    """Builds all tables, by page and table name."""
     return {
         "settings.md": {
-            name: write_struct(struct)
+            name: format_struct_table(struct)
             for name, struct in SETTINGS_SECTIONS.items()
         },
         "configuration.md": {
-            name: write_struct(struct, hidden=("name",))
+            name: format_struct_table(struct, hidden=("name",))
             for name, struct in TEXT_SECTIONS.items()
         },
-        "errors.md": {"kinds": write_errors()},
+        "errors.md": {"kinds": format_error_table()},
         "interface.md": {
-            "headers": write_headers(),
-            **{part.__name__: write_fields(part) for part in STATUS_PARTS},
+            "headers": format_header_table(),
+            **{
+                part.__name__: format_attribute_table(part)
+                for part in STATUS_PARTS
+            },
         },
-        "command.md": write_commands(),
+        "command.md": format_commands(),
     }
 
 
-def write_rows(head: tuple[str, ...], rows) -> str:
+def format_table(head: tuple[str, ...], rows) -> str:
     lines = [head, tuple("---" for _ in head), *rows]
     return "\n".join(f"| {' | '.join(line)} |" for line in lines)
 
 
-def read_attributes(struct: type) -> dict[str, str]:
-    """Reads what a class's docstring says of its attributes."""
+def parse_attributes(struct: type) -> dict[str, str]:
+    """Parses the `Attributes:` section of a class's docstring."""
     doc = inspect.getdoc(struct) or ""
     _, _, block = doc.partition("Attributes:\n")
     entries = re.findall(
@@ -82,20 +85,20 @@
     return {name: " ".join(text.split()) for name, text in entries}
 
 
-def describe_type(kind: object) -> str:
+def format_type(kind: object) -> str:
     if typing.get_origin(kind) is typing.Annotated:
         kind, *bounds = typing.get_args(kind)
-        texts = [describe_bound(bound) for bound in bounds]
-        return " ".join([describe_type(kind), *texts]).strip()
+        texts = [format_bound(bound) for bound in bounds]
+        return " ".join([format_type(kind), *texts]).strip()
     if typing.get_origin(kind) is typing.Literal:
         return " or ".join(f"`{value}`" for value in typing.get_args(kind))
     if isinstance(kind, types.UnionType):
         parts = [p for p in typing.get_args(kind) if p is not types.NoneType]
-        return " or ".join(map(describe_type, parts))
+        return " or ".join(map(format_type, parts))
     if isinstance(kind, type) and issubclass(kind, configuration.ServiceKind):
         return " or ".join(f"`{member.value}`" for member in kind)
     if typing.get_origin(kind) is tuple:
-        return "list, by commas"
+        return "comma-separated list"
     names = {
         str: "text",
         int: "whole number",
@@ -106,7 +109,7 @@
     return names[kind]
 
 
-def describe_bound(bound: msgspec.Meta) -> str:
+def format_bound(bound: msgspec.Meta) -> str:
     if bound.gt is not None:
         return f"above {bound.gt}"
     if bound.ge is not None:
@@ -114,7 +117,7 @@
     return "of letters, digits, `.`, `_`, `-`"
 
 
-def describe_default(field: msgspec.structs.FieldInfo) -> str:
+def format_default(field: msgspec.structs.FieldInfo) -> str:
     if field.required:
         return "required"
     value = field.default
@@ -123,29 +126,29 @@
     return "none" if value in (None, "", ()) else f"`{value}`"
 
 
-def write_struct(struct: type, hidden: tuple[str, ...] = ()) -> str:
-    texts = read_attributes(struct)
+def format_struct_table(struct: type, hidden: tuple[str, ...] = ()) -> str:
+    texts = parse_attributes(struct)
     hints = typing.get_type_hints(struct, include_extras=True)
     rows = [
         (
             f"`{field.name}`",
-            describe_type(hints[field.name]),
-            describe_default(field),
+            format_type(hints[field.name]),
+            format_default(field),
             texts[field.name],
         )
         for field in msgspec.structs.fields(struct)
         if field.name not in hidden
     ]
-    return write_rows(("key", "value", "default", "meaning"), rows)
+    return format_table(("key", "value", "default", "meaning"), rows)
 
 
-def write_fields(struct: type) -> str:
-    texts = read_attributes(struct)
+def format_attribute_table(struct: type) -> str:
+    texts = parse_attributes(struct)
     rows = [(f"`{name}`", text) for name, text in texts.items()]
-    return write_rows(("field", "meaning"), rows)
+    return format_table(("field", "meaning"), rows)
 
 
-def write_errors() -> str:
+def format_error_table() -> str:
     rows = [
         (
             f"`{kind.value}`",
@@ -157,10 +160,10 @@
         for kind, answer in errors.ANSWERS.items()
     ]
     head = ("kind", "status", "ran", "Retry-After", "meaning")
-    return write_rows(head, rows)
+    return format_table(head, rows)
 
 
-def write_headers() -> str:
+def format_header_table() -> str:
     rows = [
         (f"`{name}`", value, meaning)
         for name, value, meaning in (
@@ -168,51 +171,54 @@
             (
                 request_parsing.TIMEOUT_HEADER,
                 "seconds, above 0",
-                "How long the caller waits, from arrival. "
-                "Default and most: `[limits]` of the router's settings.",
+                "Time limit, counted from the request's arrival. "
+                "Default and maximum: `[limits]` of the router's settings.",
             ),
             (
                 request_parsing.IDEMPOTENT_HEADER,
                 "`true` or `false`",
-                "Whether the request may be run again. Default: the service's "
-                "`idempotent`; else yes at engines, and by method at plain "
-                "services.",
+                "Whether the request may be run more than once. Default: the "
+                "service's `idempotent`; else yes at engines, and by method at "
+                "plain services.",
             ),
             (
                 request_parsing.COST_HEADER,
                 "a number, not below 0",
-                "The caller's estimate, in cost units.",
+                "The caller's estimate of the cost, in cost units.",
             ),
             (
                 request_parsing.REQUEST_ID_HEADER,
                 "ASCII text",
-                "The caller's name for the request; passed on, and in the "
-                "logs of router and sidecar.",
+                "The caller's identifier of the request; forwarded to the "
+                "upstream, and in the logs of router and sidecar.",
             ),
             (
                 parent_tokens.PARENT_HEADER,
                 "as received",
-                "For upstreams: sent back with the calls that they make on "
-                "behalf of a request, which are accounted to its team and "
-                "end with its time.",
+                "For upstreams: to be sent with the calls that they make on "
+                "behalf of a request. These calls are accounted to the team "
+                "of the request and share its deadline.",
             ),
         )
     ]
-    return write_rows(("header", "value", "meaning"), rows)
+    return format_table(("header", "value", "meaning"), rows)
 
 
-def write_commands() -> dict[str, str]:
+def format_commands() -> dict[str, str]:
     parser = command._create_parser()
     (commands,) = (
         action
         for action in parser._actions
         if isinstance(action, argparse._SubParsersAction)
     )
-    helps = {"sycamorefall": parser, **commands.choices}
-    return {name: write_help(one) for name, one in helps.items()}
+    parsers = {"sycamorefall": parser, **commands.choices}
+    return {
+        name: format_help(command_parser)
+        for name, command_parser in parsers.items()
+    }
 
 
-def write_help(parser: argparse.ArgumentParser) -> str:
+def format_help(parser: argparse.ArgumentParser) -> str:
     parser.formatter_class = lambda prog: argparse.RawDescriptionHelpFormatter(
         prog, width=80
     )
@@ -220,7 +226,15 @@
 
 
 def replace_tables(text: str, tables: dict[str, str]) -> str:
-    """Puts tables between their markers on a page."""
+    """Replaces the tables between the markers of a page.
+
+    Args:
+        text: Text of the page.
+        tables: New tables by name.
+
+    Raises:
+        ValueError: The page lacks the markers of a table.
+    """
     for name, table in tables.items():
         begin, end = f"<!-- table: {name} -->", "<!-- end -->"
         before, found, rest = text.partition(begin)
@@ -232,7 +246,7 @@
 
 
 def main() -> None:
-    """Writes the tables into the pages."""
+    """Updates the tables of all pages."""
     for page, tables in build_tables().items():
         path = PAGES / page
         path.write_text(replace_tables(path.read_text(), tables))
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -1,4 +1,4 @@
-"""The command line: what operators type, and what they are told."""
+"""Arguments, output and exit status of the `sycamorefall` command."""
 
 import pathlib
 import socket
@@ -52,11 +52,11 @@
         ("no section\n", "line 1"),
     ],
 )
-def test_check_names_line_and_reason(tmp_path, capsys, text, expected):
+def test_check_reports_line_and_reason(tmp_path, capsys, text, expected):
     assert command.main(["check", write_file(tmp_path, text)]) == 2
-    printed = capsys.readouterr().err
-    assert expected in printed
-    assert printed.count("\n") == 1
+    output = capsys.readouterr().err
+    assert expected in output
+    assert output.count("\n") == 1
 
 
 @pytest.mark.parametrize(
@@ -67,23 +67,23 @@
         ("[odd]\n", "odd"),
     ],
 )
-def test_router_refuses_bad_settings(tmp_path, capsys, extra, expected):
+def test_router_rejects_invalid_settings(tmp_path, capsys, extra, expected):
     path, _ = write_settings(tmp_path, extra)
     assert command.main(["router", path]) == 2
-    printed = capsys.readouterr().err
-    assert expected in printed
-    assert printed.count("\n") == 1
+    output = capsys.readouterr().err
+    assert expected in output
+    assert output.count("\n") == 1
 
 
-def test_router_refuses_address_in_use(tmp_path, capsys):
+def test_router_rejects_an_address_in_use(tmp_path, capsys):
     path, data = write_settings(tmp_path)
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", data))
-        taken.listen()
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", data))
+        listener.listen()
         assert command.main(["router", path]) == 2
-    printed = capsys.readouterr().err
-    assert "Address already in use" in printed
-    assert printed.count("\n") == 1
+    output = capsys.readouterr().err
+    assert "Address already in use" in output
+    assert output.count("\n") == 1
 
 
 @pytest.mark.parametrize(
@@ -105,33 +105,31 @@
         (("[platform]", "[upstream]\nservice = a\n[platform]"), "address"),
     ],
 )
-def test_check_names_what_is_wrong_in_settings(
-    tmp_path, capsys, change, expected
-):
+def test_check_reports_errors_in_settings(tmp_path, capsys, change, expected):
     text = SETTINGS.format(data=7400, control=7401, platform=7500)
     changed = text.replace(*change)
     assert changed != text
     assert command.main(["check", write_file(tmp_path, changed)]) == 2
-    printed = capsys.readouterr().err
-    assert expected in printed
-    assert printed.count("\n") == 1
+    output = capsys.readouterr().err
+    assert expected in output
+    assert output.count("\n") == 1
 
 
-def test_check_refuses_addresses_that_collide(tmp_path, capsys):
+def test_check_rejects_duplicate_addresses(tmp_path, capsys):
     text = SETTINGS.format(data=7400, control=7400, platform=7500)
     assert command.main(["check", write_file(tmp_path, text)]) == 2
     assert "are both 127.0.0.1:7400" in capsys.readouterr().err
 
 
 @pytest.mark.parametrize("data", [b"\xff\xfe[vm]", b"[service \x00]\nkind"])
-def test_check_survives_bytes_that_are_no_text(tmp_path, capsys, data):
+def test_check_rejects_bytes_that_are_not_text(tmp_path, capsys, data):
     path = tmp_path / "file.ini"
     path.write_bytes(data)
     assert command.main(["check", str(path)]) == 2
     assert capsys.readouterr().err.count("\n") == 1
 
 
-def test_check_warns_of_a_text_that_serves_nothing(tmp_path, capsys):
+def test_check_warns_of_a_text_without_services(tmp_path, capsys):
     assert command.main(["check", write_file(tmp_path, "")]) == 0
     assert "every request is refused" in capsys.readouterr().out
 
@@ -147,28 +145,28 @@
     assert "valid" in capsys.readouterr().out
 
 
-def test_examples_are_there():
+def test_all_examples_are_found():
     assert len(EXAMPLES) == 7
 
 
 @pytest.mark.parametrize(
     "name", ["router", "sidecar", "check", "status", "report"]
 )
-def test_each_command_explains_itself(name, capsys):
-    with pytest.raises(SystemExit) as stop:
+def test_each_command_has_help(name, capsys):
+    with pytest.raises(SystemExit) as exit_info:
         command.main([name, "--help"])
-    assert stop.value.code == 0
+    assert exit_info.value.code == 0
     assert len(capsys.readouterr().out.splitlines()) > 10
 
 
-def test_report_refuses_what_is_no_status(tmp_path, capsys):
+def test_report_rejects_a_file_without_statuses(tmp_path, capsys):
     path = write_file(tmp_path, '{"role": "router"}\n')
     page = str(tmp_path / "page.html")
     assert command.main(["report", path, "-o", page]) == 2
     assert "line 1: not a status" in capsys.readouterr().err
 
 
-def test_status_of_nobody_is_one_clear_line(capsys):
+def test_status_of_an_unreachable_process_is_one_line(capsys):
     port = fleet_module.reserve_ports(1)[0]
     assert command.main(["status", f"127.0.0.1:{port}"]) == 2
     assert capsys.readouterr().err.count("\n") == 1
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,7 @@
-"""Spreading of text and list on real processes, with a failing platform."""
+"""Replication of configuration text and VM list, on real processes.
+
+The platform fails or publishes old or conflicting values.
+"""
 
 import contextlib
 import urllib.error
@@ -8,25 +11,25 @@
 from standins import fleet as fleet_module
 from tests import conftest
 
-CHANGED = {**conftest.TEAMS, "large": 3.0}
-AGAIN = {**conftest.TEAMS, "large": 4.0}
+CHANGED_TEAMS = {**conftest.TEAMS, "large": 3.0}
+RECHANGED_TEAMS = {**conftest.TEAMS, "large": 4.0}
 
-STAND_ALONE = 60.0
-"""Seconds between polls: longer than any of these tests waits."""
+POLL_INTERVAL = 60.0
+"""Seconds between two polls, longer than any of these tests waits."""
 
 
 @pytest.fixture(scope="module")
-def spread_fleet(tmp_path_factory):
-    """A fleet in which one process watches and the others hardly poll."""
+def single_watcher_fleet(tmp_path_factory):
+    """A fleet in which one process watches and the others rarely poll."""
     fleet = conftest.start_small_fleet(
         tmp_path_factory.mktemp("fleet"),
-        platform_settings=f"watchers = 1\npoll_interval = {STAND_ALONE}",
+        platform_settings=f"watchers = 1\npoll_interval = {POLL_INTERVAL}",
     )
     yield fleet
     fleet_module.kill_fleet(fleet)
 
 
-def write_text(teams):
+def build_text(teams):
     return fleet_module.write_text(teams, conftest.SERVICES)
 
 
@@ -46,16 +49,16 @@
     return {read_replication(fleet, name)["digest"] for name in fleet.nodes}
 
 
-def wait_everywhere(fleet, what, check):
+def wait_for_all(fleet, what, check):
     for name in fleet.nodes:
         fleet_module.wait_until(
             lambda n=name: check(read_status(fleet, n)), f"{what} at {name}"
         )
 
 
-def wait_revision(fleet):
+def wait_for_revision(fleet):
     revision = fleet.revision
-    wait_everywhere(
+    wait_for_all(
         fleet,
         f"revision {revision}",
         lambda status: status["revision"] >= revision,
@@ -79,137 +82,162 @@
     fleet_module.call(fleet.platform, "/test/fault", {"fault": fault})
 
 
-def publish_as(fleet, revision, teams):
-    body = {"revision": revision, "text": write_text(teams)}
+def publish_with_revision(fleet, revision, teams):
+    body = {"revision": revision, "text": build_text(teams)}
     fleet_module.call(fleet.platform, "/test/config", body)
 
 
-def test_change_is_in_force_everywhere_and_read_from_the_platform_once(
-    spread_fleet,
+def test_change_reaches_all_processes_with_one_read_of_the_platform(
+    single_watcher_fleet,
 ):
-    # Operators change a weight in a large fleet. If each process read it
-    # from the platform, every change would cost as many reads as there are
-    # processes, and the platform's limit would be the fleet's.
-    before = fleet_module.call(spread_fleet.platform, "/test/reads")["values"]
-    fleet_module.publish_text(spread_fleet, write_text(CHANGED))
-    wait_revision(spread_fleet)
-    after = fleet_module.call(spread_fleet.platform, "/test/reads")["values"]
-    # One watch answers; a turn to watch that falls into the test adds two.
+    # Guards against a fleet size that is bounded by the platform's capacity:
+    # if each process read a changed text from the platform, every change would
+    # cost as many reads as there are processes.
+    before = fleet_module.call(single_watcher_fleet.platform, "/test/reads")[
+        "values"
+    ]
+    fleet_module.publish_text(single_watcher_fleet, build_text(CHANGED_TEAMS))
+    wait_for_revision(single_watcher_fleet)
+    after = fleet_module.call(single_watcher_fleet.platform, "/test/reads")[
+        "values"
+    ]
+    # One watch returns the text. A change of the watching process during the
+    # test adds up to two reads.
     assert 1 <= after - before <= 3
     watching = [
         name
-        for name in spread_fleet.nodes
-        if read_replication(spread_fleet, name)["watching"]
+        for name in single_watcher_fleet.nodes
+        if read_replication(single_watcher_fleet, name)["watching"]
     ]
     assert len(watching) <= 2
 
 
-def test_list_reaches_all_by_the_peers(spread_fleet):
-    fleet_module.publish_vms(spread_fleet)
-    revision = spread_fleet.vms_revision
-    wait_everywhere(
-        spread_fleet,
-        "the list",
+def test_vm_list_reaches_all_processes_through_peers(single_watcher_fleet):
+    fleet_module.publish_vms(single_watcher_fleet)
+    revision = single_watcher_fleet.vms_revision
+    wait_for_all(
+        single_watcher_fleet,
+        "the VM list",
         lambda status: status["vms_revision"] == revision,
     )
 
 
-def test_bad_text_is_refused_everywhere_alike_and_a_good_one_follows(
-    spread_fleet,
+def test_invalid_text_is_refused_by_all_processes_and_a_valid_one_adopted(
+    single_watcher_fleet,
 ):
-    # An operator saves a text with a typing error. Each process must name
-    # the same line and keep on serving by the text before it; the corrected
-    # text then takes its place.
-    held = spread_fleet.revision
-    fleet_module.publish_text(spread_fleet, "[service a]\nkind = odd\n")
-    wait_everywhere(
-        spread_fleet, "refusal", lambda status: "line 2" in status["refusal"]
+    # An operator publishes a text with a typing error. All processes must
+    # report the same line and keep the previous text in force, and then adopt
+    # the corrected text.
+    current = single_watcher_fleet.revision
+    fleet_module.publish_text(single_watcher_fleet, "[service a]\nkind = odd\n")
+    wait_for_all(
+        single_watcher_fleet,
+        "refusal",
+        lambda status: "line 2" in status["refusal"],
     )
-    statuses = [read_status(spread_fleet, n) for n in spread_fleet.nodes]
-    assert {status["revision"] for status in statuses} == {held}
+    statuses = [
+        read_status(single_watcher_fleet, n) for n in single_watcher_fleet.nodes
+    ]
+    assert {status["revision"] for status in statuses} == {current}
     assert len({status["refusal"] for status in statuses}) == 1
-    fleet_module.publish_text(spread_fleet, write_text(AGAIN))
-    wait_revision(spread_fleet)
-    wait_everywhere(
-        spread_fleet, "no refusal", lambda status: not status["refusal"]
+    fleet_module.publish_text(single_watcher_fleet, build_text(RECHANGED_TEAMS))
+    wait_for_revision(single_watcher_fleet)
+    wait_for_all(
+        single_watcher_fleet, "no refusal", lambda status: not status["refusal"]
     )
 
 
-def test_restart_under_a_stale_platform_does_not_bring_the_old_text_back(
-    spread_fleet,
+def test_restart_with_a_stale_platform_does_not_restore_the_old_text(
+    single_watcher_fleet,
 ):
-    # The platform is restored from a backup and shows an old text. A router
-    # that restarts just then has no memory: the old text looks new to it,
-    # and its callers would be served by weights replaced long ago.
-    held = spread_fleet.revision
-    publish_as(spread_fleet, 1, conftest.TEAMS)
-    restart(spread_fleet, "router-0")
-    fleet_module.wait_until(lambda: is_ready(spread_fleet, "router-0"), "ready")
-    assert read_status(spread_fleet, "router-0")["revision"] == held
+    # The platform is restored from a backup and publishes an old text. A
+    # router that restarts then has no stored revision to compare with, and
+    # would apply the old weights if it did not ask its peers.
+    current = single_watcher_fleet.revision
+    publish_with_revision(single_watcher_fleet, 1, conftest.TEAMS)
+    restart(single_watcher_fleet, "router-0")
+    fleet_module.wait_until(
+        lambda: is_ready(single_watcher_fleet, "router-0"), "ready"
+    )
+    assert read_status(single_watcher_fleet, "router-0")["revision"] == current
     fleet_module.wait_until(
         lambda: (
-            "lower" in str(read_replication(spread_fleet, "router-0")["alarms"])
+            "lower"
+            in str(read_replication(single_watcher_fleet, "router-0")["alarms"])
         ),
         "the alarm",
     )
-    publish_as(spread_fleet, held, AGAIN)
+    publish_with_revision(single_watcher_fleet, current, RECHANGED_TEAMS)
 
 
 @pytest.mark.parametrize("fault", ["down", "overloaded", "garbage", "slow"])
-def test_restart_under_a_failing_platform_takes_the_peers_documents(
-    spread_fleet, fault
+def test_restart_with_a_failing_platform_uses_the_documents_of_peers(
+    single_watcher_fleet, fault
 ):
-    # The platform fails, in one way or another, and a router is replaced
-    # meanwhile. Its settings name a peer, which knows text and list.
-    node = spread_fleet.nodes["router-1"]
-    node.peers = (f"127.0.0.1:{spread_fleet.nodes['ledger-0'].data}",)
-    set_fault(spread_fleet, fault)
-    restart(spread_fleet, "router-1")
-    fleet_module.wait_until(lambda: is_ready(spread_fleet, "router-1"), "ready")
-    status = read_status(spread_fleet, "router-1")
-    assert status["revision"] == spread_fleet.revision
-    assert status["vms_revision"] == spread_fleet.vms_revision
-    set_fault(spread_fleet, "")
-
-
-def test_restart_cut_off_from_all_is_not_ready(spread_fleet):
-    # Neither platform nor peers answer a router that has just started. Were
-    # it to say ready, callers would be sent to a router that knows nothing.
-    node = spread_fleet.nodes["router-1"]
+    # A router restarts while the platform fails. Its settings name a peer,
+    # from which it gets the configuration text and the VM list.
+    node = single_watcher_fleet.nodes["router-1"]
+    node.peers = (f"127.0.0.1:{single_watcher_fleet.nodes['ledger-0'].data}",)
+    set_fault(single_watcher_fleet, fault)
+    restart(single_watcher_fleet, "router-1")
+    fleet_module.wait_until(
+        lambda: is_ready(single_watcher_fleet, "router-1"), "ready"
+    )
+    status = read_status(single_watcher_fleet, "router-1")
+    assert status["revision"] == single_watcher_fleet.revision
+    assert status["vms_revision"] == single_watcher_fleet.vms_revision
+    set_fault(single_watcher_fleet, "")
+
+
+def test_restart_without_platform_and_peers_is_not_ready(single_watcher_fleet):
+    # Neither the platform nor a peer responds to a router that has just
+    # started. If it reported ready, callers would be sent to a router without
+    # a configuration.
+    node = single_watcher_fleet.nodes["router-1"]
     node.peers = ()
-    set_fault(spread_fleet, "down")
-    restart(spread_fleet, "router-1")
+    set_fault(single_watcher_fleet, "down")
+    restart(single_watcher_fleet, "router-1")
     fleet_module.wait_until(
         lambda: (
-            read_status(spread_fleet, "router-1")["platform"]["failures"] > 2
+            read_status(single_watcher_fleet, "router-1")["platform"][
+                "failures"
+            ]
+            > 2
         ),
         "failed reads",
     )
-    assert not is_ready(spread_fleet, "router-1")
-    assert not read_replication(spread_fleet, "router-1")["settled"]
-    set_fault(spread_fleet, "")
-    fleet_module.wait_until(lambda: is_ready(spread_fleet, "router-1"), "ready")
+    assert not is_ready(single_watcher_fleet, "router-1")
+    assert not read_replication(single_watcher_fleet, "router-1")["settled"]
+    set_fault(single_watcher_fleet, "")
+    fleet_module.wait_until(
+        lambda: is_ready(single_watcher_fleet, "router-1"), "ready"
+    )
 
 
-def test_two_texts_under_one_revision_become_one_and_are_shown(spread_fleet):
-    # Two operators publish at once and the platform, split, shows each half
-    # of its readers another text under the same number. Without a rule that
-    # all share, the teams' weights would differ from router to router.
-    fleet = spread_fleet
+def test_conflicting_texts_of_one_revision_converge_and_are_reported(
+    single_watcher_fleet,
+):
+    # Two operators publish at once during a split brain of the platform, which
+    # publishes two texts under the same revision. Without a common rule, the
+    # teams' weights would differ between routers.
+    fleet = single_watcher_fleet
     port = fleet_module.start_platform(fleet, "other-platform")
     body = {"revision": fleet.vms_revision, "vms": fleet_module.list_vms(fleet)}
     fleet_module.call(port, "/test/vms", body)
     fleet.nodes["ledger-1"].platform = port
     restart(fleet, "ledger-1")
-    other = {"revision": fleet.revision + 1, "text": write_text(CHANGED)}
-    fleet_module.call(port, "/test/config", other)
-    fleet_module.publish_text(fleet, write_text(conftest.TEAMS))
-    # Both texts are read in any case: each platform has a watcher or a
-    # process that starts and so reads it.
+    conflicting = {
+        "revision": fleet.revision + 1,
+        "text": build_text(CHANGED_TEAMS),
+    }
+    fleet_module.call(port, "/test/config", conflicting)
+    fleet_module.publish_text(fleet, build_text(conftest.TEAMS))
+    # The restarts guarantee that both texts are read: a process reads its
+    # platform when it starts.
     for name in ("ledger-1", "router-0"):
         restart(fleet, name)
-    wait_revision(fleet)
-    wait_everywhere(
+    wait_for_revision(fleet)
+    wait_for_all(
         fleet,
         "conflict",
         lambda status: "two texts" in status["replication"]["conflict"],
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -37,12 +37,15 @@
     fleet_module.kill_fleet(started)
 
 
-def order(fleet, number, **fields):
-    """Books an order at the desk through the first router."""
+def send_order(fleet, order_id, **fields):
+    """Sends an order for `desk` to the first router.
+
+    The upstream of `desk` forwards the order through the second router.
+    """
     first, second = (
         node.data for node in fleet.nodes.values() if node.role == "router"
     )
-    body = {"id": number, "team": "mill-a", "router": second} | fields
+    body = {"id": order_id, "team": "mill-a", "router": second} | fields
     request = urllib.request.Request(
         f"http://127.0.0.1:{first}/v1/services/desk/orders",
         data=json.dumps(body).encode(),
@@ -52,30 +55,32 @@
             "Sycamorefall-Timeout": "20",
         },
     )
-    with urllib.request.urlopen(request, timeout=30) as answer:
-        return json.load(answer)
+    with urllib.request.urlopen(request, timeout=30) as response:
+        return json.load(response)
 
 
-def find_served(fleet):
+def read_served_by_team(fleet):
     status = fleet_module.call(fleet.nodes["ledger-0"].data, "/status")
     return {entry["team"]: entry["served"] for entry in status["teams"]}
 
 
-def test_call_through_another_router_counts_for_the_team_that_caused_it(fleet):
-    found = order(fleet, "order-1", service="ledger", work_ms=20)
-    assert found["status"] == 200
-    assert found["answer"] == {"id": "order-1", "state": "confirmed"}
-    served = fleet_module.wait_until(lambda: find_served(fleet), "accounts")
+def test_call_through_another_router_is_accounted_to_the_callers_team(fleet):
+    response = send_order(fleet, "order-1", service="ledger", work_ms=20)
+    assert response["status"] == 200
+    assert response["answer"] == {"id": "order-1", "state": "confirmed"}
+    served = fleet_module.wait_until(
+        lambda: read_served_by_team(fleet), "accounts"
+    )
     assert served["mill-a"] >= 20
     assert served.get("mill-b", 0.0) == 0.0
 
 
-def test_call_that_the_text_does_not_declare_is_refused(fleet):
-    found = order(fleet, "order-2", service="desk")
-    assert found["status"] == 403
-    assert found["answer"]["error"]["kind"] == "undeclared_dependency"
+def test_call_to_an_undeclared_dependency_is_rejected(fleet):
+    response = send_order(fleet, "order-2", service="desk")
+    assert response["status"] == 403
+    assert response["answer"]["error"]["kind"] == "undeclared_dependency"
 
 
-def test_call_without_the_token_is_a_strangers(fleet):
-    found = order(fleet, "order-3", service="ledger", with_token=False)
-    assert found["status"] == 401
+def test_call_without_the_parent_token_is_rejected(fleet):
+    response = send_order(fleet, "order-3", service="ledger", with_token=False)
+    assert response["status"] == 401
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,11 +1,11 @@
-"""The list of tests known to fail is short and well formed."""
+"""Reading of `KNOWN-RED.txt`, the list of tests that are known to fail."""
 
 import pytest
 
 import conftest
 
 
-def test_more_than_three_known_failures_are_refused(tmp_path, monkeypatch):
+def test_more_than_three_known_failures_are_an_error(tmp_path, monkeypatch):
     path = tmp_path / "KNOWN-RED.txt"
     path.write_text("a | b | 1\n" * 4)
     monkeypatch.setattr(conftest, "KNOWN_RED", path)
--- a/tests/test_observation.py
+++ b/tests/test_observation.py
@@ -1,4 +1,4 @@
-"""What operators see of running processes."""
+"""Logs, status, metrics and reports of running processes."""
 
 import fcntl
 import http.client
@@ -19,12 +19,12 @@
 BODY = "a body that nobody may read in a log"
 
 
-def ask(node, request_id, path="/v1/chat/completions", body=None):
-    asked = {"id": request_id, "team": "mill-a", "tokens": 4, "text": BODY}
+def send_request(node, request_id, path="/v1/chat/completions", body=None):
+    content = {"id": request_id, "team": "mill-a", "tokens": 4, "text": BODY}
     body = body or {
         "model": "assistant",
         "stream": True,
-        "messages": [{"role": "user", "content": json.dumps(asked)}],
+        "messages": [{"role": "user", "content": json.dumps(content)}],
     }
     request = urllib.request.Request(
         f"http://127.0.0.1:{node.data}{path}",
@@ -35,8 +35,8 @@
             "X-Request-Id": request_id,
         },
     )
-    with urllib.request.urlopen(request, timeout=10) as answer:
-        return answer.read()
+    with urllib.request.urlopen(request, timeout=10) as response:
+        return response.read()
 
 
 def read_log(fleet, node):
@@ -45,7 +45,7 @@
 
 
 def find_record(fleet, name, **fields):
-    """Finds the first record of a process that has these fields."""
+    """Waits for a log record with these fields; returns the first one."""
 
     def check():
         records = read_log(fleet, fleet.nodes[name])
@@ -54,9 +54,9 @@
     return fleet_module.wait_until(check, f"{fields} in the log of {name}")[0]
 
 
-def test_ids_tie_the_logs_of_router_and_sidecar_together(shared_fleet):
+def test_ids_correlate_the_logs_of_router_and_sidecar(shared_fleet):
     router = shared_fleet.nodes["router-0"]
-    assert b"[DONE]" in ask(router, "inquiry-7")
+    assert b"[DONE]" in send_request(router, "inquiry-7")
     started = find_record(
         shared_fleet, "router-0", request_id="inquiry-7", team="mill-a"
     )
@@ -66,16 +66,18 @@
         task_uuid=started["task_uuid"],
         action_status="succeeded",
     )
-    handed_out = find_record(shared_fleet, "router-0", attempt=ended["attempt"])
+    attempt_record = find_record(
+        shared_fleet, "router-0", attempt=ended["attempt"]
+    )
     run = find_record(
-        shared_fleet, handed_out["sidecar"], attempt=ended["attempt"]
+        shared_fleet, attempt_record["sidecar"], attempt=ended["attempt"]
     )
     assert run["request_id"] == "inquiry-7"
     assert ended["result"] == "answered"
 
 
-def test_logs_show_neither_keys_nor_bodies(shared_fleet):
-    ask(shared_fleet.nodes["router-1"], "inquiry-8")
+def test_logs_contain_neither_keys_nor_bodies(shared_fleet):
+    send_request(shared_fleet.nodes["router-1"], "inquiry-8")
     find_record(shared_fleet, "router-1", request_id="inquiry-8")
     for node in shared_fleet.nodes.values():
         text = (shared_fleet.folder / f"{node.name}.log").read_text()
@@ -85,7 +87,7 @@
 
 def test_status_and_metrics_of_both_roles(shared_fleet):
     router = shared_fleet.nodes["router-0"]
-    ask(router, "inquiry-9")
+    send_request(router, "inquiry-9")
     for node in shared_fleet.nodes.values():
         fleet_module.wait_until(
             lambda node=node: (
@@ -109,11 +111,11 @@
             f"{node.name} to send a heartbeat",
         )
     times = fleet_module.call(router.data, "/status")["times"]
-    shown = {(t["service"], t["team"], t["time"]): t["count"] for t in times}
-    assert shown["assistant", "mill-a", "first_token"] >= 1
+    counts = {(t["service"], t["team"], t["time"]): t["count"] for t in times}
+    assert counts["assistant", "mill-a", "first_token"] >= 1
     address = f"http://127.0.0.1:{router.data}/metrics"
-    with urllib.request.urlopen(address, timeout=10) as answer:
-        text = answer.read().decode()
+    with urllib.request.urlopen(address, timeout=10) as response:
+        text = response.read().decode()
     names = {f.name for f in parser.text_string_to_metric_families(text)}
     assert {
         "sycamorefall_requests",
@@ -123,38 +125,38 @@
     } <= names
 
 
-def read_ready(node):
+def read_readiness(node):
     address = f"http://127.0.0.1:{node.data}/ready"
     try:
-        with urllib.request.urlopen(address, timeout=10) as answer:
-            return answer.status, json.load(answer)
-    except urllib.error.HTTPError as fault:
-        return fault.code, json.load(fault)
+        with urllib.request.urlopen(address, timeout=10) as response:
+            return response.status, json.load(response)
+    except urllib.error.HTTPError as http_error:
+        return http_error.code, json.load(http_error)
 
 
-def test_leaving_router_says_that_it_is_not_ready(shared_fleet):
+def test_leaving_router_reports_that_it_is_not_ready(shared_fleet):
     node = shared_fleet.nodes["router-1"]
-    assert read_ready(node) == (200, {"ready": True, "reasons": []})
+    assert read_readiness(node) == (200, {"ready": True, "reasons": []})
     node.state = "leaving"
     fleet_module.publish_vms(shared_fleet)
-    fleet_module.wait_until(lambda: read_ready(node)[0] == 503, "unready")
-    reasons = read_ready(node)[1]["reasons"]
+    fleet_module.wait_until(lambda: read_readiness(node)[0] == 503, "unready")
+    reasons = read_readiness(node)[1]["reasons"]
     assert reasons == ["this VM is marked as leaving"]
     node.state = "live"
     fleet_module.publish_vms(shared_fleet)
-    fleet_module.wait_until(lambda: read_ready(node)[0] == 200, "ready")
+    fleet_module.wait_until(lambda: read_readiness(node)[0] == 200, "ready")
 
 
-def test_snapshots_of_running_processes_become_a_report(
+def test_report_is_made_from_snapshots_of_running_processes(
     shared_fleet, tmp_path, capsys
 ):
     router, sidecar = (
         shared_fleet.nodes[name] for name in ("router-0", "assistant-0")
     )
-    ask(router, "inquiry-10")
+    send_request(router, "inquiry-10")
     addresses = [f"127.0.0.1:{node.data}" for node in (router, sidecar)]
-    repeated = ["status", "--json", "--repeat", "2", "--interval", "0"]
-    assert command.main([*repeated, *addresses]) == 0
+    arguments = ["status", "--json", "--repeat", "2", "--interval", "0"]
+    assert command.main([*arguments, *addresses]) == 0
     saved = tmp_path / "snapshots.jsonl"
     saved.write_text(capsys.readouterr().out)
     assert len(saved.read_text().splitlines()) == 4
@@ -162,14 +164,14 @@
     assert command.main(["report", str(saved), "-o", str(page)]) == 0
     assert "data:image/png;base64," in page.read_text()
     assert command.main(["status", *addresses]) == 0
-    printed = capsys.readouterr().out
-    assert "first token" in printed
-    assert "sidecar of assistant" in printed
+    output = capsys.readouterr().out
+    assert "first token" in output
+    assert "sidecar of assistant" in output
 
 
 @pytest.fixture
-def guarded_fleet(tmp_path):
-    """A fleet with a shared key and an address for operators."""
+def fleet_with_shared_key(tmp_path):
+    """A fleet whose processes have a shared key."""
     key = tmp_path / "key"
     key.write_text("s" * 40 + "\n")
     fleet = fleet_module.start_fleet(
@@ -191,33 +193,33 @@
 def post_attempt(port, headers):
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=10)
     connection.request("POST", "/v1/attempts", b"{}", headers)
-    answer = connection.getresponse()
-    answer.read()
+    response = connection.getresponse()
+    response.read()
     connection.close()
-    return answer
+    return response
 
 
-def test_nobody_without_the_key_gives_orders(guarded_fleet):
-    """A stranger who reaches a sidecar can't have it run anything.
+def test_sidecar_rejects_orders_without_a_signature(fleet_with_shared_key):
+    """A client without the shared key can't make a sidecar run a request.
 
-    It posts an order of its own making; without the check on hand-outs a
-    guessed claim would run at the upstream under any team's name.
+    It sends an order that it made up. Without the check of signatures, an
+    order with a guessed claim would run at the upstream in any team's name.
     """
-    fleet = guarded_fleet
+    fleet = fleet_with_shared_key
     router, sidecar = fleet.nodes["router-0"], fleet.nodes["ledger-0"]
     order = {"id": "order-1", "team": "mill-a"}
-    answer = ask(router, "order-1", "/v1/services/ledger/orders", order)
-    assert json.loads(answer)["state"] == "confirmed"
-    answer = post_attempt(sidecar.data, {"Sycamorefall-Order": "e30="})
-    assert answer.getheader("Sycamorefall-Outcome") == "refused"
+    body = send_request(router, "order-1", "/v1/services/ledger/orders", order)
+    assert json.loads(body)["state"] == "confirmed"
+    response = post_attempt(sidecar.data, {"Sycamorefall-Order": "e30="})
+    assert response.getheader("Sycamorefall-Outcome") == "refused"
     find_record(fleet, "ledger-0", message_type="order.unsigned")
 
 
-def test_router_answers_while_nobody_reads_its_log(isolated_fleet):
-    """The reader of a router's stderr stops; callers must not notice.
+def test_router_serves_requests_while_its_log_is_not_read(isolated_fleet):
+    """The reader of a router's stderr stops reading.
 
-    A write that waits for the reader would stop the router's only loop, and
-    with it every request and heartbeat.
+    A blocking write to the full pipe would stop the router's only event loop,
+    and with it all requests and heartbeats.
     """
     node = isolated_fleet.nodes["router-0"]
     fleet_module.stop_process(node.process)
@@ -239,14 +241,16 @@
         "the assistant's upstreams",
     )
     for number in range(30):
-        assert b"[DONE]" in ask(node, f"unread-{number}")
+        assert b"[DONE]" in send_request(node, f"unread-{number}")
     assert len(os.read(reader, 1 << 16)) <= 4096
     assert fleet_module.stop_process(node.process) == 0
     os.close(reader)
 
 
-def test_metrics_leave_the_data_address_for_the_operators(isolated_fleet):
-    """With an address of their own, operators' pages are not for callers."""
+def test_operators_address_replaces_the_status_at_the_data_address(
+    isolated_fleet,
+):
+    """With an address for operators, callers can't get the operators' pages."""
     node = isolated_fleet.nodes["router-0"]
     fleet_module.stop_process(node.process)
     operators = fleet_module.reserve_ports(1)[0]
--- a/tests/test_outcomes_whole.py
+++ b/tests/test_outcomes_whole.py
@@ -1,8 +1,8 @@
-"""Own and whole answers from upstreams that answer badly.
+"""Responses of upstreams that crash or violate the HTTP protocol.
 
-A caller takes a part of an answer for the whole, or gets the answer to
-someone else's request, because an upstream died in the middle of it, broke
-the protocol, or sent more than it had announced.
+Guards against callers that take an incomplete response for a complete one, or
+get the response to another request: the upstream crashes in the middle of a
+response, violates the protocol, or sends more bytes than it announced.
 """
 
 import contextlib
@@ -17,41 +17,48 @@
 from standins import fleet as fleet_module
 from tests import conftest
 
-LOAD = b'{"running": 0, "queued": 0}'
+LOAD_REPORT = b'{"running": 0, "queued": 0}'
 
 
 class _Handler(socketserver.StreamRequestHandler):
-    """Answers with what the test put into `server.answers`."""
+    """Sends the responses that the test has put into `server.responses`.
+
+    Each is a pair: the bytes to send, and whether to close the connection
+    after them. Load reports are answered separately.
+    """
 
     def handle(self):
         with contextlib.suppress(OSError, ValueError):
-            while self.answer():
+            while self.respond():
                 pass
 
-    def answer(self):
+    def respond(self):
         line = self.rfile.readline()
         headers = http.client.parse_headers(self.rfile)
         if not line:
             return False
         self.rfile.read(int(headers.get("Content-Length", 0)))
         if line.startswith(b"GET /v1/load"):
-            self.wfile.write(write_answer(LOAD))
+            self.wfile.write(build_response(LOAD_REPORT))
             return True
-        self.server.hand_outs += line.startswith(b"POST /v1/attempts")
-        data, closes = next(self.server.answers)
+        self.server.attempts += line.startswith(b"POST /v1/attempts")
+        data, closes = next(self.server.responses)
         self.wfile.write(data)
         return not closes
 
 
-def write_answer(body, status=200, length=None):
+def build_response(body, status=200, length=None):
     size = len(body) if length is None else length
     head = f"HTTP/1.1 {status} Status\r\nContent-Length: {size}\r\n\r\n"
     return head.encode() + body
 
 
 @pytest.fixture(scope="module")
-def served(tmp_path_factory):
-    """A fleet with one ledger, whose upstream the tests play themselves."""
+def scripted_upstream(tmp_path_factory):
+    """A fleet whose only upstream is a scripted HTTP server.
+
+    Yields the router's port and the server, whose `responses` a test sets.
+    """
     text = fleet_module.write_text(conftest.TEAMS, conftest.SERVICES)
     ledger = fleet_module.UpstreamGroup("ledger", 1, "standins.ledger", 4)
     folder = tmp_path_factory.mktemp("whole")
@@ -64,7 +71,7 @@
         ("127.0.0.1", node.upstream), _Handler
     )
     server.daemon_threads = True
-    server.hand_outs = 0
+    server.attempts = 0
     threading.Thread(target=server.serve_forever, daemon=True).start()
     server.fleet = fleet
     yield fleet.nodes["router-0"].data, server
@@ -73,8 +80,13 @@
     fleet_module.kill_fleet(fleet)
 
 
-def post(port, idempotent):
-    """Sends an order; returns status, error kind, `ran` and the body."""
+def post_order(port, idempotent):
+    """Sends an order.
+
+    Returns:
+        Status, error kind and `ran` of the router's error, and body of the
+        upstream's response; the parts that don't apply are empty.
+    """
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=30)
     headers = {
         "Authorization": "Bearer key-of-mill-a",
@@ -82,20 +94,20 @@
         "Sycamorefall-Timeout": "20",
     }
     connection.request("POST", "/v1/services/ledger/orders", b"{}", headers)
-    answer = connection.getresponse()
-    body = answer.read()
+    response = connection.getresponse()
+    body = response.read()
     connection.close()
-    if answer.status in (200, 503) and not body.startswith(b'{"error"'):
-        return answer.status, "", "", body
+    if response.status in (200, 503) and not body.startswith(b'{"error"'):
+        return response.status, "", "", body
     error = json.loads(body)["error"]
-    return answer.status, error["kind"], error["ran"], b""
+    return response.status, error["kind"], error["ran"], b""
 
 
-BROKEN = {
+BROKEN_RESPONSES = {
     "garbage": b"\x00\xff no answer at all\r\n\r\n",
     "nothing": b"",
     "half a head": b"HTTP/1.1 200 OK\r\nContent-Le",
-    "half a body": write_answer(b"half", length=100),
+    "half a body": build_response(b"half", length=100),
     "ends by closing": b"HTTP/1.1 200 OK\r\n\r\nwhole or half?",
     "half a chunk": (
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nha"
@@ -103,55 +115,57 @@
 }
 
 
-@pytest.mark.parametrize("name", BROKEN)
-def test_broken_answer_is_not_passed_on(served, name):
-    """An order's confirmation breaks: it may be booked, so it is unknown.
+@pytest.mark.parametrize("name", BROKEN_RESPONSES)
+def test_broken_response_is_not_forwarded(scripted_upstream, name):
+    """An order whose confirmation is broken may be booked: outcome unknown.
 
-    The same answer to an idempotent request is replaced by another run's.
+    An idempotent request with the same broken response is run again.
     """
-    port, server = served
-    server.answers = iter([(BROKEN[name], True)])
-    assert post(port, False) == (502, "outcome_unknown", "unknown", b"")
-    whole = (write_answer(b"whole"), False)
-    server.answers = iter([(BROKEN[name], True), whole])
-    assert post(port, True) == (200, "", "", b"whole")
+    port, server = scripted_upstream
+    server.responses = iter([(BROKEN_RESPONSES[name], True)])
+    assert post_order(port, False) == (502, "outcome_unknown", "unknown", b"")
+    complete = (build_response(b"whole"), False)
+    server.responses = iter([(BROKEN_RESPONSES[name], True), complete])
+    assert post_order(port, True) == (200, "", "", b"whole")
 
 
-def test_upstreams_own_failure_is_its_whole_answer(served):
-    """A ledger says 503 itself: that is its answer, given once."""
-    port, server = served
-    server.answers = iter([(write_answer(b"closed", status=503), False)])
-    assert post(port, False) == (503, "", "", b"closed")
+def test_503_of_an_upstream_is_forwarded(scripted_upstream):
+    """A 503 of the upstream itself is its response and isn't retried."""
+    port, server = scripted_upstream
+    server.responses = iter([(build_response(b"closed", status=503), False)])
+    assert post_order(port, False) == (503, "", "", b"closed")
 
 
-def test_bytes_beyond_an_answer_reach_no_other_caller(served):
-    """An upstream sends a second answer that nobody asked for.
+def test_extra_bytes_after_a_response_reach_no_other_caller(scripted_upstream):
+    """An upstream sends a second, unsolicited response.
 
-    On a connection that is kept, it would be taken for the answer to the
-    next caller's request.
+    If the connection were reused, that response would be taken for the one to
+    the next caller's request.
     """
-    port, server = served
-    stray = write_answer(b"first") + write_answer(b"someone else's")
-    served_after = ((write_answer(b"own"), False) for _ in itertools.count())
-    server.answers = itertools.chain([(stray, False)], served_after)
-    assert post(port, True) == (200, "", "", b"first")
-    assert post(port, True) == (200, "", "", b"own")
+    port, server = scripted_upstream
+    unsolicited = build_response(b"first") + build_response(b"someone else's")
+    later_responses = (
+        (build_response(b"own"), False) for _ in itertools.count()
+    )
+    server.responses = itertools.chain([(unsolicited, False)], later_responses)
+    assert post_order(port, True) == (200, "", "", b"first")
+    assert post_order(port, True) == (200, "", "", b"own")
 
 
-def test_answer_that_names_no_attempt_is_no_answer(served):
-    """A VM is replaced, and something else answers at its old address.
+def test_response_without_an_attempt_id_is_rejected(scripted_upstream):
+    """A VM is replaced, and another server responds at its former address.
 
-    Its "200 OK" has nothing to do with the request that it was handed.
+    Its "200 OK" must not be taken for the response to the attempt.
     """
-    port, server = served
-    own = (write_answer(b"own"), False)
-    server.answers = itertools.repeat(own)
+    port, server = scripted_upstream
+    own = (build_response(b"own"), False)
+    server.responses = itertools.repeat(own)
     server.fleet.nodes["ledger-0"].data = server.server_address[1]
     fleet_module.publish_vms(server.fleet)
 
-    def post_until_handed_out():
-        answer = post(port, True)
-        return server.hand_outs and answer
+    def post_until_attempted():
+        response = post_order(port, True)
+        return server.attempts and response
 
-    answer = fleet_module.wait_until(post_until_handed_out, "a hand-out")
-    assert answer == (502, "retries_exhausted", "unknown", b"")
+    response = fleet_module.wait_until(post_until_attempted, "an attempt")
+    assert response == (502, "retries_exhausted", "unknown", b"")
--- a/tests/test_reference.py
+++ b/tests/test_reference.py
@@ -1,4 +1,4 @@
-"""Pages under docs/ agree with the code and with each other."""
+"""Consistency of the pages below docs/ with the code, and their links."""
 
 import doctest
 import pathlib
@@ -14,28 +14,28 @@
 
 
 @pytest.mark.parametrize("page", reference.build_tables())
-def test_reference_says_what_the_code_does(page):
-    """If this fails, `make reference` brings the page up to date."""
+def test_reference_tables_match_the_code(page):
+    """If this test fails, run `make reference` to update the page."""
     text = (reference.PAGES / page).read_text()
     assert text == reference.replace_tables(
         text, reference.build_tables()[page]
     )
 
 
-def test_script_on_the_developers_page_runs():
+def test_doctests_of_the_developers_page_pass():
     path = str(ROOT / "docs" / "developers.md")
     failed, run = doctest.testfile(path, module_relative=False)
     assert run > 10
     assert not failed
 
 
-def test_every_error_kind_has_an_answer_and_a_meaning():
+def test_each_error_kind_has_a_response_and_a_meaning():
     kinds = set(errors.ErrorKind)
     assert set(errors.ANSWERS) == kinds
     assert set(errors.MEANINGS) == kinds
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda path: path.name)
-def test_links_between_pages_lead_somewhere(page):
+def test_links_between_pages_have_existing_targets(page):
     links = re.findall(r"\]\((?!https?:|#)([^)#]+)", page.read_text())
-    assert [one for one in links if not (page.parent / one).exists()] == []
+    assert [link for link in links if not (page.parent / link).exists()] == []
