--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -25,7 +25,7 @@
             teams[index % 4],
             "assistant" if index % 3 else "ledger",
             routers[index % 2],
-            at=index * 0.005,
+            send_at=index * 0.005,
         )
         if plan.service == "assistant":
             plan.tokens = 3 + index % 20
