--- a/benchmarks/tests/test_direct.py
+++ b/benchmarks/tests/test_direct.py
@@ -19,29 +19,31 @@
     upstreams,
 )
 
-SMALL = direct.Size(5, 2, 8, 12, 12, each=2, own=4)
+SMALL = direct.Size(
+    5, 2, 8, 12, 12, requests_per_target=2, running_per_engine=4
+)
 SEEDS = range(30)
 
 
-def create_mixed(seed):
-    """Creates a router whose engines are full, busy, idle or barred."""
-    draws = random.Random(seed)
-    others = draws.choice([0, 8, 20, 28])
-    odd = draws.choice([0.0, 0.2])
-    busy = direct.create_busy(SMALL, seed, others)
-    for one in busy.state.table.by_name.values():
-        one.own_load.unread += draws.choice([0, 500, 6000, 30_000])
-        if draws.random() < odd:
+def create_mixed_router(seed):
+    """Creates a router whose engines are full, router, idle or barred."""
+    rng = random.Random(seed)
+    others = rng.choice([0, 8, 20, 28])
+    odd = rng.choice([0.0, 0.2])
+    router = direct.create_full_router(SMALL, seed, others)
+    for one in router.state.table.by_name.values():
+        one.own_load.unread += rng.choice([0, 500, 6000, 30_000])
+        if rng.random() < odd:
             upstreams.suspend_upstream(one, direct.NOW)
-        if draws.random() < odd:
+        if rng.random() < odd:
             one.own_load, one.peer_load = upstreams.Load(), upstreams.Load()
-    for request in busy.state.requests.values():
-        request.target_at += draws.uniform(-1.2, 0.3)
-        request.arrived_at -= draws.choice([0.0, 0.5])
-        request.part_uses = draws.choice([1.0, 40.0])
-        if draws.random() < 0.2:
-            request.tried.add(f"e{2 * draws.randrange(SMALL.engines)}")
-    return busy
+    for request in router.state.requests.values():
+        request.target_at += rng.uniform(-1.2, 0.3)
+        request.arrived_at -= rng.choice([0.0, 0.5])
+        request.part_uses = rng.choice([1.0, 40.0])
+        if rng.random() < 0.2:
+            request.tried.add(f"e{2 * rng.randrange(SMALL.engines)}")
+    return router
 
 
 def list_usable(state, constraints):
@@ -53,31 +55,31 @@
     ]
 
 
-def find_all_floors(state):
+def compute_floors_exhaustively(state):
     """Finds the floors by looking at every engine for every candidate."""
     floors = {}
     service = state.catalog.services["engine-0"]
-    room, accounts = (
+    queue, accounts = (
         state.service_queues["engine-0"],
         state.accounts["engine-0"],
     )
-    for team in fair_queue.order_teams(room, accounts, direct.NOW):
+    for team in fair_queue.order_teams(queue, accounts, direct.NOW):
         received = int(fair_queue.compute_received(accounts, direct.NOW, team))
-        for number in fair_queue.list_candidates(room, team):
+        for number in fair_queue.list_candidates(queue, team):
             request = state.requests[number]
             constraints = placement_constraints.compute_constraints(
                 state, direct.NOW, request
             )
-            held_at = homes.list_homes(
+            home_engines = homes.list_homes(
                 state.table, direct.NOW, service, constraints
             )
             for one in list_usable(state, constraints):
-                home = one in held_at
+                is_home = one in home_engines
                 engine_load = eligibility.measure_engine_load(
                     one, service.engine, direct.NOW
                 )
                 if eligibility.is_awaited(
-                    engine_load, service.engine, constraints, home
+                    engine_load, service.engine, constraints, is_home
                 ):
                     floors.setdefault(one.listed.name, received)
     return floors
@@ -88,16 +90,18 @@
     # The other routers fill an engine that a team waits for here, or leave
     # one empty that nobody waits for. Cause: the stop once every engine has
     # its floor leaves out one, or gives one another team's floor.
-    state = create_mixed(seed).state
-    assert service_floors.compute_floors(state, direct.NOW) == find_all_floors(
-        state
-    )
+    state = create_mixed_router(seed).state
+    assert service_floors.compute_floors(
+        state, direct.NOW
+    ) == compute_floors_exhaustively(state)
 
 
 def test_floors_differ_between_the_states():
     # Guards the test above against states in which nothing is decided.
     found = [
-        service_floors.compute_floors(create_mixed(seed).state, direct.NOW)
+        service_floors.compute_floors(
+            create_mixed_router(seed).state, direct.NOW
+        )
         for seed in SEEDS
     ]
     assert any(len(floors) == SMALL.engines for floors in found)
@@ -105,25 +109,25 @@
     assert any(len(set(floors.values())) > 2 for floors in found)
 
 
-def look_at_everything(state):
+def send_exhaustively(state):
     """Looks at waiting requests, listing the engines anew for each."""
     sent = []
-    room, accounts = (
+    queue, accounts = (
         state.service_queues["engine-0"],
         state.accounts["engine-0"],
     )
     teams = [
         (fair_queue.compute_received(accounts, direct.NOW, team), team)
-        for team in room.by_team
+        for team in queue.by_team
     ]
     heapq.heapify(teams)
     while teams:
         _, team = heapq.heappop(teams)
-        for number in fair_queue.list_candidates(room, team):
+        for number in fair_queue.list_candidates(queue, team):
             request = state.requests[number]
             done = dispatching.try_send(state, direct.NOW, request)
             if done:
-                fair_queue.remove_request(room, team, number)
+                fair_queue.remove_request(queue, team, number)
                 sent += done
                 received = fair_queue.compute_received(
                     accounts, direct.NOW, team
@@ -137,11 +141,11 @@
 def test_look_sends_what_single_tries_send(seed):
     # A waiting request goes to an engine that the one before it just filled.
     # Cause: the look goes by what engines had before that send.
-    first, second = (create_mixed(seed).state for _ in range(2))
-    looked = dispatching.send_waiting_requests(first, direct.NOW)
-    tried = look_at_everything(second)
+    first, second = (create_mixed_router(seed).state for _ in range(2))
+    batch = dispatching.send_waiting_requests(first, direct.NOW)
+    single = send_exhaustively(second)
     pairs = [
-        [(one.request, one.upstream) for one in s] for s in (looked, tried)
+        [(one.request, one.upstream) for one in s] for s in (batch, single)
     ]
     assert pairs[0] == pairs[1]
 
@@ -151,7 +155,7 @@
     counts = [
         len(
             dispatching.send_waiting_requests(
-                create_mixed(seed).state, direct.NOW
+                create_mixed_router(seed).state, direct.NOW
             )
         )
         for seed in SEEDS
@@ -163,7 +167,7 @@
 def test_refusals_count_what_each_engine_has_in_the_way(seed):
     # Operators read of full engines where parts would be read again, and look
     # for the cause in the wrong place.
-    state = create_mixed(seed).state
+    state = create_mixed_router(seed).state
     service = state.catalog.services["engine-0"]
     waiting_ones = [one for one in state.requests.values() if not one.attempt]
     assert waiting_ones
@@ -171,7 +175,7 @@
         constraints = placement_constraints.compute_constraints(
             state, direct.NOW, request
         )
-        held_at = homes.list_homes(
+        home_engines = homes.list_homes(
             state.table, direct.NOW, service, constraints
         )
         usable = list_usable(state, constraints)
@@ -182,7 +186,7 @@
                 ),
                 service.engine,
                 constraints,
-                one in held_at,
+                one in home_engines,
             )
             for one in usable
         )
@@ -195,7 +199,7 @@
         }
 
 
-def list_left_out(state):
+def list_prefiltered(state):
     """Lists for each waiting request the engines that get no look."""
     group = dispatching._measure_free_engines(state, direct.NOW, "engine-0")
     for request in state.requests.values():
@@ -204,20 +208,20 @@
                 state, direct.NOW, request
             )
             possible = eligibility.prefilter_engines(group, constraints)
-            left_out = [
+            excluded = [
                 one for one in group.engine_loads if one not in possible
             ]
-            yield constraints, possible, left_out
+            yield constraints, possible, excluded
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_engine_that_gets_no_look_has_no_room(seed):
     # A request waits, and is refused, though an engine could take it. Cause:
     # what is true of most engines is taken for true of all.
-    state = create_mixed(seed).state
+    state = create_mixed_router(seed).state
     engine = state.catalog.services["engine-0"].engine
-    for constraints, _, left_out in list_left_out(state):
-        for one in left_out:
+    for constraints, _, excluded in list_prefiltered(state):
+        for one in excluded:
             assert (
                 eligibility.find_load_obstacle(one, engine, constraints)
                 is not None
@@ -227,9 +231,11 @@
 def test_states_leave_out_all_or_some_or_no_engines():
     # Guards the test above against states that all look alike.
     kinds = collections.Counter(
-        (bool(possible), bool(left_out))
+        (bool(possible), bool(excluded))
         for seed in SEEDS
-        for _, possible, left_out in list_left_out(create_mixed(seed).state)
+        for _, possible, excluded in list_prefiltered(
+            create_mixed_router(seed).state
+        )
     )
     for kind in itertools.product((True, False), repeat=2):
         if kind != (False, False):
@@ -238,6 +244,6 @@
 
 def test_every_step_can_be_repeated():
     size = dataclasses.replace(SMALL, routers=3)
-    for step in direct.list_steps(direct.create_busy(size)).values():
+    for step in direct.list_steps(direct.create_full_router(size)).values():
         step()
         step()
--- a/benchmarks/tests/test_placing.py
+++ b/benchmarks/tests/test_placing.py
@@ -77,7 +77,7 @@
 def test_light_load_is_served_whole():
     # Far below what the engines can read, nobody is refused or late but for
     # prompts that no engine reads in time.
-    kind = site.Kind("question", 10, 1.2, 10.0, 20, 350, 1100, 100)
+    kind = site.RequestKind("question", 10, 1.2, 10.0, 20, 350, 1100, 100)
     figures = site.run_site(site.Site((kind,)))
-    assert figures.find_total() > 0.99
+    assert figures.compute_total_share() > 0.99
     assert figures.refusals.total() == 0
--- a/benchmarks/tests/test_shares.py
+++ b/benchmarks/tests/test_shares.py
@@ -21,85 +21,98 @@
 
 
 def create_site(seed):
-    """Creates a site whose engines can serve a part of what is asked."""
-    draws = random.Random(seed)
-    engines, routers = draws.randint(3, 10), draws.randint(2, 12)
-    teams = draws.randint(4, 14)
-    reading = draws.choice([80e3, 160e3])
-    draft = site.Kind(
+    """Creates a site whose engines can serve a part of what is requested."""
+    rng = random.Random(seed)
+    engines, routers = rng.randint(3, 10), rng.randint(2, 12)
+    teams = rng.randint(4, 14)
+    reading = rng.choice([80e3, 160e3])
+    draft = site.RequestKind(
         "draft",
         rate=1.0,
-        target=draws.choice([0.3, 0.5, 0.8]),
+        target=rng.choice([0.3, 0.5, 0.8]),
         patience=12.0,
-        parts=teams * draws.choice([2, 5, 15]),
-        shared=draws.choice([3000, 5400]),
-        own=draws.choice([2000, 6600]),
-        output=draws.choice([200, 400]),
-        tail=1.2,
-        most=55_000,
+        parts=teams * rng.choice([2, 5, 15]),
+        shared_mean=rng.choice([3000, 5400]),
+        own_mean=rng.choice([2000, 6600]),
+        output_tokens=rng.choice([200, 400]),
+        own_sigma=1.2,
+        own_max=55_000,
     )
-    tag = site.Kind(
-        "tag", 2.0, 0.4, 5.0, 20 * teams, 570, 1800, 30, tail=1.2, most=7000
+    tag = site.RequestKind(
+        "tag",
+        2.0,
+        0.4,
+        5.0,
+        20 * teams,
+        570,
+        1800,
+        30,
+        own_sigma=1.2,
+        own_max=7000,
     )
-    cost = draft.shared + draft.own + 2 * (tag.shared + tag.own)
-    rate = engines * reading / cost * draws.uniform(0.5, 2.5)
-    weights = [draws.choice(FLOOD)] + [1.0] * (teams - 1)
-    for team in range(1, draws.randint(2, 4)):
-        weights[team] = draws.choice([2.0, 4.0, 8.0])
+    cost = (
+        draft.shared_mean
+        + draft.own_mean
+        + 2 * (tag.shared_mean + tag.own_mean)
+    )
+    rate = engines * reading / cost * rng.uniform(0.5, 2.5)
+    weights = [rng.choice(FLOOD)] + [1.0] * (teams - 1)
+    for team in range(1, rng.randint(2, 4)):
+        weights[team] = rng.choice([2.0, 4.0, 8.0])
     entries = [tuple(range(routers))] + [
-        tuple(draws.choices(range(routers), k=draws.randint(1, 3)))
+        tuple(rng.choices(range(routers), k=rng.randint(1, 3)))
         for _ in range(teams - 1)
     ]
-    lost = draws.sample(range(routers), routers // 4)
+    lost = rng.sample(range(routers), routers // 4)
     return site.Site(
         tuple(
             dataclasses.replace(kind, rate=kind.rate * rate)
             for kind in (draft, tag)
         ),
         routers=routers,
-        domains=draws.randint(1, min(3, routers)),
+        domains=rng.randint(1, min(3, routers)),
         entries=tuple(entries),
         engines=engines,
-        slots=draws.choice([8, 12, 16, 32]),
-        memory=draws.choice([300_000, 800_000]),
-        reading=reading,
-        fetching=1.2e6,
-        stated=draws.choice([0.2, 0.5, 1.0]),
-        making=0.0044,
+        slots=rng.choice([8, 12, 16, 32]),
+        cache_tokens=rng.choice([300_000, 800_000]),
+        prefill_rate=reading,
+        fetch_rate=1.2e6,
+        stated_rate=rng.choice([0.2, 0.5, 1.0]),
+        token_interval=0.0044,
         teams=teams,
         weights=tuple(weights),
-        apart=True,
-        losses=tuple(site.Loss(number, 2.0, 5.0) for number in lost),
+        separate_parts=True,
+        power_losses=tuple(site.PowerLoss(number, 2.0, 5.0) for number in lost),
         seconds=9.0,
         seed=seed,
     )
 
 
 @functools.cache
-def play(seed):
+def run_shares(seed):
     return site.run_site(create_site(seed)).shares
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_team_that_waits_gets_half_of_its_share(seed):
     # Guards against a flood that takes what others wait for.
-    assert shares.find_shortfalls(play(seed)) == []
+    assert shares.find_shortfalls(run_shares(seed)) == []
 
 
 def test_sites_have_teams_that_wait_beside_a_flood():
     # Guards the test above against sites where nobody is short of service.
-    waits = [len(play(seed).delayed["key-0"]) >= 6 for seed in SEEDS]
+    waits = [len(run_shares(seed).delayed["key-0"]) >= 6 for seed in SEEDS]
     assert sum(waits) >= len(SEEDS) / 2
 
 
 def test_share_counts_what_engines_began_of_the_poorer_team():
     # Guards the tests above against a judge that finds nothing.
-    judged = shares.Shares()
+    recorded = shares.Shares()
     for second in range(shares.WINDOW):
         for team, begun in (("mill", 100), ("trader", 20)):
             for _ in range(10):
-                shares.note_asked(judged, second, team, 10)
-            shares.note_delayed(judged, second, team)
-            shares.note_begun(judged, second, team, begun)
-    (found,) = shares.find_shortfalls(judged)
-    assert (found.team, found.asked, found.got) == ("trader", 600, 120)
+                shares.record_requested(recorded, second, team, 10)
+            shares.record_delayed(recorded, second, team)
+            shares.record_started(recorded, second, team, begun)
+    (found,) = shares.find_shortfalls(recorded)
+    assert (found.team, found.requested, found.received) == ("trader", 600, 120)
--- a/benchmarks/upstream.py
+++ b/benchmarks/upstream.py
@@ -1,6 +1,9 @@
-"""The fake upstream: slots, an inner queue, costs known only at the end."""
+"""Simulated upstream with slots and an internal queue.
 
-__all__ = ["UNITS_PER_SECOND", "Upstream", "offer_work"]
+The cost of a request is only known at its end.
+"""
+
+__all__ = ["UNITS_PER_SECOND", "Upstream", "submit_work"]
 
 from collections.abc import Callable
 import dataclasses
@@ -8,16 +11,16 @@
 from benchmarks import events as events_module
 
 UNITS_PER_SECOND = 125.0
-"""Cost units that one slot gives in a second.
+"""Cost units that one slot provides per second.
 
-With mean costs of 250 units a request runs for two seconds, and a router of
-the benchmarks gets about ten requests a second, as many as one of 370 gets
-of 4,400. Control traffic is budgeted in bytes per second, so at a faster
-pace accounts and announcements would be older than they are in use.
+With a mean cost of 250 units a request runs for two seconds, and a router of
+the benchmarks receives about ten requests per second, as many as one of 370
+routers receives of 4,400. The budget of control traffic is in bytes per second,
+so at a higher rate accounts and announcements would be staler than in use.
 """
 
 CHARGE_STEP = 0.4
-"""Seconds between two charges of a run in progress."""
+"""Seconds between two charges of a running request."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -25,10 +28,10 @@
     """A request at an upstream.
 
     Attributes:
-        cost: Its cost units, which only the upstream knows.
-        on_start: Called when it gets a slot.
-        on_charge: Called with the units given since the last call.
-        on_end: Called when it is done, after the last charge.
+        cost: Cost units, which only the upstream knows.
+        on_start: Called when the request gets a slot.
+        on_charge: Called with the units consumed since the last call.
+        on_end: Called at the end, after the last charge.
     """
 
     cost: float
@@ -39,12 +42,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Upstream:
-    """State of a fake upstream.
+    """State of a simulated upstream.
 
     Attributes:
-        slots: Requests that it runs at once.
-        running: Slots in use.
-        queue: Requests that wait inside, in order of arrival.
+        slots: Requests that the upstream runs concurrently.
+        running: Number of slots in use.
+        queue: Requests in the internal queue, in order of arrival.
     """
 
     slots: int
@@ -52,10 +55,10 @@
     queue: list[Work] = dataclasses.field(default_factory=list)
 
 
-def offer_work(
-    events: events_module.Events, upstream: Upstream, work: Work
+def submit_work(
+    events: events_module.EventQueue, upstream: Upstream, work: Work
 ) -> None:
-    """Starts a request, or queues it inside if no slot is free."""
+    """Starts a request, or queues it at the upstream if no slot is free."""
     if upstream.running >= upstream.slots:
         upstream.queue.append(work)
         return
@@ -65,7 +68,10 @@
 
 
 def _run_step(
-    events: events_module.Events, upstream: Upstream, work: Work, left: float
+    events: events_module.EventQueue,
+    upstream: Upstream,
+    work: Work,
+    left: float,
 ) -> None:
     units = min(left, CHARGE_STEP * UNITS_PER_SECOND)
 
@@ -74,16 +80,16 @@
         if left - units > 1e-9:
             _run_step(events, upstream, work, left - units)
         else:
-            _end_work(events, upstream, work)
+            _finish_work(events, upstream, work)
 
     at = events.now + units / UNITS_PER_SECOND
     events_module.schedule(events, at, charge)
 
 
-def _end_work(
-    events: events_module.Events, upstream: Upstream, work: Work
+def _finish_work(
+    events: events_module.EventQueue, upstream: Upstream, work: Work
 ) -> None:
     upstream.running -= 1
     if upstream.queue:
-        offer_work(events, upstream, upstream.queue.pop(0))
+        submit_work(events, upstream, upstream.queue.pop(0))
     work.on_end()
--- a/benchmarks/upstreams.py
+++ b/benchmarks/upstreams.py
@@ -1,7 +1,8 @@
-"""Fake upstreams for benchmarks and tests of the concurrency limit.
+"""Simulated upstreams for benchmarks and tests of the concurrency limit.
 
-Time goes in steps; every count is exact, and nothing depends on the machine.
-`python -m benchmarks.upstreams` compares the limit with none but the cap.
+The simulation runs in fixed steps, its counts are exact, and its results do not
+depend on the machine. `python -m benchmarks.upstreams` compares the adaptive
+limit with a fixed cap.
 """
 
 __all__ = ["Figures", "Upstream", "run_limit"]
@@ -15,22 +16,24 @@
 from sycamorefall.sidecar import gate as gate_module
 
 STEP = 0.01
-"""Seconds of one step."""
+"""Duration of a step in seconds."""
 
-LAG = 0.5
-"""Seconds by which load reports lag behind."""
+REPORT_DELAY = 0.5
+"""Seconds from the creation of a load report to its publication."""
 
 
 @dataclasses.dataclass(slots=True)
 class Upstream:
-    """An engine with a capacity, or a plain service that shares itself.
+    """An engine with a number of slots, or a plain service.
 
     Attributes:
-        capacity: Requests worked on at once (engine), or at full speed.
-        slots: Slots that its reports name; 0 for none.
-        shares: Whether all requests are worked on, ever slower (plain).
-        left: Seconds of work left by request, in order of arrival.
-        reports: Reports under way, as (time of publication, report).
+        capacity: Requests that an engine runs concurrently, or that a plain
+            service runs at full speed.
+        slots: Number of slots stated in its load reports; 0 for none.
+        shares: Whether all requests share the capacity (plain service), or
+            requests beyond the capacity are queued (engine).
+        left: Remaining seconds of work by request, in order of arrival.
+        reports: Unpublished reports, as (time of publication, report).
     """
 
     capacity: int
@@ -44,14 +47,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Figures:
-    """What a run showed.
+    """Result of a run.
 
     Attributes:
-        idle: Share of the capacity that was unused while work waited.
-        mean_queue: Mean length of the inner queue.
-        most_queue: Longest inner queue after the first quarter of the run.
-        most_in_flight: Most own requests at the upstream.
-        answers: Requests that ended.
+        idle: Fraction of the capacity that was idle while requests waited.
+        mean_queue: Mean length of the internal queue.
+        most_queue: Longest internal queue after the first quarter of the run.
+        most_in_flight: Largest number of own requests at the upstream.
+        answers: Number of completed requests.
     """
 
     idle: float
@@ -61,8 +64,8 @@
     answers: int
 
 
-def _work(upstream: Upstream) -> list[str]:
-    """Lets a step pass; returns the requests that ended in it."""
+def _advance(upstream: Upstream) -> list[str]:
+    """Advances the upstream by a step; returns the requests completed in it."""
     speed = STEP
     chosen = list(upstream.left)
     if upstream.shares:
@@ -77,11 +80,13 @@
     return ended
 
 
-def _report(upstream: Upstream, now: float) -> admission.LoadReport | None:
+def _publish_report(
+    upstream: Upstream, now: float
+) -> admission.LoadReport | None:
     running = min(len(upstream.left), upstream.capacity)
     queued = len(upstream.left) - running
     current = admission.LoadReport(running, queued, upstream.slots)
-    upstream.reports.append((now + LAG, current))
+    upstream.reports.append((now + REPORT_DELAY, current))
     published = None
     while upstream.reports[0][0] <= now:
         _, published = upstream.reports.popleft()
@@ -97,16 +102,16 @@
     adapt: bool = True,
     mean_work: float = 1.0,
 ) -> Figures:
-    """Runs a sidecar's gate and limit against an upstream, work waiting.
+    """Simulates a sidecar's gate and limit while requests always wait.
 
     Args:
-        upstream: The upstream; foreign requests may be at it already.
+        upstream: The upstream, which may already run requests of other callers.
         limit: The sidecar's limit.
-        seconds: How long.
-        change: Called at each step, to change the upstream.
+        seconds: Duration.
+        change: Called with the time of each step, to change the upstream.
         reports: Whether the upstream publishes load reports.
-        adapt: Whether the limit adapts; else all that is claimed is passed
-            on at once, up to the cap and one ahead.
+        adapt: Whether the limit adapts; otherwise all claimed requests are
+            sent at once, up to one more than the cap.
         mean_work: Mean seconds of work of a request.
 
     Returns:
@@ -123,24 +128,24 @@
     for step in range(steps):
         now = step * STEP
         change(now)
-        published = _report(upstream, now) if step % 50 == 0 else None
+        published = _publish_report(upstream, now) if step % 50 == 0 else None
         if adapt and published and reports:
-            note = admission.adjust_to_load
+            record_report = admission.adjust_to_load
             if upstream.shares:
-                note = admission.record_foreign
-            note(limit, now, published)
+                record_report = admission.record_foreign
+            record_report(limit, now, published)
             gate_module.start_held_runs(gate, now)
         own = len(gate.started_at) + len(gate.held)
         for _ in range(admission.count_claimable(limit, own, 0)):
             serial += 1
             name = f"own-{serial}"
-            begin = start(name, rng.lognormvariate(-0.5, 1.0) * mean_work)
+            start_run = start(name, rng.lognormvariate(-0.5, 1.0) * mean_work)
             if adapt:
-                gate_module.submit_run(gate, now, name, begin)
+                gate_module.submit_run(gate, now, name, start_run)
             else:
                 gate.started_at[name] = now
-                begin()
-        ended = _work(upstream)
+                start_run()
+        ended = _advance(upstream)
         for name in ended:
             answers += 1
             if adapt:
@@ -149,10 +154,10 @@
                 )
             else:
                 gate.started_at.pop(name, None)
-        inside = len(upstream.left)
-        idle += max(0, upstream.capacity - inside)
+        in_flight = len(upstream.left)
+        idle += max(0, upstream.capacity - in_flight)
         busy += upstream.capacity
-        surplus = max(0, inside - upstream.capacity)
+        surplus = max(0, in_flight - upstream.capacity)
         queue += surplus
         if step > steps / 4:
             most_queue = max(most_queue, surplus)
@@ -192,7 +197,7 @@
 
 
 def main() -> None:
-    """Prints inner queue and idle share, with and without the limit."""
+    """Prints queue length and idle capacity, with and without adaptation."""
     steady = {
         "engine, 8 slots": lambda: (Upstream(8, 8), lambda now: None),
         "engine, 5 of 8 slots usable": lambda: (
--- a/benchmarks/world.py
+++ b/benchmarks/world.py
@@ -1,10 +1,10 @@
-"""A fleet of decision cores on an event queue, every control byte counted.
+"""Simulation of a fleet that counts the bytes of all control messages.
 
-Routers and sidecars are the real decision cores, messages are encoded as on
-the wire; only the network, the callers and the upstreams are played.
+Routers and sidecars run the product's decision cores, and messages are encoded
+as on the wire. Only the network, the callers and the upstreams are simulated.
 """
 
-__all__ = ["TRIP", "Case", "Counts", "World"]
+__all__ = ["ONE_WAY_DELAY", "Case", "Counts", "World"]
 
 import collections
 from collections.abc import Callable
@@ -23,18 +23,18 @@
 from sycamorefall.sidecar import state as sidecar_state
 
 FRAME_BYTES = 8
-"""What the transport adds to each message: its length."""
+"""Bytes that the transport adds to each message: its length."""
 
 INCARNATION = 1_790_000_000_000_000
-"""Incarnation of all nodes, as long as a real one."""
+"""Incarnation of all nodes, with as many digits as a real one."""
 
-TRIP = 0.0005
-"""Seconds one way between two nodes."""
+ONE_WAY_DELAY = 0.0005
+"""One-way delay between two nodes, in seconds."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Case:
-    """A fleet and its load.
+    """Size and load of a fleet.
 
     Attributes:
         routers: Number of routers.
@@ -42,11 +42,11 @@
         services: Number of services.
         teams: Number of teams.
         rate: Requests per second over the fleet.
-        slots: Requests that one upstream runs at a time.
-        work: Mean seconds that one request runs.
-        seconds: Length of the run, the first half not counted.
-        loss: Share of control messages that are lost.
-        seed: Seed of all choices.
+        slots: Requests that one upstream runs concurrently.
+        work: Mean run time of a request in seconds.
+        seconds: Duration of the run, whose first half is not counted.
+        loss: Fraction of control messages that are lost.
+        seed: Seed of all random choices.
     """
 
     routers: int = 4
@@ -63,15 +63,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Counts:
-    """What was counted in the second half of a run.
+    """Counts of the second half of a run.
 
     Attributes:
         sent: Bytes sent by node.
         received: Bytes received by node.
         kinds: Bytes sent by kind of message.
-        messages: Messages sent by kind.
-        waits: Seconds from arrival to start, by request.
-        lost: Slot seconds that were free while requests waited.
+        messages: Number of messages sent by kind.
+        waits: Seconds from arrival to start of each request.
+        lost: Slot seconds that were idle while requests waited.
     """
 
     sent: collections.Counter = dataclasses.field(
@@ -91,14 +91,14 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Load:
-    """Requests of one service that wait and run, over all nodes.
+class ServiceLoad:
+    """Waiting and running requests of one service, over all nodes.
 
     Attributes:
-        slots: Slots of all upstreams.
-        waiting: Requests that came and did not start.
+        slots: Number of slots of all upstreams of the service.
+        waiting: Requests that have arrived and not started.
         running: Requests in progress.
-        changed: When one of these changed last.
+        changed: Time of the last change of these counts.
     """
 
     slots: int
@@ -108,12 +108,12 @@
 
 
 class World:
-    """A fleet on an event queue."""
+    """A simulated fleet and its event queue."""
 
     def __init__(self, case: Case):
         self.case = case
         self.now = 0.0
-        self.chance = random.Random(case.seed)
+        self.rng = random.Random(case.seed)
         self.counts = Counts()
         self.arrivals: dict[str, float] = {}
         self._events: list[tuple[float, int, Callable[[], None]]] = []
@@ -125,7 +125,7 @@
             for index in range(case.sidecars)
         }
         self.loads = {
-            f"service-{index}": Load(
+            f"service-{index}": ServiceLoad(
                 case.slots * len(range(index, case.sidecars, case.services))
             )
             for index in range(case.services)
@@ -139,25 +139,35 @@
             table.by_digest = digests.by_digest
 
     def run(self) -> Counts:
-        """Runs the case to its end."""
+        """Runs the case to its end, and returns the counts."""
         for name in self.nodes:
-            self.at(self.chance.uniform(0, 0.5), lambda n=name: self.tick(n))
-        self.at(1.0, self.arrive)
+            self.schedule(
+                self.rng.uniform(0, 0.5), lambda n=name: self.run_node_timers(n)
+            )
+        self.schedule(1.0, self.handle_arrival)
         while self._events[0][0] < self.case.seconds:
             self.now, _, step = heapq.heappop(self._events)
             step()
         return self.counts
 
-    def at(self, when: float, step: Callable[[], None]) -> None:
-        """Plans a step."""
+    def schedule(self, when: float, step: Callable[[], None]) -> None:
+        """Schedules a step at a time."""
         heapq.heappush(self._events, (when, next(self._numbers), step))
 
     def is_counted(self) -> bool:
-        """Tells whether the run's second half has begun."""
+        """Returns whether the second half of the run has begun."""
         return self.now >= self.case.seconds / 2
 
-    def note_load(self, service: str, waiting: int, running: int) -> None:
-        """Counts requests that wait or run, and capacity lost until now."""
+    def record_load_change(
+        self, service: str, waiting: int, running: int
+    ) -> None:
+        """Changes the counts of a service's requests, and adds idle capacity.
+
+        Args:
+            service: Name of the service.
+            waiting: Change of the number of waiting requests.
+            running: Change of the number of running requests.
+        """
         load = self.loads[service]
         if self.is_counted():
             begun = max(load.changed, self.case.seconds / 2)
@@ -167,78 +177,82 @@
         load.waiting += waiting
         load.running += running
 
-    def tick(self, name: str) -> None:
-        """Runs a node's timers."""
-        core = _find_core(self.nodes[name])
+    def run_node_timers(self, name: str) -> None:
+        """Runs the timers of a node."""
+        core = _get_core(self.nodes[name])
         self._timers.pop(name, None)
-        self.perform(name, core.run_timers(self.nodes[name], self.now))
+        self.apply_effects(name, core.run_timers(self.nodes[name], self.now))
 
-    def plan_tick(self, name: str) -> None:
-        """Plans a node's next timer, if it is earlier than the planned."""
-        core = _find_core(self.nodes[name])
+    def schedule_timers(self, name: str) -> None:
+        """Schedules a node's timers, unless an earlier time is scheduled."""
+        core = _get_core(self.nodes[name])
         due = max(self.now, core.find_next_due(self.nodes[name]))
         if due < self._timers.get(name, float("inf")):
             self._timers[name] = due
-            self.at(due, lambda: self.tick_due(name, due))
+            self.schedule(due, lambda: self.run_due_timers(name, due))
 
-    def tick_due(self, name: str, due: float) -> None:
-        """Runs a node's timers unless an earlier plan replaced this one."""
+    def run_due_timers(self, name: str, due: float) -> None:
+        """Runs a node's timers unless an earlier schedule replaced this one."""
         if self._timers.get(name) == due:
-            self.tick(name)
+            self.run_node_timers(name)
 
-    def perform(self, name: str, outcome) -> None:
-        """Carries out a node's effects."""
+    def apply_effects(self, name: str, outcome) -> None:
+        """Executes the effects of a node, and schedules its timers."""
         for effect in outcome:
             if isinstance(effect, effects.SendMessage):
                 self.send(name, effect)
             elif isinstance(effect, router_effects.SendRequest):
-                self.at(self.now + TRIP, lambda e=effect: self.start(name, e))
-        self.plan_tick(name)
+                self.schedule(
+                    self.now + ONE_WAY_DELAY,
+                    lambda e=effect: self.deliver_attempt(name, e),
+                )
+        self.schedule_timers(name)
 
     def send(self, name: str, effect: effects.SendMessage) -> None:
-        """Sends a control message and counts it."""
+        """Sends a control message and counts its bytes."""
         node = self.nodes[name]
         envelope = messages.Envelope(name, node.incarnation, 1, effect.message)
-        names_sent = names.compact_envelope(
+        compacted = names.compact_envelope(
             self.names[name], effect.to, envelope
         )
-        data = messages.encode_envelope(names_sent)
+        data = messages.encode_envelope(compacted)
         size = len(data) + FRAME_BYTES
         if self.is_counted():
             kind = type(effect.message).__name__
             self.counts.sent[name] += size
             self.counts.kinds[kind] += size
             self.counts.messages[kind] += 1
-        if self.chance.random() >= self.case.loss:
-            self.at(
-                self.now + TRIP, lambda: self.receive(effect.to, data, size)
+        if self.rng.random() >= self.case.loss:
+            self.schedule(
+                self.now + ONE_WAY_DELAY,
+                lambda: self.receive(effect.to, data, size),
             )
 
     def receive(self, name: str, data: bytes, size: int) -> None:
-        """Takes a control message."""
+        """Decodes a control message and passes it to the receiver's core."""
         if self.is_counted():
             self.counts.received[name] += size
         decoded = messages.decode_envelope(data)
         envelope, unknown = names.expand_envelope(self.names[name], decoded)
         node = self.nodes[name]
         if unknown:
-            question = messages.UnknownNames(unknown)
-            self.send(name, effects.SendMessage(decoded.sender, question))
+            query = messages.UnknownNames(unknown)
+            self.send(name, effects.SendMessage(decoded.sender, query))
         if envelope is None:
             return
         if isinstance(envelope.message, messages.UnknownNames):
             names.mark_undefined(
                 self.names[name], envelope.sender, envelope.message.indexes
             )
-        core = _find_core(node)
-        self.perform(name, core.receive_message(node, self.now, envelope))
+        core = _get_core(node)
+        self.apply_effects(name, core.receive_message(node, self.now, envelope))
 
-    def arrive(self) -> None:
-        """Lets a request come in and plans the next."""
+    def handle_arrival(self) -> None:
+        """Sends a request to a random router and schedules the next one."""
         case = self.case
-        team = min(int(self.chance.expovariate(4 / case.teams)), case.teams - 1)
-        service = self.chance.randrange(case.services)
-        router = f"router-{self.chance.randrange(case.routers)}"
+        team = min(int(self.rng.expovariate(4 / case.teams)), case.teams - 1)
+        service = self.rng.randrange(case.services)
+        router = f"router-{self.rng.randrange(case.routers)}"
         new = router_state.NewRequest(
             service=f"service-{service}",
             team=f"member-{team:05d}",
@@ -252,69 +266,78 @@
             self.nodes[router], self.now, new
         )
         self.arrivals[f"{router}/{INCARNATION}/{number}"] = self.now
-        self.note_load(new.service, 1, 0)
-        self.perform(router, outcome)
-        self.at(self.now + self.chance.expovariate(case.rate), self.arrive)
+        self.record_load_change(new.service, 1, 0)
+        self.apply_effects(router, outcome)
+        self.schedule(
+            self.now + self.rng.expovariate(case.rate), self.handle_arrival
+        )
 
-    def start(self, router: str, effect: router_effects.SendRequest) -> None:
-        """Lets a hand-out reach its sidecar."""
+    def deliver_attempt(
+        self, router: str, effect: router_effects.SendRequest
+    ) -> None:
+        """Delivers an attempt to its sidecar and schedules the run."""
         name, order = effect.sidecar, effect.order
         node = self.nodes[name]
         accepted = running.accept_attempt(node, self.now, order)
         if accepted is not running.Acceptance.STARTED:
             end = attempt_lifecycle.AttemptEnd.REFUSED
-            self.at(
-                self.now + TRIP,
-                lambda: self.finish(router, order.attempt_id, end),
+            self.schedule(
+                self.now + ONE_WAY_DELAY,
+                lambda: self.deliver_end(router, order.attempt_id, end),
             )
             return
-        # A request claimed ahead of a slot waits for it at the upstream.
+        # A request claimed before a slot is free waits at the upstream.
         begins = max(self.now, heapq.heappop(self.slots[name]))
-        seconds = self.chance.expovariate(1 / self.case.work)
+        seconds = self.rng.expovariate(1 / self.case.work)
         heapq.heappush(self.slots[name], begins + seconds)
-        self.at(begins, lambda: self.begin(router, name, order, seconds))
-        self.plan_tick(name)
+        self.schedule(
+            begins, lambda: self.start_run(router, name, order, seconds)
+        )
+        self.schedule_timers(name)
 
-    def begin(
+    def start_run(
         self,
         router: str,
         name: str,
         order: messages.AttemptOrder,
         seconds: float,
     ) -> None:
-        """Lets a run begin at its upstream."""
-        self.note_load(order.service, -1, 1)
+        """Starts a request at its upstream."""
+        self.record_load_change(order.service, -1, 1)
         arrived = self.arrivals.pop(order.attempt_id.rpartition("/")[0], None)
         if arrived is not None and self.is_counted():
             self.counts.waits.append(self.now - arrived)
-        self.at(
+        self.schedule(
             self.now + seconds,
-            lambda: self.end(router, name, order.attempt_id, seconds),
+            lambda: self.complete_run(router, name, order.attempt_id, seconds),
         )
 
-    def end(
+    def complete_run(
         self, router: str, name: str, attempt_id: str, seconds: float
     ) -> None:
-        """Lets a run end at its upstream."""
+        """Completes a request at its upstream and charges its cost."""
         node = self.nodes[name]
-        self.note_load(node.service, 0, -1)
+        self.record_load_change(node.service, 0, -1)
         running.charge_run(node, attempt_id, seconds * 1000.0)
         running.finish_run(node, self.now, attempt_id)
-        self.perform(name, claiming.make_claims(node, self.now))
+        self.apply_effects(name, claiming.make_claims(node, self.now))
         end = attempt_lifecycle.AttemptEnd.COMPLETE
-        self.at(self.now + TRIP, lambda: self.finish(router, attempt_id, end))
+        self.schedule(
+            self.now + ONE_WAY_DELAY,
+            lambda: self.deliver_end(router, attempt_id, end),
+        )
 
-    def finish(
+    def deliver_end(
         self, router: str, attempt_id: str, end: attempt_lifecycle.AttemptEnd
     ) -> None:
-        """Lets an attempt's end reach its router."""
+        """Delivers the end of an attempt to its router."""
         outcome = attempt_lifecycle.end_attempt(
             self.nodes[router], self.now, attempt_id, end, False
         )
-        self.perform(router, outcome)
+        self.apply_effects(router, outcome)
 
 
-def _find_core(node):
+def _get_core(node):
     is_router = isinstance(node, router_state.RouterState)
     return router_core if is_router else sidecar_core
 
