--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -65,7 +65,7 @@
 }
 
 
-class Run:
+class Simulation:
     """State of one simulation."""
 
     def __init__(self, load: Load, seed: int, teams: int):
@@ -74,7 +74,7 @@
         self.teams = [f"team-{index}" for index in range(teams)]
         self.state = create_router(self.teams)
         self.events: list[tuple[float, int, Callable[[float], None]]] = []
-        self.serial = itertools.count()
+        self.numbers = itertools.count()
         self.served: dict[str, float] = collections.defaultdict(float)
         self.running: dict[str, tuple[int, float]] = {}
         self.results: collections.Counter[str] = collections.Counter()
@@ -84,9 +84,9 @@
         self.arrivals: dict[int, tuple[str, float, float]] = {}
         self.missed_seconds = 0.0
 
-    def schedule(self, when: float, act: Callable[[float], None]) -> None:
+    def schedule(self, when: float, action: Callable[[float], None]) -> None:
         """Schedules an action at a time."""
-        heapq.heappush(self.events, (when, next(self.serial), act))
+        heapq.heappush(self.events, (when, next(self.numbers), action))
 
     def handle_arrival(self, index: int, now: float) -> None:
         """Sends a request of a team and schedules the team's next one."""
@@ -196,7 +196,7 @@
                 if not queues:
                     return
                 continue
-            claim = messages.Claim(next(self.serial), SERVICE, team, 1.0)
+            claim = messages.Claim(next(self.numbers), SERVICE, team, 1.0)
             envelope = messages.Envelope(SIDECAR, 1, 1, claim)
             outcome = core.receive_message(self.state, now, envelope)
             self.count_bypassed_requests(team, outcome)
@@ -253,16 +253,16 @@
         The number of requests sent, the seconds that requests waited before
         they missed their deadline, and the fraction of requests by result.
     """
-    run = Run(load, seed, teams=8)
+    simulation = Simulation(load, seed, teams=8)
     for index in range(8):
-        run.schedule(
-            0.0, lambda now, index=index: run.handle_arrival(index, now)
+        simulation.schedule(
+            0.0, lambda now, index=index: simulation.handle_arrival(index, now)
         )
-    run.schedule(0.0, run.handle_tick)
-    while run.events[0][0] < seconds:
-        now, _, act = heapq.heappop(run.events)
-        act(now)
-    sent = run.results.pop("sent")
+    simulation.schedule(0.0, simulation.handle_tick)
+    while simulation.events[0][0] < seconds:
+        now, _, action = heapq.heappop(simulation.events)
+        action(now)
+    sent = simulation.results.pop("sent")
     names = (
         "in time",
         "missed",
@@ -271,8 +271,11 @@
         "refused, but a slot came free",
         "refused, but one with more time went",
     )
-    shares = {name: round(run.results[name] / sent, 4) for name in names}
-    return {"sent": sent, "held seconds": round(run.missed_seconds)} | shares
+    shares = {name: round(simulation.results[name] / sent, 4) for name in names}
+    return {
+        "sent": sent,
+        "held seconds": round(simulation.missed_seconds),
+    } | shares
 
 
 def main() -> None:
--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -117,8 +117,8 @@
             if run.queues[owner][name]
         ]
         now = min(passes, default=0.0)
-        known = run.passes.get((owner, queue), 0.0)
-        run.passes[owner, queue] = max(known, now)
+        previous = run.passes.get((owner, queue), 0.0)
+        run.passes[owner, queue] = max(previous, now)
     waiting.append(arrival)
     _fill_slots(run, owner)
 
@@ -126,7 +126,7 @@
 def _fill_slots(run: _Run, owner: int) -> None:
     """Fills free slots by stride scheduling over the queues, by weight."""
     while run.free[owner]:
-        names = [name for name, held in run.queues[owner].items() if held]
+        names = [name for name, waiting in run.queues[owner].items() if waiting]
         if not names:
             return
         name = min(names, key=lambda name: (run.passes[owner, name], name))
--- a/benchmarks/capacity_control.py
+++ b/benchmarks/capacity_control.py
@@ -78,12 +78,12 @@
 
     def drain(self) -> list[bytes]:
         """Returns the messages received since the last call."""
-        taken = []
+        received = []
         while True:
             try:
-                taken.append(self.socket.recv(block=False))
+                received.append(self.socket.recv(block=False))
             except pynng.TryAgain:
-                return taken
+                return received
 
 
 def publish_absent_vms(
@@ -144,25 +144,25 @@
     """
     pid, name = node.process.pid, node.name.encode()
     sink.drain()
-    begun, before = time.monotonic(), probe.read_cpu(pid)
-    taken: list[bytes] = []
-    while (now := time.monotonic()) < begun + seconds:
+    started_at, before = time.monotonic(), probe.read_cpu(pid)
+    received: list[bytes] = []
+    while (now := time.monotonic()) < started_at + seconds:
         if work is not None:
-            work(now - begun)
-        taken += sink.drain()
+            work(now - started_at)
+        received += sink.drain()
         time.sleep(0.01)
-    duration = time.monotonic() - begun
+    duration = time.monotonic() - started_at
     after = probe.read_cpu(pid)
     # The sink also receives messages of the other process. Every message
     # contains the name of its sender.
-    taken = [data for data in taken if name in data]
+    received = [data for data in received if name in data]
     return ProcessUsage(
         (after - before) / duration,
         probe.read_resident(pid),
         probe.read_private(pid),
         probe.count_threads(pid),
-        len(taken) / duration,
-        sum(map(len, taken)) / max(1, len(taken)),
+        len(received) / duration,
+        sum(map(len, received)) / max(1, len(received)),
     )
 
 
@@ -246,7 +246,7 @@
     """Measures a process that only sends heartbeats."""
     usage = measure_process(node, sink, seconds=IDLE_SECONDS)
     role = node.role if node.role == "router" else "sidecar"
-    how = f"over {IDLE_SECONDS:g} s, one router and one sidecar"
+    conditions = f"over {IDLE_SECONDS:g} s, one router and one sidecar"
     mib = 1 << 20
     lines = (
         ("cpu", "processor time while idle", usage.cpu * 100, "% of a core"),
@@ -260,7 +260,9 @@
         ("threads", "threads", usage.threads, ""),
     )
     return [
-        probe.Measure(f"{role}-idle-{key}", f"{role}: {what}", value, unit, how)
+        probe.Measure(
+            f"{role}-idle-{key}", f"{role}: {what}", value, unit, conditions
+        )
         for key, what, value, unit in lines
     ]
 
@@ -270,30 +272,30 @@
 ) -> list[probe.Measure]:
     """Measures messages, processor time and memory per listed peer."""
     role = node.role if node.role == "router" else "sidecar"
-    sent, spent, held = [], [], []
+    message_points, cpu_points, memory_points = [], [], []
     for count in ABSENT_VM_COUNTS:
         publish_absent_vms(fleet, sink, peer, count)
         time.sleep(SETTLE_SECONDS)
         usage = measure_process(node, sink)
-        sent.append((count, usage.messages))
-        spent.append((usage.messages, usage.cpu))
-        held.append((count, float(usage.private)))
+        message_points.append((count, usage.messages))
+        cpu_points.append((usage.messages, usage.cpu))
+        memory_points.append((count, float(usage.private)))
     name = "router" if role == "sidecar" else "sidecar"
     return [
         probe.fit_slope(
             f"{role}-peer-messages",
             f"{role}: messages sent per listed {name}, idle",
             "1/s",
-            sent,
+            message_points,
         ),
         probe.fit_slope(
-            f"{role}-send-cpu", f"{role}: a message sent", "us", spent, 1e6
+            f"{role}-send-cpu", f"{role}: a message sent", "us", cpu_points, 1e6
         ),
         probe.fit_slope(
             f"{role}-peer-memory",
             f"{role}: private memory per listed {name}",
             "bytes",
-            held,
+            memory_points,
         ),
         probe.Measure(
             f"{role}-message-size",
@@ -309,7 +311,7 @@
     fleet: fleet_module.Fleet, node: fleet_module.Node
 ) -> list[probe.Measure]:
     """Measures processor time and memory per team of an adopted text."""
-    spent, held = [], []
+    cpu_points, memory_points = [], []
     for count in TEAM_COUNTS:
         fleet_module.publish_text(fleet, capacity_state.build_text(count))
         before = probe.read_cpu(node.process.pid)
@@ -320,22 +322,24 @@
             ),
             "the text in force",
         )
-        spent.append((count, probe.read_cpu(node.process.pid) - before))
-        held.append((count, float(probe.read_private(node.process.pid))))
+        cpu_points.append((count, probe.read_cpu(node.process.pid) - before))
+        memory_points.append(
+            (count, float(probe.read_private(node.process.pid)))
+        )
     role = node.role if node.role == "router" else "sidecar"
     return [
         probe.fit_slope(
             f"{role}-adopt-cpu",
             f"{role}: a text taken into force, per team",
             "us",
-            spent,
+            cpu_points,
             1e6,
         ),
         probe.fit_slope(
             f"{role}-adopt-memory",
             f"{role}: private memory per team of the text",
             "bytes",
-            held,
+            memory_points,
         ),
     ]
 
--- a/benchmarks/capacity_datapath.py
+++ b/benchmarks/capacity_datapath.py
@@ -92,7 +92,9 @@
     gaps: list[float] = dataclasses.field(default_factory=list)
 
 
-async def _call(session, port: int, request: str, tokens: int, count) -> None:
+async def _stream_response(
+    session, port: int, request: str, tokens: int, count
+) -> None:
     content = {"id": request, "team": "mill-a", "tokens": tokens}
     body = {
         "model": "assistant",
@@ -113,10 +115,10 @@
             last, end = now, (end + piece)[-16:]
             seen += events
             count.tokens += events
-        whole = answer.status == 200 and end.endswith(b"data: [DONE]\n\n")
+        complete = answer.status == 200 and end.endswith(b"data: [DONE]\n\n")
     # A response has two events besides its tokens: a usage record and the
     # end marker.
-    count.wrong += not (whole and seen == tokens + 2)
+    count.wrong += not (complete and seen == tokens + 2)
     count.requests += 1
 
 
@@ -139,7 +141,7 @@
         await asyncio.sleep(WARM_UP / 2 * index / load.streams)
         while True:
             name = f"r{next(numbers)}"
-            await _call(session, port, name, load.tokens, count)
+            await _stream_response(session, port, name, load.tokens, count)
 
     async with aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0),
@@ -150,11 +152,11 @@
             for index in range(load.streams)
         ]
         await asyncio.sleep(WARM_UP)
-        begun, before = time.monotonic(), read()
+        started_at, before = time.monotonic(), read()
         count.requests = count.tokens = count.wrong = 0
         count.gaps.clear()
         await asyncio.sleep(SECONDS)
-        duration, after = time.monotonic() - begun, read()
+        duration, after = time.monotonic() - started_at, read()
         counted = dataclasses.replace(count, gaps=list(count.gaps))
         for caller in callers:
             caller.cancel()
@@ -182,19 +184,19 @@
     count, before, after, duration = asyncio.run(
         _run_load(router.data, load, read)
     )
-    spent = [b - a for a, b in zip(before, after, strict=True)]
+    used = [b - a for a, b in zip(before, after, strict=True)]
     return LoadResult(
         load,
         count.requests / duration,
         count.tokens / duration,
         count.wrong,
         _compute_gap_p95(count.gaps),
-        spent[0] / duration,
-        spent[1] / duration,
+        used[0] / duration,
+        used[1] / duration,
         after[3],
         after[4],
-        spent[2] / duration,
-        spent[5] / duration,
+        used[2] / duration,
+        used[5] / duration,
     )
 
 
@@ -287,19 +289,19 @@
 
 def _fit_role(role: str, short, long, rising) -> list[probe.Measure]:
     """Fits the costs of one role: per request, token and open stream."""
-    spent = lambda result: getattr(result, role)  # noqa: E731
+    get_cpu = lambda result: getattr(result, role)  # noqa: E731
     request = probe.fit_slope(
         f"{role}-request-cpu",
         f"{role}: a request of one token",
         "ms",
-        [(r.requests, spent(r)) for r in short],
+        [(r.requests, get_cpu(r)) for r in short],
         1e3,
     )
     token = probe.fit_slope(
         f"{role}-token-cpu",
         f"{role}: a token, its share of a request of 250 included",
         "us",
-        [(r.tokens, spent(r)) for r in long],
+        [(r.tokens, get_cpu(r)) for r in long],
         1e6,
     )
     stream = probe.fit_slope(
--- a/benchmarks/capacity_spreading.py
+++ b/benchmarks/capacity_spreading.py
@@ -82,21 +82,21 @@
     """Measures reads per second, during a simultaneous start and afterwards."""
     counts = count_reads()
     later = counts[300:]
-    how = f"{NODES} schedules, {SECONDS:g} s, all started at once"
+    conditions = f"{NODES} schedules, {SECONDS:g} s, all started at once"
     return [
         probe.Measure(
             "platform-reads-start",
             "reads of the platform in the worst second of a start of all",
             max(counts[:300]),
             "1/s",
-            how,
+            conditions,
         ),
         probe.Measure(
             "platform-reads-mean",
             "reads of the platform by all processes, mean of later seconds",
             sum(later) / len(later),
             "1/s",
-            f"worst later second {max(later)}; {how}",
+            f"worst later second {max(later)}; {conditions}",
         ),
     ]
 
@@ -129,17 +129,17 @@
     # The receiver is another process, which has not parsed the changed block.
     text_module._parse_block.cache_clear()
     receiver = build_replica("entry-001", text, 1)
-    begun = time.process_time()
+    started_at = time.process_time()
     request = offers.create_offer_request(receiver)
     offer = offers.create_offer(sender, request)
     wanted = offers.create_block_request(receiver, offer)
     blocks = offers.collect_blocks(sender, wanted)
-    _, whole = offers.apply_offer(receiver, offer, blocks)
-    spent = time.process_time() - begun
-    if not whole or receiver.versions.in_force != 2:
+    _, complete = offers.apply_offer(receiver, offer, blocks)
+    cpu_time = time.process_time() - started_at
+    if not complete or receiver.versions.in_force != 2:
         raise RuntimeError("the change did not arrive")
     sizes = map(len, map(msgspec.msgpack.encode, (offer, blocks)))
-    return float(sum(sizes)), spent
+    return float(sum(sizes)), cpu_time
 
 
 def measure_changes() -> list[probe.Measure]:
@@ -151,8 +151,8 @@
         for n, (size, _) in zip(counts, transferred, strict=True)
     )
     times = ", ".join(
-        f"{n}: {spent:.4f}"
-        for n, (_, spent) in zip(counts, transferred, strict=True)
+        f"{n}: {cpu_time:.4f}"
+        for n, (_, cpu_time) in zip(counts, transferred, strict=True)
     )
     return [
         probe.Measure(
--- a/benchmarks/capacity_state.py
+++ b/benchmarks/capacity_state.py
@@ -126,9 +126,9 @@
     state = configuration.VersionState()
     # A process that has just started has parsed no block yet.
     text_module._parse_block.cache_clear()
-    begun = time.process_time()
+    started_at = time.process_time()
     configuration.submit_text(state, 1, text)
-    return time.process_time() - begun
+    return time.process_time() - started_at
 
 
 def measure_list(count: int) -> tuple[float, float]:
@@ -139,10 +139,10 @@
     """
     data = msgspec.json.encode(membership.VmList(2, build_vms(count)))
     directory = build_directory(count)
-    begun = time.process_time()
+    started_at = time.process_time()
     vms = msgspec.json.decode(data, type=membership.VmList)
     membership.apply_vm_list(directory, vms)
-    return float(len(data)), time.process_time() - begun
+    return float(len(data)), time.process_time() - started_at
 
 
 def measure() -> list[probe.Measure]:
@@ -192,7 +192,7 @@
             "list-time",
             "decoding a VM of the list and taking it into use",
             "us",
-            list(zip(counts, (spent for _, spent in read), strict=True)),
+            list(zip(counts, (cpu_time for _, cpu_time in read), strict=True)),
             1e6,
         ),
     ]
@@ -202,7 +202,7 @@
     """Measures size, memory and parse time per team of a text."""
     sizes = [(n, float(len(build_text(n)))) for n in (1000, 2000, 4000)]
     pauses = [(n, measure_parse(n)) for n in (4000, 8000, 16000)]
-    whole = measure_parse(TEAMS)
+    largest_pause = measure_parse(TEAMS)
     size = len(build_text(TEAMS))
     return [
         probe.fit_slope(
@@ -220,7 +220,7 @@
         probe.Measure(
             "parse-pause",
             f"parse of {TEAMS} teams, the loop stands still",
-            whole,
+            largest_pause,
             "s",
             f"one text of {size} bytes; a value holds {MAX_TEXT_BYTES}",
         ),
--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -70,9 +70,9 @@
 
     def run_loop_once(self) -> None:
         """Runs one iteration of the loop and adds its processor time."""
-        begun = time.thread_time()
+        started_at = time.thread_time()
         self._loop.tick(0.0)
-        self.seconds += time.thread_time() - begun
+        self.seconds += time.thread_time() - started_at
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -107,14 +107,14 @@
         run = _send_on_kept_connection if kept else _send_on_new_connections
         run(measured, requests // 5)
         gc.collect()
-        taken = []
+        costs = []
         for _ in range(repeats):
             measured.seconds = 0.0
             run(measured, requests)
-            taken.append(measured.seconds / requests * 1e6)
+            costs.append(measured.seconds / requests * 1e6)
         measured.server.server.close()
         _run_loop_until(measured, lambda: not measured.server._connections)
-    return Cost(idle, kept, min(taken))
+    return Cost(idle, kept, min(costs))
 
 
 def _open_idle_connections(
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -70,7 +70,7 @@
 
 def measure(case: world.Case) -> dict:
     """Runs a case and computes its figures."""
-    return summarize(case, world.World(case).run())
+    return summarize(case, world.Simulation(case).run())
 
 
 SLOPES = {
--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -158,9 +158,11 @@
         self.send(self.create_run(request, False))
 
     def send(self, run: _Run) -> None:
-        known = self.quarantines[run.router]
-        if quarantine_module.is_quarantined(known, run.request):
-            quarantine_module.extend_quarantine(known, self.now, run.request)
+        quarantine = self.quarantines[run.router]
+        if quarantine_module.is_quarantined(quarantine, run.request):
+            quarantine_module.extend_quarantine(
+                quarantine, self.now, run.request
+            )
             self.outcome.refused += not run.harmful
             return
         live = [
@@ -176,16 +178,16 @@
         if run.harmful:
             self.schedule(self.now + CRASH_DELAY, self.crash_by_request, run)
         else:
-            took = self.random.expovariate(1 / MEAN_RUN_TIME)
-            self.schedule(self.now + took, self.complete, run, run.sends)
+            run_time = self.random.expovariate(1 / MEAN_RUN_TIME)
+            self.schedule(self.now + run_time, self.complete, run, run.sends)
 
     def complete(self, run: _Run, send_number: int) -> None:
         if run.sends != send_number or run not in self.running[run.engine]:
             return
         self.running[run.engine].discard(run)
         self.outcome.served += 1
-        known = self.quarantines[run.router]
-        quarantine_module.clear_request(known, self.now, run.request)
+        quarantine = self.quarantines[run.router]
+        quarantine_module.clear_request(quarantine, self.now, run.request)
         self.send_evidence(run.router)
 
     def crash_by_request(self, run: _Run) -> None:
@@ -200,18 +202,20 @@
         self.starts[engine] += 1
         self.down.add(engine)
         self.schedule(self.now + RESTART_TIME, self.down.discard, engine)
-        lost, self.running[engine] = self.running[engine], set()
-        ordered = sorted(lost, key=lambda run: (run.router, run.request))
-        again = [run for run in ordered if self.may_go_again(run)]
+        interrupted, self.running[engine] = self.running[engine], set()
+        ordered = sorted(interrupted, key=lambda run: (run.router, run.request))
+        retried = [run for run in ordered if self.may_retry(run)]
         for router, runs in itertools.groupby(ordered, lambda run: run.router):
             requests = sorted({run.request for run in runs})
-            found = [Evidence(crash, one, False, self.now) for one in requests]
-            self.receive_evidence(router, found)
-            known = self.quarantines[router]
-            known.unsent += ((crash, request) for request in requests)
+            evidence = [
+                Evidence(crash, one, False, self.now) for one in requests
+            ]
+            self.receive_evidence(router, evidence)
+            quarantine = self.quarantines[router]
+            quarantine.unsent += ((crash, request) for request in requests)
             self.send_evidence(router)
         for run in ordered:
-            if run in again:
+            if run in retried:
                 self.send(run)
             elif not run.harmful and run.caller_retries < CALLER_RETRIES:
                 retry = self.create_run(
@@ -219,30 +223,30 @@
                 )
                 self.schedule(self.now + 0.1, self.send, retry)
 
-    def may_go_again(self, run: _Run) -> bool:
+    def may_retry(self, run: _Run) -> bool:
         if run.sends > self.scenario.retries:
             return False
-        known = self.quarantines[run.router]
-        count = quarantine_module.count_crashes(known, run.request)
+        quarantine = self.quarantines[run.router]
+        count = quarantine_module.count_crashes(quarantine, run.request)
         return not self.scenario.limit_suspects or count == 0
 
     def send_evidence(self, router: int) -> None:
-        known = self.quarantines[router]
-        records, known.unsent = known.unsent, []
-        found = list(quarantine_module.list_evidence(known, records))
-        if found:
+        quarantine = self.quarantines[router]
+        records, quarantine.unsent = quarantine.unsent, []
+        evidence = list(quarantine_module.list_evidence(quarantine, records))
+        if evidence:
             for other in range(self.scenario.routers):
                 if other != router:
                     self.schedule(
                         self.now + EXCHANGE_DELAY,
                         self.receive_evidence,
                         other,
-                        found,
+                        evidence,
                     )
 
-    def receive_evidence(self, router: int, found: list[Evidence]) -> None:
+    def receive_evidence(self, router: int, evidence: list[Evidence]) -> None:
         _, added = quarantine_module.add_evidence(
-            self.quarantines[router], self.now, found
+            self.quarantines[router], self.now, evidence
         )
         self.outcome.quarantined |= {
             one for one in added if not one.startswith(b"harmful")
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class World:
+class Nodes:
     """A router and a sidecar of its first service.
 
     Attributes:
@@ -97,16 +97,16 @@
     return membership.VmList(1, (*routers, *upstreams))
 
 
-def admit(world: World, team: str, service: str = "model-0") -> int:
+def admit(nodes: Nodes, team: str, service: str = "model-0") -> int:
     """Admits a request at the router, and returns its number."""
     new = state_module.NewRequest(
         service, team, "POST", "/", (), 1000.0, idempotent=True
     )
-    number, _ = intake.admit_request(world.router, 1.0, new)
+    number, _ = intake.admit_request(nodes.router, 1.0, new)
     return number
 
 
-def create_world(teams: int, spread: bool) -> World:
+def create_nodes(teams: int, spread: bool) -> Nodes:
     """Creates a router and a sidecar with a tenth of the teams backlogged.
 
     Args:
@@ -115,58 +115,58 @@
             otherwise all of them wait for one service.
 
     Returns:
-        The world, at time 1.
+        The nodes, at time 1.
     """
-    world = World(
+    nodes = Nodes(
         state_module.RouterState(ROUTER, 1),
         sidecar_state.create_state("engine-0", 1, "model-0"),
         [f"team-{index}" for index in range(0, teams, TEAMS_PER_BACKLOG)],
         itertools.count(1),
     )
     in_force = _create_configuration(teams)
-    for state in (world.router, world.sidecar):
+    for state in (nodes.router, nodes.sidecar):
         state.versions.configuration = in_force
         membership.apply_vm_list(state.directory, _list_vms(teams))
-    sidecar_core.apply_configuration(world.sidecar)
+    sidecar_core.apply_configuration(nodes.sidecar)
     for index in range(UPSTREAMS[teams]):
         membership.record_peer_message(
-            world.router.directory, 1.0, f"engine-{index}", 1, False
+            nodes.router.directory, 1.0, f"engine-{index}", 1, False
         )
-    for index, team in enumerate(world.backlogged):
+    for index, team in enumerate(nodes.backlogged):
         service = f"model-{index % SERVICES if spread else 0}"
         for _ in range(REQUESTS_PER_BACKLOG):
-            admit(world, team, service)
+            admit(nodes, team, service)
     own = [
-        team for team in world.backlogged if _has_waiting_requests(world, team)
+        team for team in nodes.backlogged if _has_waiting_requests(nodes, team)
     ]
-    announce(world, own, sequence=1)
+    announce(nodes, own, sequence=1)
     for state, run in (
-        (world.router, core.run_timers),
-        (world.sidecar, sidecar_core.run_timers),
+        (nodes.router, core.run_timers),
+        (nodes.sidecar, sidecar_core.run_timers),
     ):
         run(state, 1.0)
-    return world
+    return nodes
 
 
-def _has_waiting_requests(world: World, team: str) -> bool:
-    return team in world.router.waiting.queues["model-0"]
+def _has_waiting_requests(nodes: Nodes, team: str) -> bool:
+    return team in nodes.router.waiting.queues["model-0"]
 
 
-def announce(world: World, teams: list[str], sequence: int) -> None:
+def announce(nodes: Nodes, teams: list[str], sequence: int) -> None:
     """Sends the sidecar an announcement of teams with waiting requests."""
     entries = tuple(messages.TeamWaiting(team, 3, 0.1) for team in teams)
     message = messages.Waiting("model-0", sequence, entries, False)
     envelope = messages.Envelope(ROUTER, 1, 1, message)
-    sidecar_core.receive_message(world.sidecar, 1.0, envelope)
+    sidecar_core.receive_message(nodes.sidecar, 1.0, envelope)
 
 
-def list_steps(world: World) -> dict[str, Callable[[int], None]]:
+def list_steps(nodes: Nodes) -> dict[str, Callable[[int], None]]:
     """Lists the steps of a request; each call performs a step once.
 
     Returns:
         Functions of a serial number, by name, to be called in this order.
     """
-    router, sidecar = world.router, world.sidecar
+    router, sidecar = nodes.router, nodes.sidecar
     names = [
         f"team-{i}" for i in range(len(router.versions.configuration.teams))
     ]
@@ -178,8 +178,8 @@
         sweep.sweep_waiting(router, 1.0)
 
     def take_announcement(serial: int) -> None:
-        team = world.backlogged[serial * SERVICES % len(world.backlogged)]
-        announce(world, [team], sequence=serial + 2)
+        team = nodes.backlogged[serial * SERVICES % len(nodes.backlogged)]
+        announce(nodes, [team], sequence=serial + 2)
 
     def choose_and_claim(serial: int) -> None:
         sidecar.limit.cap = len(sidecar.claims.open) + 1
@@ -209,7 +209,7 @@
 
     return {
         "admit (router)": lambda n: (
-            admit(world, names[n * 7 % len(names)]) and None
+            admit(nodes, names[n * 7 % len(names)]) and None
         ),
         "run timers (router)": lambda n: (
             core.run_timers(router, 1.0 + n * 1e-6) and None
@@ -242,19 +242,19 @@
 
 def measure_calls(teams: int, spread: bool, repeats: int = 50) -> dict:
     """Measures the number of function calls of each step."""
-    steps = list_steps(create_world(teams, spread))
+    steps = list_steps(create_nodes(teams, spread))
     return {name: count_calls(step, repeats) for name, step in steps.items()}
 
 
 def measure_time(teams: int, spread: bool) -> dict:
     """Measures the processor time of each step, in microseconds."""
     costs = {}
-    for name, step in list_steps(create_world(teams, spread)).items():
-        begun = time.process_time()
+    for name, step in list_steps(create_nodes(teams, spread)).items():
+        started_at = time.process_time()
         for serial in range(REPEATS):
             step(serial)
-        spent = time.process_time() - begun
-        costs[name] = round(spent / REPEATS * 1e6, 1)
+        cpu_time = time.process_time() - started_at
+        costs[name] = round(cpu_time / REPEATS * 1e6, 1)
     return costs
 
 
@@ -262,10 +262,10 @@
     """Measures the memory of router and sidecar, and of the configuration."""
     tracemalloc.start()
     try:
-        world = create_world(teams, spread=True)
+        nodes = create_nodes(teams, spread=True)
         total = tracemalloc.get_traced_memory()[0]
-        in_force = world.router.versions.configuration
-        del world
+        in_force = nodes.router.versions.configuration
+        del nodes
         configured = tracemalloc.get_traced_memory()[0]
         del in_force
     finally:
--- a/benchmarks/direct.py
+++ b/benchmarks/direct.py
@@ -135,9 +135,12 @@
     freshness.record_proof(state.freshness, NOW)
     _fill_caches(router)
     _start_own_requests(router)
-    left = SLOTS - size.running_per_engine if others is None else others
+    others_per_engine = (
+        SLOTS - size.running_per_engine if others is None else others
+    )
     router.full_loads = [
-        _create_full_load(router, n, left) for n in range(1, size.routers)
+        _create_full_load(router, n, others_per_engine)
+        for n in range(1, size.routers)
     ]
     for envelope in router.full_loads:
         exchange.handle_load(load_exchange, state, NOW, envelope)
@@ -218,8 +221,8 @@
         team = number % router.size.waiting_teams
         target = router.random.choice(TARGETS)
         incoming = create_request(router, team, target)
-        taken, _ = core.handle_request(router.state, NOW, incoming)
-        outcomes.record_response(router.state, NOW, taken, first=True)
+        request, _ = core.handle_request(router.state, NOW, incoming)
+        outcomes.record_response(router.state, NOW, request, first=True)
 
 
 def _create_full_load(
@@ -288,18 +291,18 @@
     """
     state, load_exchange, size = router.state, router.load_exchange, router.size
     service = state.catalog.services["engine-0"]
-    waiting_ones = [one for one in state.requests.values() if not one.attempt]
-    idle = dataclasses.replace(
-        state, requests={one.number: one for one in waiting_ones}, running=0
+    waiting = [one for one in state.requests.values() if not one.attempt]
+    idle_state = dataclasses.replace(
+        state, requests={one.number: one for one in waiting}, running=0
     )
-    one = waiting_ones[len(waiting_ones) // 2]
+    request = waiting[len(waiting) // 2]
     queued = _create_router_with_queues(size)
-    constraints = placement_constraints.compute_constraints(state, NOW, one)
+    constraints = placement_constraints.compute_constraints(state, NOW, request)
     group = dispatching._measure_free_engines(state, NOW, "engine-0")
-    target = state.table.by_service["engine-0"][0]
+    engine = state.table.by_service["engine-0"][0]
     sequences = itertools.count(2)
     senders = itertools.cycle(router.full_loads)
-    change = router.full_loads[0].message.upstreams[:3]
+    partial = router.full_loads[0].message.upstreams[:3]
 
     def build_full_load():
         load_exchange.own_group.due = 0.0
@@ -319,7 +322,7 @@
 
     def handle_partial_load():
         load = messages.RouterLoad(
-            next(sequences), "", upstreams=change, whole=False
+            next(sequences), "", upstreams=partial, whole=False
         )
         later = messages.Envelope(router.full_loads[0].sender, 1, 1, load)
         exchange.handle_load(load_exchange, state, NOW, later)
@@ -331,10 +334,10 @@
         core.cancel_request(state, number, NOW)
 
     def apply_catalog():
-        known = dataclasses.replace(
+        new_catalog = dataclasses.replace(
             state.catalog, version=state.catalog.version + 1
         )
-        core.apply_catalog(state, NOW, known)
+        core.apply_catalog(state, NOW, new_catalog)
 
     return {
         "write whole message": build_full_load,
@@ -347,22 +350,22 @@
         "the same, slots but long queues": lambda: (
             dispatching.send_waiting_requests(queued, NOW)
         ),
-        "try a request": lambda: dispatching.try_send(state, NOW, one),
+        "try a request": lambda: dispatching.try_send(state, NOW, request),
         "describe a need": lambda: placement_constraints.compute_constraints(
-            state, NOW, one
+            state, NOW, request
         ),
         "choose an engine": lambda: upstream_selection.choose_upstream(
             state.table, NOW, service, constraints, "a", group
         ),
         "choose a source": lambda: fetching.choose_source(
-            state.table, NOW, service, one.incoming.prompt, target
+            state.table, NOW, service, request.incoming.prompt, engine
         ),
         "take and cancel": submit_and_cancel,
         "explain a refusal": lambda: dispatching.explain_refusal(
-            state, NOW, one
+            state, NOW, request
         ),
         "find what is due next": lambda: core.find_next_due(state),
-        "the same, nothing runs": lambda: core.find_next_due(idle),
+        "the same, nothing runs": lambda: core.find_next_due(idle_state),
         "check for stalls": lambda: stalls.handle_stalls(state, NOW),
         f"apply a catalog, {size.waiting_teams} teams wait": apply_catalog,
     }
@@ -373,11 +376,11 @@
     step()
     costs = []
     for _ in range(ROUNDS):
-        begun, count = time.process_time(), 0
-        while (spent := time.process_time() - begun) < ROUND_TIME:
+        started_at, count = time.process_time(), 0
+        while (cpu_time := time.process_time() - started_at) < ROUND_TIME:
             step()
             count += 1
-        costs.append(spent / count)
+        costs.append(cpu_time / count)
     return round(min(costs) * 1e6, 1)
 
 
--- a/benchmarks/tests/test_capacity.py
+++ b/benchmarks/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity table says what was measured, and what wasn't."""
+"""Tests of the fitted costs and the tables of the capacity benchmark."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 def test_missing_measure_is_named_and_not_guessed():
-    """A page with a guessed value would pass for a measured one."""
+    """A default value would be mistaken for a measured one."""
     lines = capacity_projection.format_estimates([])
     rows = [line for line in lines if "`" in line]
     assert rows
--- a/benchmarks/tests/test_connections.py
+++ b/benchmarks/tests/test_connections.py
@@ -1,21 +1,22 @@
-"""A request's cost doesn't depend on how many connections are open."""
+"""Test that the cost of a request is independent of idle connections."""
 
 from benchmarks import connections
 
 MAX_COST_RATIO = 1.4
-"""Growth from 10 idle connections to 3,000 that still passes: 1.7 and 1.8
-were measured with lists of sockets, 0.9 and 1.0 without."""
+"""Largest accepted ratio of the cost with 3,000 idle connections to that with
+10: 1.7 and 1.8 were measured with lists of sockets, 0.9 and 1.0 without."""
 
 
 def test_idle_connections_do_not_make_requests_dear():
-    """A crowd's open connections don't slow down everybody's requests.
+    """Idle connections do not delay requests on other connections.
 
-    Thousands of callers keep their connections; each event of the loop then
-    looked through the list of them all, and a small router became late by
-    tenths of a second though it had no more to answer than before.
+    Guards against an event loop that searches the list of all connections on
+    each event. With thousands of persistent connections, such a loop delayed a
+    small router by tenths of a second under an unchanged request rate.
     """
     connections.raise_descriptor_limit()
-    # By turns: the machine's own speed changes by half within seconds.
+    # The two cases alternate, as the speed of the machine changes by half
+    # within seconds.
     few, many = zip(
         *([measure(10), measure(3_000)] for _ in range(3)), strict=True
     )
--- a/benchmarks/tests/test_decisions.py
+++ b/benchmarks/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""The cost of a decision must not grow with the number of teams."""
+"""Tests that the cost of a decision does not grow with the number of teams."""
 
 import pytest
 
@@ -26,10 +26,10 @@
 
 
 def test_sweep_looks_at_a_bounded_number_of_queues(calls):
-    """3,100 backlogged teams, looked at four times a second.
+    """The sweep examines a bounded number of queues in turn.
 
-    Looking at all of them each time would take the router's loop away from
-    callers; the queues are taken in turns.
+    The sweep runs four times a second. Guards against a sweep of all queues:
+    with 3,100 backlogged teams it would block the router's event loop.
     """
     most = {teams: cost["sweep (router)"] for teams, cost in calls.items()}
     assert most[31000] <= 3.0 * most[1600]
--- a/benchmarks/tests/test_direct.py
+++ b/benchmarks/tests/test_direct.py
@@ -1,4 +1,4 @@
-"""Quick ways to a decision must decide as looking at everything does."""
+"""Tests that optimized decisions equal those of an exhaustive search."""
 
 import collections
 import dataclasses
@@ -26,7 +26,7 @@
 
 
 def create_mixed_router(seed):
-    """Creates a router whose engines are full, router, idle or barred."""
+    """Creates a router with full, loaded, idle and suspended engines."""
     rng = random.Random(seed)
     others = rng.choice([0, 8, 20, 28])
     odd = rng.choice([0.0, 0.2])
@@ -56,7 +56,7 @@
 
 
 def compute_floors_exhaustively(state):
-    """Finds the floors by looking at every engine for every candidate."""
+    """Computes the floors by examining every engine for every candidate."""
     floors = {}
     service = state.catalog.services["engine-0"]
     queue, accounts = (
@@ -87,9 +87,9 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_floors_are_those_of_a_look_at_everything(seed):
-    # The other routers fill an engine that a team waits for here, or leave
-    # one empty that nobody waits for. Cause: the stop once every engine has
-    # its floor leaves out one, or gives one another team's floor.
+    # Guards against an early stop, once every engine has a floor, that omits
+    # an engine or assigns the floor of another team. Other routers would then
+    # fill an engine that a team awaits here, or avoid one that nobody awaits.
     state = create_mixed_router(seed).state
     assert service_floors.compute_floors(
         state, direct.NOW
@@ -97,7 +97,7 @@
 
 
 def test_floors_differ_between_the_states():
-    # Guards the test above against states in which nothing is decided.
+    # Ensures that the states of the test above have floors to compare.
     found = [
         service_floors.compute_floors(
             create_mixed_router(seed).state, direct.NOW
@@ -110,7 +110,7 @@
 
 
 def send_exhaustively(state):
-    """Looks at waiting requests, listing the engines anew for each."""
+    """Sends waiting requests, listing the engines again for each request."""
     sent = []
     queue, accounts = (
         state.service_queues["engine-0"],
@@ -139,8 +139,9 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_look_sends_what_single_tries_send(seed):
-    # A waiting request goes to an engine that the one before it just filled.
-    # Cause: the look goes by what engines had before that send.
+    # Guards against a pass that uses the engine loads from before its own
+    # sends: a waiting request would go to an engine that the previous one
+    # has just filled.
     first, second = (create_mixed_router(seed).state for _ in range(2))
     batch = dispatching.send_waiting_requests(first, direct.NOW)
     single = send_exhaustively(second)
@@ -151,7 +152,7 @@
 
 
 def test_looks_send_in_some_states():
-    # Guards the test above against states in which nothing is sent.
+    # Ensures that requests are sent in the states of the test above.
     counts = [
         len(
             dispatching.send_waiting_requests(
@@ -165,8 +166,9 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_refusals_count_what_each_engine_has_in_the_way(seed):
-    # Operators read of full engines where parts would be read again, and look
-    # for the cause in the wrong place.
+    # Guards against refusals that name the wrong obstacle, such as full
+    # engines instead of parts that would be computed again: operators would
+    # look for the wrong cause.
     state = create_mixed_router(seed).state
     service = state.catalog.services["engine-0"]
     waiting_ones = [one for one in state.requests.values() if not one.attempt]
@@ -200,7 +202,7 @@
 
 
 def list_prefiltered(state):
-    """Lists for each waiting request the engines that get no look."""
+    """Lists the engines that the prefilter excludes, by waiting request."""
     group = dispatching._measure_free_engines(state, direct.NOW, "engine-0")
     for request in state.requests.values():
         if request.attempt is None:
@@ -216,8 +218,9 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_engine_that_gets_no_look_has_no_room(seed):
-    # A request waits, and is refused, though an engine could take it. Cause:
-    # what is true of most engines is taken for true of all.
+    # Guards against a request that waits or is refused although an engine
+    # could take it, because a bound that holds for most engines is applied to
+    # all of them.
     state = create_mixed_router(seed).state
     engine = state.catalog.services["engine-0"].engine
     for constraints, _, excluded in list_prefiltered(state):
@@ -229,7 +232,8 @@
 
 
 def test_states_leave_out_all_or_some_or_no_engines():
-    # Guards the test above against states that all look alike.
+    # Ensures that the states of the test above cover all outcomes of the
+    # prefilter.
     kinds = collections.Counter(
         (bool(possible), bool(excluded))
         for seed in SEEDS
--- a/benchmarks/tests/test_fairness.py
+++ b/benchmarks/tests/test_fairness.py
@@ -1,7 +1,7 @@
-"""Regression bounds of the benchmarks, on a small fleet.
+"""Regression bounds on the fairness benchmark, on a small fleet.
 
-All figures follow from the seed and the decisions alone, so the bounds are
-cost units and ratios, never wall time.
+All figures follow from the seed and the decisions, so the bounds are cost units
+and ratios, not wall time.
 """
 
 import dataclasses
@@ -19,8 +19,11 @@
     "weights": 1.0,
     "hints": 1.5,
 }
-"""Regression bounds on the gap, in largest requests. A flooding team fills
-every slot before the others come, hence its larger figure."""
+"""Regression bounds on the gap, as a multiple of the largest request.
+
+The bound of `flood` is larger, as the flooding team fills every slot before the
+other teams send requests.
+"""
 
 
 def measure(name, options):
@@ -38,9 +41,9 @@
 
 
 def test_large_team_on_one_router_gets_no_more_than_its_share():
-    # The members' clerks of one large team all reach the same router. With
-    # queues at each router that team's share would be bounded by a router's
-    # part of the slots, and small teams elsewhere would be served far more.
+    # All requests of a large team arrive at the same router. With separate
+    # queues at each router, the team would be limited to that router's part
+    # of the slots, and small teams at other routers would be served far more.
     options = dataclasses.replace(SMALL, seconds=480.0)
     own, local, push, first = fairness.compare_policies(
         loads.CASES["skewed"], options
@@ -50,8 +53,8 @@
 
 
 def test_gap_does_not_grow_with_time():
-    # A policy that is unfair by a rate, or by chance that adds up, shows a
-    # gap that grows with the run.
+    # Guards against a constant rate of unfairness and against accumulating
+    # random differences: with either, the gap grows with the run's duration.
     options = dataclasses.replace(SMALL, seconds=640.0)
     own, local, *_ = fairness.compare_policies(loads.CASES["even"], options)
     limit = 1.5 * loads.LARGEST_COST
@@ -64,10 +67,10 @@
 
 
 def test_sidecars_cut_off_from_some_routers_serve_the_others():
-    # A partition leaves half of the upstreams with one router. They still
-    # hold announcements of the other routers; were they to claim that work
-    # again and again, each slot would be idle for a lease at a time while
-    # the reachable router's callers wait.
+    # During a partition, half of the upstreams reach only one router, but
+    # their sidecars still hold announcements of the other routers. If they
+    # kept claiming that work, each claim would leave a slot idle for a lease
+    # while callers of the reachable router wait.
     options = dataclasses.replace(SMALL, routers=4)
     assert measure("partition", options).lost < 0.06
 
--- a/benchmarks/tests/test_generated_loads.py
+++ b/benchmarks/tests/test_generated_loads.py
@@ -1,4 +1,4 @@
-"""The gap's bound and the end of every wait, for generated loads."""
+"""Property tests on generated loads: the gap is bounded, every wait ends."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -10,7 +10,7 @@
 OPTIONS = fleet.Options(routers=2, upstreams=3, slots=2, seconds=32.0)
 
 LONGEST_PAUSE = 20.0
-"""Seconds; a team that starves waits for at least 24."""
+"""Longest accepted pause in seconds; a starving team waits at least 24 s."""
 
 senders = st.builds(
     loads.Sender,
--- a/benchmarks/tests/test_placing.py
+++ b/benchmarks/tests/test_placing.py
@@ -1,11 +1,11 @@
-"""Regression bounds on what the policies of direct sending bring.
-
-The pattern: prompts with heavy-tailed lengths whose shared parts don't all fit
-into the engines' caches, two kinds of patient requests beside one that is due
-soon, callers of unequal patience, a router that gets half of all requests, one
-team that asks for half of them. Each bound is a ratio over two seeds, with
-half of the measured difference left for changes elsewhere; the figures are in
-docs/policies-measured.md.
+"""Regression bounds on the benefit of each policy of direct sending.
+
+The load: prompts with heavy-tailed lengths whose shared parts exceed the
+engines' caches, two kinds of requests with a long target latency and one with a
+short one, callers of unequal patience, a router that receives half of all
+requests, and a team that sends half of them. Each bound is a ratio over two
+seeds and leaves half of the measured difference as a margin for other changes.
+The figures are in docs/policies-measured.md.
 """
 
 import functools
@@ -25,23 +25,23 @@
 
 
 def test_fetching_spares_engines_reading():
-    # Engines read parts again that the one next to them holds, and callers
-    # behind that are late.
+    # Without fetching, engines recompute parts that another engine has cached,
+    # which delays the prompts queued behind.
     shipped, without = measure(OVERLOAD), measure(OVERLOAD, "nothing fetched")
     assert shipped.again <= 0.92 * without.again
     assert shipped.total >= 1.02 * without.total
 
 
 def test_telling_prompts_keeps_parts_where_they_are():
-    # Each router counts on its own sends only. It takes engines that hold a
-    # part for ones that must read it, and the other way round.
+    # Without reports of prompts, each router knows only its own requests, and
+    # misjudges which engines have a part cached.
     shipped, without = measure(OVERLOAD), measure(OVERLOAD, "no prompts told")
     assert shipped.total >= 1.06 * without.total
 
 
 def test_bounded_queues_leave_urgent_prompts_room():
-    # Patient short questions fill the engines' queues; long reports due soon
-    # fit nowhere and are refused.
+    # Without the bound, short questions with a long target latency fill the
+    # engines' queues, and long reports with a short one are refused.
     shipped = measure(OVERLOAD)
     without = measure(OVERLOAD, "queues not bounded")
     assert shipped.urgent >= 1.12 * without.urgent
@@ -49,8 +49,8 @@
 
 
 def test_little_patience_is_not_taken_for_age():
-    # New callers with less patience than others count as late before they are
-    # sent, and wait for idle engines.
+    # Otherwise new requests of callers with less patience count as late before
+    # they are sent, and wait for idle engines.
     shipped = measure(OVERLOAD)
     without = measure(OVERLOAD, "little patience is age")
     assert shipped.total >= 1.09 * without.total
@@ -75,8 +75,8 @@
 
 
 def test_light_load_is_served_whole():
-    # Far below what the engines can read, nobody is refused or late but for
-    # prompts that no engine reads in time.
+    # Far below the engines' capacity, no request is refused, and only prompts
+    # that no engine can compute in time are late.
     kind = site.RequestKind("question", 10, 1.2, 10.0, 20, 350, 1100, 100)
     figures = site.run_site(site.Site((kind,)))
     assert figures.compute_total_share() > 0.99
--- a/benchmarks/tests/test_shares.py
+++ b/benchmarks/tests/test_shares.py
@@ -1,9 +1,9 @@
-"""Shares of teams on generated sites under a flood.
+"""Tests of teams' shares of service on generated sites under a flood.
 
-The pattern: one team sends many times what all engines serve, through every
-router; others wait at one to three routers, several of them at the same one;
-each has shared parts of its own; some routers lose power and are back with
-nothing.
+The load: one team sends many times the engines' capacity through every router.
+The other teams use one to three routers, and several share a router. Each team
+has its own shared prompt parts. Some routers lose power and restart without
+state.
 """
 
 import dataclasses
@@ -17,11 +17,11 @@
 SEEDS = range(12)
 
 FLOOD = (10.0, 30.0, 100.0)
-"""What the flooding team asks for, as a multiple of a small one."""
+"""Load of the flooding team as a multiple of a small team's."""
 
 
 def create_site(seed):
-    """Creates a site whose engines can serve a part of what is requested."""
+    """Creates a random site with a load of 0.5 to 2.5 times its capacity."""
     rng = random.Random(seed)
     engines, routers = rng.randint(3, 10), rng.randint(2, 12)
     teams = rng.randint(4, 14)
@@ -95,18 +95,18 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_team_that_waits_gets_half_of_its_share(seed):
-    # Guards against a flood that takes what others wait for.
+    # Guards against a flooding team that takes the share of waiting teams.
     assert shares.find_shortfalls(run_shares(seed)) == []
 
 
 def test_sites_have_teams_that_wait_beside_a_flood():
-    # Guards the test above against sites where nobody is short of service.
+    # Ensures that teams wait on the sites of the test above.
     waits = [len(run_shares(seed).delayed["key-0"]) >= 6 for seed in SEEDS]
     assert sum(waits) >= len(SEEDS) / 2
 
 
 def test_share_counts_what_engines_began_of_the_poorer_team():
-    # Guards the tests above against a judge that finds nothing.
+    # Ensures that `find_shortfalls` detects a shortfall.
     recorded = shares.Shares()
     for second in range(shares.WINDOW):
         for team, begun in (("mill", 100), ("trader", 20)):
--- a/benchmarks/tests/test_spreading.py
+++ b/benchmarks/tests/test_spreading.py
@@ -1,4 +1,4 @@
-"""A change reaches a fleet in few hops, each process by one fetch."""
+"""Test that a change reaches the whole fleet, with one fetch per process."""
 
 from benchmarks import spreading
 
--- a/benchmarks/world.py
+++ b/benchmarks/world.py
@@ -4,7 +4,7 @@
 as on the wire. Only the network, the callers and the upstreams are simulated.
 """
 
-__all__ = ["ONE_WAY_DELAY", "Case", "Counts", "World"]
+__all__ = ["ONE_WAY_DELAY", "Case", "Counts", "Simulation"]
 
 import collections
 from collections.abc import Callable
@@ -107,7 +107,7 @@
     changed: float = 0.0
 
 
-class World:
+class Simulation:
     """A simulated fleet and its event queue."""
 
     def __init__(self, case: Case):
