--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,10 +1,10 @@
-"""Cost of one decision and memory per team, at three sizes.
+"""Cost of a decision and memory per team, at three fleet sizes.
 
-A router and a sidecar as they are when a tenth of all teams has work waiting
-at 19 services. Each step of a request is done many times; its cost is process
-time, its growth with the number of teams is also given in function calls,
-which are the same on every machine. `make bench-decisions` prints and writes
-`decisions.json`.
+Simulates a router and a sidecar while a tenth of all teams has waiting
+requests for 19 services. Each step of a request is repeated, and its cost is
+measured in processor time. Growth with the number of teams is also measured in
+function calls, which are the same on every machine. `make bench-decisions`
+prints the figures and writes `decisions.json`.
 """
 
 import argparse
@@ -24,21 +24,32 @@
 from sycamorefall.sidecar import state as sidecar_state
 
 UPSTREAMS = {16: 19, 1600: 114, 31000: 910}
-"""Upstream VMs by number of teams."""
+"""Number of upstream VMs by number of teams."""
 
 ROUTERS = {16: 3, 1600: 40, 31000: 370}
-"""Router VMs by number of teams."""
+"""Number of router VMs by number of teams."""
 
 SERVICES = 19
-BACKLOGGED = 10
-WAITING_EACH = 3
+TEAMS_PER_BACKLOG = 10
+"""One of this many teams has waiting requests."""
+
+REQUESTS_PER_BACKLOG = 3
+"""Waiting requests of each backlogged team."""
+
 REPEATS = 200
 ROUTER = "router-0"
 
 
 @dataclasses.dataclass(slots=True)
-class World:
-    """A router, a sidecar of its first service, and who has work waiting."""
+class Nodes:
+    """A router and a sidecar of its first service.
+
+    Attributes:
+        router: State of the router.
+        sidecar: State of the sidecar.
+        backlogged: Teams that have waiting requests.
+        claims: Counter of claims.
+    """
 
     router: state_module.RouterState
     sidecar: sidecar_state.SidecarState
@@ -86,115 +97,119 @@
     return membership.VmList(1, (*routers, *upstreams))
 
 
-def admit(world: World, team: str, service: str = "model-0") -> int:
-    """Lets the router take a request in."""
+def admit(nodes: Nodes, team: str, service: str = "model-0") -> int:
+    """Admits a request at the router, and returns its number."""
     new = state_module.NewRequest(
         service, team, "POST", "/", (), 1000.0, idempotent=True
     )
-    number, _ = intake.admit_request(world.router, 1.0, new)
+    number, _ = intake.admit_request(nodes.router, 1.0, new)
     return number
 
 
-def create_world(teams: int, spread: bool) -> World:
+def create_nodes(teams: int, spread: bool) -> Nodes:
     """Creates a router and a sidecar with a tenth of the teams backlogged.
 
     Args:
-        teams: Teams in the configuration.
-        spread: Whether the backlogs are spread over all services; else all
-            wait for one.
+        teams: Number of teams in the configuration.
+        spread: Whether the backlogged teams are spread over all services;
+            otherwise all of them wait for one service.
 
     Returns:
-        The world, at time 1.
+        The nodes, at time 1.
     """
-    world = World(
+    nodes = Nodes(
         state_module.RouterState(ROUTER, 1),
         sidecar_state.create_state("engine-0", 1, "model-0"),
-        [f"team-{index}" for index in range(0, teams, BACKLOGGED)],
+        [f"team-{index}" for index in range(0, teams, TEAMS_PER_BACKLOG)],
         itertools.count(1),
     )
     in_force = _create_configuration(teams)
-    for state in (world.router, world.sidecar):
+    for state in (nodes.router, nodes.sidecar):
         state.versions.configuration = in_force
         membership.apply_vm_list(state.directory, _list_vms(teams))
-    sidecar_core.apply_configuration(world.sidecar)
+    sidecar_core.apply_configuration(nodes.sidecar)
     for index in range(UPSTREAMS[teams]):
         membership.record_peer_message(
-            world.router.directory, 1.0, f"engine-{index}", 1, False
+            nodes.router.directory, 1.0, f"engine-{index}", 1, False
         )
-    for index, team in enumerate(world.backlogged):
+    for index, team in enumerate(nodes.backlogged):
         service = f"model-{index % SERVICES if spread else 0}"
-        for _ in range(WAITING_EACH):
-            admit(world, team, service)
-    own = [team for team in world.backlogged if _waits_here(world, team)]
-    announce(world, own, sequence=1)
+        for _ in range(REQUESTS_PER_BACKLOG):
+            admit(nodes, team, service)
+    own = [
+        team for team in nodes.backlogged if _has_waiting_requests(nodes, team)
+    ]
+    announce(nodes, own, sequence=1)
     for state, run in (
-        (world.router, core.run_timers),
-        (world.sidecar, sidecar_core.run_timers),
+        (nodes.router, core.run_timers),
+        (nodes.sidecar, sidecar_core.run_timers),
     ):
         run(state, 1.0)
-    return world
+    return nodes
 
 
-def _waits_here(world: World, team: str) -> bool:
-    return team in world.router.waiting.queues["model-0"]
+def _has_waiting_requests(nodes: Nodes, team: str) -> bool:
+    return team in nodes.router.waiting.queues["model-0"]
 
 
-def announce(world: World, teams: list[str], sequence: int) -> None:
-    """Lets the sidecar hear which teams have work waiting."""
+def announce(nodes: Nodes, teams: list[str], sequence: int) -> None:
+    """Sends the sidecar an announcement of teams with waiting requests."""
     entries = tuple(messages.TeamWaiting(team, 3, 0.1) for team in teams)
     message = messages.Waiting("model-0", sequence, entries, False)
     envelope = messages.Envelope(ROUTER, 1, 1, message)
-    sidecar_core.receive_message(world.sidecar, 1.0, envelope)
+    sidecar_core.receive_message(nodes.sidecar, 1.0, envelope)
 
 
-def list_steps(world: World) -> dict[str, Callable[[int], None]]:
-    """Lists the steps of a request, each done once per call.
+def list_steps(nodes: Nodes) -> dict[str, Callable[[int], None]]:
+    """Lists the steps of a request; each call performs a step once.
 
     Returns:
         Functions of a serial number, by name, to be called in this order.
     """
-    router, sidecar = world.router, world.sidecar
+    router, sidecar = nodes.router, nodes.sidecar
     names = [
         f"team-{i}" for i in range(len(router.versions.configuration.teams))
     ]
-    handed: list[effects.SendRequest] = []
-    claimed: list[messages.Claim] = []
+    sent_requests: list[effects.SendRequest] = []
+    sent_claims: list[messages.Claim] = []
 
     def sweep_queues(serial: int) -> None:
         router.next_sweep_at = 0.0
         sweep.sweep_waiting(router, 1.0)
 
     def take_announcement(serial: int) -> None:
-        team = world.backlogged[serial * SERVICES % len(world.backlogged)]
-        announce(world, [team], sequence=serial + 2)
+        team = nodes.backlogged[serial * SERVICES % len(nodes.backlogged)]
+        announce(nodes, [team], sequence=serial + 2)
 
     def choose_and_claim(serial: int) -> None:
         sidecar.limit.cap = len(sidecar.claims.open) + 1
         sidecar.limit.extra_claims = 0
-        claimed.extend(
+        sent_claims.extend(
             send.message for send in claiming.make_claims(sidecar, 1.0)
         )
 
     def hand_out(serial: int) -> None:
-        claim = claimed[serial % len(claimed)]
+        claim = sent_claims[serial % len(sent_claims)]
         envelope = messages.Envelope("engine-0", 1, 1, claim)
         outcome = core.receive_message(router, 1.0, envelope)
-        handed.extend(e for e in outcome if isinstance(e, effects.SendRequest))
+        sent_requests.extend(
+            e for e in outcome if isinstance(e, effects.SendRequest)
+        )
 
     def start_and_finish(serial: int) -> None:
-        order = handed[serial % len(handed)].order
+        order = sent_requests[serial % len(sent_requests)].order
         running.accept_attempt(sidecar, 1.0, order)
         running.charge_run(sidecar, order.attempt_id, 10.0)
         running.finish_run(sidecar, 1.0, order.attempt_id)
 
     def end(serial: int) -> None:
-        attempt = handed[serial % len(handed)].order.attempt_id
+        attempt = sent_requests[serial % len(sent_requests)].order.attempt_id
         done = attempt_lifecycle.AttemptEnd.COMPLETE
         attempt_lifecycle.end_attempt(router, 1.0, attempt, done, True)
 
     return {
         "admit (router)": lambda n: (
-            admit(world, names[n * 7 % len(names)]) and None
+            admit(nodes, names[n * 7 % len(names)]) and None
         ),
         "run timers (router)": lambda n: (
             core.run_timers(router, 1.0 + n * 1e-6) and None
@@ -209,7 +224,7 @@
 
 
 def count_calls(step: Callable[[int], None], repeats: int) -> float:
-    """Counts the function calls of a step, a mean over some repeats."""
+    """Counts the function calls of a step, as a mean over repeated calls."""
     calls = 0
 
     def count(frame, event, argument):
@@ -226,45 +241,45 @@
 
 
 def measure_calls(teams: int, spread: bool, repeats: int = 50) -> dict:
-    """Measures the function calls of each step."""
-    steps = list_steps(create_world(teams, spread))
+    """Measures the number of function calls of each step."""
+    steps = list_steps(create_nodes(teams, spread))
     return {name: count_calls(step, repeats) for name, step in steps.items()}
 
 
 def measure_time(teams: int, spread: bool) -> dict:
-    """Measures the process time of each step, in microseconds."""
+    """Measures the processor time of each step, in microseconds."""
     costs = {}
-    for name, step in list_steps(create_world(teams, spread)).items():
-        begun = time.process_time()
+    for name, step in list_steps(create_nodes(teams, spread)).items():
+        started_at = time.process_time()
         for serial in range(REPEATS):
             step(serial)
-        spent = time.process_time() - begun
-        costs[name] = round(spent / REPEATS * 1e6, 1)
+        cpu_time = time.process_time() - started_at
+        costs[name] = round(cpu_time / REPEATS * 1e6, 1)
     return costs
 
 
 def measure_memory(teams: int) -> dict:
-    """Measures what router and sidecar hold, without the configuration."""
+    """Measures the memory of router and sidecar, and of the configuration."""
     tracemalloc.start()
     try:
-        world = create_world(teams, spread=True)
-        whole = tracemalloc.get_traced_memory()[0]
-        in_force = world.router.versions.configuration
-        del world
+        nodes = create_nodes(teams, spread=True)
+        total = tracemalloc.get_traced_memory()[0]
+        in_force = nodes.router.versions.configuration
+        del nodes
         configured = tracemalloc.get_traced_memory()[0]
         del in_force
     finally:
         tracemalloc.stop()
-    waiting = WAITING_EACH * len(range(0, teams, BACKLOGGED))
+    waiting = REQUESTS_PER_BACKLOG * len(range(0, teams, TEAMS_PER_BACKLOG))
     return {
-        "state bytes": whole - configured,
-        "bytes per waiting request": round((whole - configured) / waiting),
+        "state bytes": total - configured,
+        "bytes per waiting request": round((total - configured) / waiting),
         "configuration bytes per team": round(configured / teams),
     }
 
 
 def main() -> None:
-    """Measures and prints everything."""
+    """Measures and prints time, calls and memory at each size."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--json", help="file to write the figures to")
     options = parser.parse_args()
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -94,7 +94,7 @@
     """Runs the fleet under the load and returns the records of it."""
     fleet = fleet_module.start_fleet(
         folder,
-        fleet_module.write_text(TEAMS, SERVICES),
+        fleet_module.build_configuration_text(TEAMS, SERVICES),
         routers=2,
         upstreams=[
             fleet_module.UpstreamGroup(
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -214,7 +214,9 @@
     return f"key-of-{team}"
 
 
-def write_text(teams: dict[str, float], services: str, limits: str = "") -> str:
+def build_configuration_text(
+    teams: dict[str, float], services: str, limits: str = ""
+) -> str:
     """Builds an operators' configuration text.
 
     Args:
--- a/standins/wire_upstream.py
+++ b/standins/wire_upstream.py
@@ -25,7 +25,7 @@
         truncate_after: Number of events after which it closes the connection
             inside the next event; None sends all events.
         hang: Whether it runs requests and never responds.
-        extra: Whether it sends every plain response twice.
+        send_twice: Whether it sends every plain response twice.
         repeat_previous: Whether it sends the previous plain response of a
             connection again before the next one.
         repeat_count: Number of responses that it sent again so.
@@ -49,7 +49,7 @@
     fail: bool = False
     truncate_after: int | None = None
     hang: bool = False
-    extra: bool = False
+    send_twice: bool = False
     repeat_previous: bool = False
     repeat_count: int = 0
     event_interval: float = 0.01
@@ -137,7 +137,7 @@
             await asyncio.sleep(0.01)
         self._last_responses[writer] = response
         writer.write(response)
-        if self.extra:
+        if self.send_twice:
             writer.write(response)
 
     async def _stream(self, stamp, headers, reader, writer) -> None:
--- a/sycamorefall/platform/tests/test_whole_path.py
+++ b/sycamorefall/platform/tests/test_whole_path.py
@@ -225,12 +225,12 @@
     site.add_upstream("l1", "ledger")
     router = site.add_router()
     site.store.unavailable = True
-    unavailable = time.monotonic()
+    unavailable_since = time.monotonic()
     assert send_request(router, "/draft/x", prompt=True)[1] == 200
     site_module.wait_until(
         lambda: send_request(router, "/draft/x", prompt=True)[1] == 503, 5.0
     )
-    assert time.monotonic() - unavailable < 5.0
+    assert time.monotonic() - unavailable_since < 5.0
     assert not site_module.is_ready(router)
     assert send_request(router, "/book/x", "", body=b"b")[1] == 200
     site.store.unavailable = False
@@ -300,7 +300,7 @@
     # A ledger sends each response twice. The duplicate must not reach the next
     # caller whose request uses the connection.
     ledger = site.add_upstream("l1", "ledger")
-    ledger.extra = True
+    ledger.send_twice = True
     router = site.add_router()
     for _ in range(20):
         request, status, _, response_body = send_request(router, "/look/x", "")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -22,7 +22,7 @@
     """Starts a fleet of two routers, two engines and two ledgers."""
     return fleet_module.start_fleet(
         folder,
-        fleet_module.write_text(TEAMS, SERVICES),
+        fleet_module.build_configuration_text(TEAMS, SERVICES),
         routers=2,
         upstreams=[
             fleet_module.UpstreamGroup(
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -30,7 +30,7 @@
 
 
 def build_text(teams):
-    return fleet_module.write_text(teams, conftest.SERVICES)
+    return fleet_module.build_configuration_text(teams, conftest.SERVICES)
 
 
 def read_status(fleet, name):
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -24,7 +24,9 @@
 def fleet(tmp_path_factory):
     started = fleet_module.start_fleet(
         tmp_path_factory.mktemp("dependencies"),
-        fleet_module.write_text({"mill-a": 1.0, "mill-b": 1.0}, SERVICES),
+        fleet_module.build_configuration_text(
+            {"mill-a": 1.0, "mill-b": 1.0}, SERVICES
+        ),
         routers=2,
         upstreams=[
             fleet_module.UpstreamGroup(
--- a/tests/test_observation.py
+++ b/tests/test_observation.py
@@ -176,7 +176,7 @@
     key.write_text("s" * 40 + "\n")
     fleet = fleet_module.start_fleet(
         tmp_path,
-        fleet_module.write_text({"mill-a": 1.0}, SERVICES),
+        fleet_module.build_configuration_text({"mill-a": 1.0}, SERVICES),
         routers=1,
         upstreams=[
             fleet_module.UpstreamGroup("ledger", 1, "standins.ledger", 2)
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -35,7 +35,9 @@
 def relayed_fleet(tmp_path_factory):
     """A fleet of one router and one ledger, between which bytes can be held."""
     folder = tmp_path_factory.mktemp("cut")
-    text = fleet_module.write_text(conftest.TEAMS, conftest.SERVICES)
+    text = fleet_module.build_configuration_text(
+        conftest.TEAMS, conftest.SERVICES
+    )
     ledger = fleet_module.UpstreamGroup("ledger", 1, "standins.ledger", 4)
     running = fleet_module.start_fleet(
         folder, text, 1, [ledger], relays_data=True
--- a/tests/test_outcomes_whole.py
+++ b/tests/test_outcomes_whole.py
@@ -59,7 +59,9 @@
 
     Yields the router's port and the server, whose `responses` a test sets.
     """
-    text = fleet_module.write_text(conftest.TEAMS, conftest.SERVICES)
+    text = fleet_module.build_configuration_text(
+        conftest.TEAMS, conftest.SERVICES
+    )
     ledger = fleet_module.UpstreamGroup("ledger", 1, "standins.ledger", 4)
     folder = tmp_path_factory.mktemp("whole")
     fleet = fleet_module.start_fleet(folder, text, 1, [ledger])
