--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -23,7 +23,7 @@
 SERVICE = "assistant"
 SIDECAR = "engine-0"
 MEAN_RUN = 0.5
-"""Scale of the lognormal run times, in seconds."""
+"""Mean of the lognormal run times, in seconds."""
 
 SLOTS = 10
 
